--- a/internal/control/replica/messages.go
+++ b/internal/control/replica/messages.go
@@ -126,6 +126,12 @@
 	Generation uint64                `json:"g,omitempty"` // GenerationPath: the last that is known of the asker's disk
 }
 
+// Generation is what others know of a replica's disk.
+type Generation struct {
+	Disk   string `json:"d"`
+	Number uint64 `json:"n"`
+}
+
 // Kinds of asks, as the paths of calls.
 const (
 	PullPath       = "/pull"
@@ -138,3 +144,34 @@
 	WorkPath       = "/work"
 	CensusPath     = "/census"
 )
+
+// Unclaim takes back what an answer claims of the items that are left over.
+func (n *News) Unclaim(left []lore.Item, come lore.Vector) {
+	lowest := map[string]uint64{}
+	for _, it := range left {
+		origin := n.Origin(it)
+		if number, known := lowest[origin]; !known || it.Seq < number {
+			lowest[origin] = it.Seq
+		}
+	}
+	for origin, number := range lowest {
+		if number-1 > come[origin] || n.Whole && number > 1 {
+			n.Come[origin] = number - 1
+		} else {
+			delete(n.Come, origin)
+		}
+	}
+}
+
+// Reports are a census's answers as a drain's progress is told by them.
+func (c Census) Reports() (out []ebb.Report, loads []ebb.Load) {
+	for _, w := range c.Works {
+		r := ebb.Report{Node: w.From.Node, Zone: w.From.Zone, Knows: w.Drains, Out: map[string][2]int{}}
+		for _, row := range w.Rows {
+			r.Out[row.ID] = [2]int{row.Harmless, row.Risky}
+		}
+		out = append(out, r)
+		loads = append(loads, w.Loads...)
+	}
+	return out, loads
+}
--- a/internal/control/replica/page.go
+++ b/internal/control/replica/page.go
@@ -31,27 +31,9 @@
 	for i, it := range n.Items {
 		size += itemText + len(it.Key) + len(it.Body)
 		if size > newsBytes && i > 0 {
-			n.unclaim(n.Items[i:], p.Come)
+			n.Unclaim(n.Items[i:], p.Come)
 			n.Items = n.Items[:i]
 			return
 		}
 	}
 }
-
-// unclaim takes back what an answer claims of the items that are left over.
-func (n *News) unclaim(left []lore.Item, come lore.Vector) {
-	lowest := map[string]uint64{}
-	for _, it := range left {
-		origin := n.Origin(it)
-		if number, known := lowest[origin]; !known || it.Seq < number {
-			lowest[origin] = it.Seq
-		}
-	}
-	for origin, number := range lowest {
-		if number-1 > come[origin] || n.Whole && number > 1 {
-			n.Come[origin] = number - 1
-		} else {
-			delete(n.Come, origin)
-		}
-	}
-}
--- a/internal/control/replica/standing.go
+++ b/internal/control/replica/standing.go
@@ -21,12 +21,6 @@
 	Active     uint64   // the last epoch for which it held all that was chosen before
 }
 
-// Generation is what others know of a replica's disk.
-type Generation struct {
-	Disk   string `json:"d"`
-	Number uint64 `json:"n"`
-}
-
 // generationSpan is how often a running replica counts its generation on. A disk from the past is noticed when it is older
 // than this and the longest pause between two pulls together (CoreWait and a second).
 const generationSpan = 10 * time.Second
--- a/plan/release.go
+++ b/plan/release.go
@@ -20,6 +20,26 @@
 	Reverted  = "reverted"
 )
 
+// Release is the state of a service's release.
+//
+//easyjson:json
+type Release struct {
+	Target string `json:"target"`
+	Phase  string `json:"phase"`
+	OverMs int64  `json:"over"`
+	Began  int64  `json:"began"` // Unix milliseconds at the agent that took the order
+	Number uint64 `json:"number"`
+}
+
+// Order is a releases.begin call.
+//
+//easyjson:json
+type Order struct {
+	Service string `json:"service"`
+	Target  string `json:"target"`
+	Over    string `json:"over"`
+}
+
 // Begin orders a release. One to the same target in the same time that is under way goes on; in the place of any other a new
 // one begins.
 func Begin(target string, over time.Duration, now time.Time) quorum.Change {
--- a/plan/wire.go
+++ b/plan/wire.go
@@ -94,26 +94,6 @@
 	HomeRegions []string `json:"homeRegions"`
 }
 
-// Release is the state of a service's release.
-//
-//easyjson:json
-type Release struct {
-	Target string `json:"target"`
-	Phase  string `json:"phase"`
-	OverMs int64  `json:"over"`
-	Began  int64  `json:"began"` // Unix milliseconds at the agent that took the order
-	Number uint64 `json:"number"`
-}
-
-// Order is a releases.begin call.
-//
-//easyjson:json
-type Order struct {
-	Service string `json:"service"`
-	Target  string `json:"target"`
-	Over    string `json:"over"`
-}
-
 // ParseVersion reads a version: hexadecimal digits, eight as the protocol has it.
 func ParseVersion(text string) (uint64, error) {
 	v, err := strconv.ParseUint(text, 16, 32)
--- a/plan/wire_easyjson.go
+++ b/plan/wire_easyjson.go
@@ -499,203 +499,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeSageleverPlan4(in *jlexer.Lexer, out *Release) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "target":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Target = string(in.String())
-			}
-		case "phase":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Phase = string(in.String())
-			}
-		case "over":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.OverMs = int64(in.Int64())
-			}
-		case "began":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Began = int64(in.Int64())
-			}
-		case "number":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Number = uint64(in.Uint64())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonF4688553EncodeSageleverPlan4(out *jwriter.Writer, in Release) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"target\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Target))
-	}
-	{
-		const prefix string = ",\"phase\":"
-		out.RawString(prefix)
-		out.String(string(in.Phase))
-	}
-	{
-		const prefix string = ",\"over\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.OverMs))
-	}
-	{
-		const prefix string = ",\"began\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.Began))
-	}
-	{
-		const prefix string = ",\"number\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Number))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Release) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonF4688553EncodeSageleverPlan4(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Release) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeSageleverPlan4(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Release) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeSageleverPlan4(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Release) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeSageleverPlan4(l, v)
-}
-func easyjsonF4688553DecodeSageleverPlan5(in *jlexer.Lexer, out *Order) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "service":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Service = string(in.String())
-			}
-		case "target":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Target = string(in.String())
-			}
-		case "over":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Over = string(in.String())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonF4688553EncodeSageleverPlan5(out *jwriter.Writer, in Order) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"service\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Service))
-	}
-	{
-		const prefix string = ",\"target\":"
-		out.RawString(prefix)
-		out.String(string(in.Target))
-	}
-	{
-		const prefix string = ",\"over\":"
-		out.RawString(prefix)
-		out.String(string(in.Over))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Order) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonF4688553EncodeSageleverPlan5(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Order) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeSageleverPlan5(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Order) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeSageleverPlan5(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Order) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeSageleverPlan5(l, v)
-}
-func easyjsonF4688553DecodeSageleverPlan6(in *jlexer.Lexer, out *Limits) {
+func easyjsonF4688553DecodeSageleverPlan4(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -743,7 +547,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan6(out *jwriter.Writer, in Limits) {
+func easyjsonF4688553EncodeSageleverPlan4(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -773,27 +577,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeSageleverPlan6(&w, v)
+	easyjsonF4688553EncodeSageleverPlan4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeSageleverPlan6(w, v)
+	easyjsonF4688553EncodeSageleverPlan4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeSageleverPlan6(&r, v)
+	easyjsonF4688553DecodeSageleverPlan4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeSageleverPlan6(l, v)
+	easyjsonF4688553DecodeSageleverPlan4(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan7(in *jlexer.Lexer, out *Items) {
+func easyjsonF4688553DecodeSageleverPlan5(in *jlexer.Lexer, out *Items) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -824,7 +628,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v10 Item
-					easyjsonF4688553DecodeSageleverPlan8(in, &v10)
+					easyjsonF4688553DecodeSageleverPlan6(in, &v10)
 					out.Items = append(out.Items, v10)
 					in.WantComma()
 				}
@@ -840,7 +644,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan7(out *jwriter.Writer, in Items) {
+func easyjsonF4688553EncodeSageleverPlan5(out *jwriter.Writer, in Items) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -855,7 +659,7 @@
 				if v11 > 0 {
 					out.RawByte(',')
 				}
-				easyjsonF4688553EncodeSageleverPlan8(out, v12)
+				easyjsonF4688553EncodeSageleverPlan6(out, v12)
 			}
 			out.RawByte(']')
 		}
@@ -866,27 +670,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Items) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeSageleverPlan7(&w, v)
+	easyjsonF4688553EncodeSageleverPlan5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Items) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeSageleverPlan7(w, v)
+	easyjsonF4688553EncodeSageleverPlan5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Items) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeSageleverPlan7(&r, v)
+	easyjsonF4688553DecodeSageleverPlan5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Items) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeSageleverPlan7(l, v)
+	easyjsonF4688553DecodeSageleverPlan5(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan8(in *jlexer.Lexer, out *Item) {
+func easyjsonF4688553DecodeSageleverPlan6(in *jlexer.Lexer, out *Item) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -907,7 +711,7 @@
 				out.Type = string(in.String())
 			}
 		case "metadata":
-			easyjsonF4688553DecodeSageleverPlan9(in, &out.Metadata)
+			easyjsonF4688553DecodeSageleverPlan7(in, &out.Metadata)
 		case "body":
 			if in.IsNull() {
 				in.Skip()
@@ -926,7 +730,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan8(out *jwriter.Writer, in Item) {
+func easyjsonF4688553EncodeSageleverPlan6(out *jwriter.Writer, in Item) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -938,7 +742,7 @@
 	{
 		const prefix string = ",\"metadata\":"
 		out.RawString(prefix)
-		easyjsonF4688553EncodeSageleverPlan9(out, in.Metadata)
+		easyjsonF4688553EncodeSageleverPlan7(out, in.Metadata)
 	}
 	{
 		const prefix string = ",\"body\":"
@@ -947,7 +751,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeSageleverPlan9(in *jlexer.Lexer, out *Meta) {
+func easyjsonF4688553DecodeSageleverPlan7(in *jlexer.Lexer, out *Meta) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -983,7 +787,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan9(out *jwriter.Writer, in Meta) {
+func easyjsonF4688553EncodeSageleverPlan7(out *jwriter.Writer, in Meta) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1005,7 +809,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeSageleverPlan10(in *jlexer.Lexer, out *Call) {
+func easyjsonF4688553DecodeSageleverPlan8(in *jlexer.Lexer, out *Call) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1051,7 +855,7 @@
 						}
 						for !in.IsDelim(']') {
 							var v14 Ref
-							easyjsonF4688553DecodeSageleverPlan11(in, &v14)
+							easyjsonF4688553DecodeSageleverPlan9(in, &v14)
 							v13 = append(v13, v14)
 							in.WantComma()
 						}
@@ -1072,7 +876,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan10(out *jwriter.Writer, in Call) {
+func easyjsonF4688553EncodeSageleverPlan8(out *jwriter.Writer, in Call) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1105,7 +909,7 @@
 						if v16 > 0 {
 							out.RawByte(',')
 						}
-						easyjsonF4688553EncodeSageleverPlan11(out, v17)
+						easyjsonF4688553EncodeSageleverPlan9(out, v17)
 					}
 					out.RawByte(']')
 				}
@@ -1119,27 +923,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Call) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeSageleverPlan10(&w, v)
+	easyjsonF4688553EncodeSageleverPlan8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Call) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeSageleverPlan10(w, v)
+	easyjsonF4688553EncodeSageleverPlan8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Call) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeSageleverPlan10(&r, v)
+	easyjsonF4688553DecodeSageleverPlan8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Call) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeSageleverPlan10(l, v)
+	easyjsonF4688553DecodeSageleverPlan8(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan11(in *jlexer.Lexer, out *Ref) {
+func easyjsonF4688553DecodeSageleverPlan9(in *jlexer.Lexer, out *Ref) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1175,7 +979,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan11(out *jwriter.Writer, in Ref) {
+func easyjsonF4688553EncodeSageleverPlan9(out *jwriter.Writer, in Ref) {
 	out.RawByte('{')
 	first := true
 	_ = first
--- a/sway/parting.go
+++ b/sway/parting.go
@@ -81,7 +81,7 @@
 // Open tells whether a request that was given to an appliance may still be written to it: it may have begun to leave while
 // the connection came up, or the leave to send has run out meanwhile.
 func (s *Sway) Open(a *App, now time.Time) bool {
-	return a.Stand.State() == ebb.Serving && s.leave.Covers(&a.Stand, now)
+	return a.Stand.State() == ebb.Serving && a.Stand.Covered(&s.leave, now)
 }
 
 // withheld undoes what was noted of a send that never was.
--- a/sway/sway.go
+++ b/sway/sway.go
@@ -344,7 +344,7 @@
 		if !s.may(x, r, a, arm, now) {
 			continue
 		}
-		covered := s.leave.Covers(&a.Stand, now)
+		covered := a.Stand.Covered(&s.leave, now)
 		if first && covered {
 			return a
 		}
