--- a/boot/boot_easyjson.go
+++ b/boot/settings_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonDef4279cDecodeSageleverBoot(in *jlexer.Lexer, out *Settings) {
+func easyjsonB229cf53DecodeSageleverBoot(in *jlexer.Lexer, out *Settings) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -113,7 +113,7 @@
 				in.Skip()
 			} else {
 				in.Delim('{')
-				out.Listens = make(map[string]string)
+				out.ListenAddresses = make(map[string]string)
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
@@ -123,7 +123,7 @@
 					} else {
 						v3 = string(in.String())
 					}
-					(out.Listens)[key] = v3
+					(out.ListenAddresses)[key] = v3
 					in.WantComma()
 				}
 				in.Delim('}')
@@ -131,17 +131,17 @@
 		case "sparePorts":
 			if in.IsNull() {
 				in.Skip()
-				out.SparePorts = nil
+				out.PeerPortRange = nil
 			} else {
 				in.Delim('[')
-				if out.SparePorts == nil {
+				if out.PeerPortRange == nil {
 					if !in.IsDelim(']') {
-						out.SparePorts = make([]int, 0, 8)
+						out.PeerPortRange = make([]int, 0, 8)
 					} else {
-						out.SparePorts = []int{}
+						out.PeerPortRange = []int{}
 					}
 				} else {
-					out.SparePorts = (out.SparePorts)[:0]
+					out.PeerPortRange = (out.PeerPortRange)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v4 int
@@ -150,7 +150,7 @@
 					} else {
 						v4 = int(in.Int())
 					}
-					out.SparePorts = append(out.SparePorts, v4)
+					out.PeerPortRange = append(out.PeerPortRange, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -158,17 +158,17 @@
 		case "firstContacts":
 			if in.IsNull() {
 				in.Skip()
-				out.FirstContacts = nil
+				out.SeedAddresses = nil
 			} else {
 				in.Delim('[')
-				if out.FirstContacts == nil {
+				if out.SeedAddresses == nil {
 					if !in.IsDelim(']') {
-						out.FirstContacts = make([]string, 0, 4)
+						out.SeedAddresses = make([]string, 0, 4)
 					} else {
-						out.FirstContacts = []string{}
+						out.SeedAddresses = []string{}
 					}
 				} else {
-					out.FirstContacts = (out.FirstContacts)[:0]
+					out.SeedAddresses = (out.SeedAddresses)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v5 string
@@ -177,7 +177,7 @@
 					} else {
 						v5 = string(in.String())
 					}
-					out.FirstContacts = append(out.FirstContacts, v5)
+					out.SeedAddresses = append(out.SeedAddresses, v5)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -195,21 +195,21 @@
 				out.CountsAsLoss = bool(in.Bool())
 			}
 		case "limits":
-			easyjsonDef4279cDecodeSageleverBoot1(in, &out.Limits)
+			easyjsonB229cf53DecodeSageleverBoot1(in, &out.Resources)
 		case "dataFolder":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.DataFolder = string(in.String())
+				out.DataDir = string(in.String())
 			}
 		case "pulse":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Pulse = string(in.String())
+				out.HeartbeatInterval = string(in.String())
 			}
 		case "withstand":
-			easyjsonDef4279cDecodeSageleverBoot2(in, &out.Withstand)
+			easyjsonB229cf53DecodeSageleverBoot2(in, &out.FaultTolerance)
 		case "limitsTable":
 			if in.IsNull() {
 				in.Skip()
@@ -247,7 +247,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonDef4279cEncodeSageleverBoot(out *jwriter.Writer, in Settings) {
+func easyjsonB229cf53EncodeSageleverBoot(out *jwriter.Writer, in Settings) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -316,12 +316,12 @@
 	{
 		const prefix string = ",\"listens\":"
 		out.RawString(prefix)
-		if in.Listens == nil && (out.Flags&jwriter.NilMapAsEmpty) == 0 {
+		if in.ListenAddresses == nil && (out.Flags&jwriter.NilMapAsEmpty) == 0 {
 			out.RawString(`null`)
 		} else {
 			out.RawByte('{')
 			v10First := true
-			for v10Name, v10Value := range in.Listens {
+			for v10Name, v10Value := range in.ListenAddresses {
 				if v10First {
 					v10First = false
 				} else {
@@ -337,11 +337,11 @@
 	{
 		const prefix string = ",\"sparePorts\":"
 		out.RawString(prefix)
-		if in.SparePorts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.PeerPortRange == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v11, v12 := range in.SparePorts {
+			for v11, v12 := range in.PeerPortRange {
 				if v11 > 0 {
 					out.RawByte(',')
 				}
@@ -353,11 +353,11 @@
 	{
 		const prefix string = ",\"firstContacts\":"
 		out.RawString(prefix)
-		if in.FirstContacts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.SeedAddresses == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v13, v14 := range in.FirstContacts {
+			for v13, v14 := range in.SeedAddresses {
 				if v13 > 0 {
 					out.RawByte(',')
 				}
@@ -379,22 +379,22 @@
 	{
 		const prefix string = ",\"limits\":"
 		out.RawString(prefix)
-		easyjsonDef4279cEncodeSageleverBoot1(out, in.Limits)
+		easyjsonB229cf53EncodeSageleverBoot1(out, in.Resources)
 	}
 	{
 		const prefix string = ",\"dataFolder\":"
 		out.RawString(prefix)
-		out.String(string(in.DataFolder))
+		out.String(string(in.DataDir))
 	}
 	{
 		const prefix string = ",\"pulse\":"
 		out.RawString(prefix)
-		out.String(string(in.Pulse))
+		out.String(string(in.HeartbeatInterval))
 	}
 	{
 		const prefix string = ",\"withstand\":"
 		out.RawString(prefix)
-		easyjsonDef4279cEncodeSageleverBoot2(out, in.Withstand)
+		easyjsonB229cf53EncodeSageleverBoot2(out, in.FaultTolerance)
 	}
 	{
 		const prefix string = ",\"limitsTable\":"
@@ -418,27 +418,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Settings) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDef4279cEncodeSageleverBoot(&w, v)
+	easyjsonB229cf53EncodeSageleverBoot(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Settings) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDef4279cEncodeSageleverBoot(w, v)
+	easyjsonB229cf53EncodeSageleverBoot(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Settings) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDef4279cDecodeSageleverBoot(&r, v)
+	easyjsonB229cf53DecodeSageleverBoot(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Settings) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDef4279cDecodeSageleverBoot(l, v)
+	easyjsonB229cf53DecodeSageleverBoot(l, v)
 }
-func easyjsonDef4279cDecodeSageleverBoot2(in *jlexer.Lexer, out *Withstand) {
+func easyjsonB229cf53DecodeSageleverBoot2(in *jlexer.Lexer, out *FaultTolerance) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -456,7 +456,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HostsLost = int(in.Int())
+				out.Hosts = int(in.Int())
 			}
 		case "zones":
 			if in.IsNull() {
@@ -480,14 +480,14 @@
 		in.Consumed()
 	}
 }
-func easyjsonDef4279cEncodeSageleverBoot2(out *jwriter.Writer, in Withstand) {
+func easyjsonB229cf53EncodeSageleverBoot2(out *jwriter.Writer, in FaultTolerance) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"hostsLost\":"
 		out.RawString(prefix[1:])
-		out.Int(int(in.HostsLost))
+		out.Int(int(in.Hosts))
 	}
 	{
 		const prefix string = ",\"zones\":"
@@ -501,7 +501,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonDef4279cDecodeSageleverBoot1(in *jlexer.Lexer, out *Machine) {
+func easyjsonB229cf53DecodeSageleverBoot1(in *jlexer.Lexer, out *ResourceLimits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -519,7 +519,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.CPUPart = float64(in.Float64())
+				out.CPUShare = float64(in.Float64())
 			}
 		case "ramMb":
 			if in.IsNull() {
@@ -549,14 +549,14 @@
 		in.Consumed()
 	}
 }
-func easyjsonDef4279cEncodeSageleverBoot1(out *jwriter.Writer, in Machine) {
+func easyjsonB229cf53EncodeSageleverBoot1(out *jwriter.Writer, in ResourceLimits) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"cpuPart\":"
 		out.RawString(prefix[1:])
-		out.Float64(float64(in.CPUPart))
+		out.Float64(float64(in.CPUShare))
 	}
 	{
 		const prefix string = ",\"ramMb\":"
--- a/cmd/sagelever/log.go
+++ b/cmd/sagelever/log.go
@@ -8,8 +8,8 @@
 )
 
 // newLogger writes lines of key=value, or of JSON. What has happened stands under "event".
-func newLogger(to io.Writer, format string) (*slog.Logger, error) {
-	o := &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+func newLogger(output io.Writer, format string) (*slog.Logger, error) {
+	options := &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.MessageKey {
 			a.Key = "event"
 		}
@@ -17,41 +17,41 @@
 	}}
 	switch format {
 	case "text":
-		return slog.New(slog.NewTextHandler(to, o)), nil
+		return slog.New(slog.NewTextHandler(output, options)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(to, o)), nil
+		return slog.New(slog.NewJSONHandler(output, options)), nil
 	}
 	return nil, fmt.Errorf("no such log format: %q", format)
 }
 
-// logLines writes a log on a goroutine of its own: a reader that stands still must not hold up an agent. Lines that
+// asyncWriter writes a log on a goroutine of its own: a reader that stands still must not hold up an agent. Lines that
 // find no room are lost.
-type logLines struct {
-	queue chan []byte
-	asked chan chan bool // to be answered when all before is written
+type asyncWriter struct {
+	queue   chan []byte
+	flushes chan chan bool // to be answered when all before is written
 }
 
-const mostLines = 1024
+const maxQueuedLines = 1024
 
-func startLog(to io.Writer) *logLines {
-	l := &logLines{make(chan []byte, mostLines), make(chan chan bool)}
+func newAsyncWriter(output io.Writer) *asyncWriter {
+	writer := &asyncWriter{make(chan []byte, maxQueuedLines), make(chan chan bool)}
 	go func() {
 		for {
 			select {
-			case line := <-l.queue:
-				to.Write(line)
-			case done := <-l.asked:
-				for len(l.queue) > 0 {
-					to.Write(<-l.queue)
+			case line := <-writer.queue:
+				output.Write(line)
+			case done := <-writer.flushes:
+				for len(writer.queue) > 0 {
+					output.Write(<-writer.queue)
 				}
 				done <- true
 			}
 		}
 	}()
-	return l
+	return writer
 }
 
-func (l *logLines) Write(line []byte) (int, error) {
+func (l *asyncWriter) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- append([]byte(nil), line...):
 	default:
@@ -60,10 +60,10 @@
 }
 
 // flush waits until what was logged is written, a second at most.
-func (l *logLines) flush() {
+func (l *asyncWriter) flush() {
 	limit, done := time.After(time.Second), make(chan bool, 1)
 	select {
-	case l.asked <- done:
+	case l.flushes <- done:
 	case <-limit:
 		return
 	}
--- a/cmd/sagelever/main.go
+++ b/cmd/sagelever/main.go
@@ -5,7 +5,7 @@
 
 func main() {
 	if err := run(os.Args[1:], os.Stdin, os.Stdout); err != nil {
-		say(os.Stderr, err)
+		printError(os.Stderr, err)
 		os.Exit(1)
 	}
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -13,68 +13,68 @@
 	"sagelever/simwire"
 )
 
-type seat struct {
-	began time.Duration
-	agent *decide.Balancer
+type instance struct {
+	startedAt time.Duration
+	agent     *decide.Balancer
 }
 
 func main() {
-	if err := host(os.Stdin, os.Stdout); err != nil {
+	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-func host(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	seats := map[string]*seat{}
+func serve(in io.Reader, out io.Writer) error {
+	reader, writer := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
+	instances := map[string]*instance{}
 	for {
-		b, err := r.Read()
+		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		var replies []simwire.Reply
-		place := map[string]int{}
-		for _, ev := range b.Events {
-			at, ok := place[ev.Instance]
+		replyIndex := map[string]int{}
+		for _, event := range batch.Events {
+			index, ok := replyIndex[event.Instance]
 			if !ok {
-				at = len(replies)
-				place[ev.Instance] = at
-				replies = append(replies, simwire.Reply{Instance: ev.Instance})
+				index = len(replies)
+				replyIndex[event.Instance] = index
+				replies = append(replies, simwire.Reply{Instance: event.Instance})
 			}
-			reply := &replies[at]
+			reply := &replies[index]
 			switch {
-			case ev.Start != nil:
+			case event.Start != nil:
 				reply.Actions = nil // what an earlier life of this batch wanted is void
-				seats[ev.Instance] = &seat{began: b.Clock}
-				guard(reply, func() { seats[ev.Instance].agent = decide.New(ev.Start.Seed, ev.Start.Terms) })
-			case ev.Stop:
+				instances[event.Instance] = &instance{startedAt: batch.Clock}
+				reportPanic(reply, func() { instances[event.Instance].agent = decide.New(event.Start.Seed, event.Start.Settings) })
+			case event.Stop:
 				reply.Actions = nil
-				delete(seats, ev.Instance)
+				delete(instances, event.Instance)
 			default:
-				s := seats[ev.Instance]
+				s := instances[event.Instance]
 				if s == nil || s.agent == nil {
 					continue
 				}
-				guard(reply, func() {
-					reply.Actions = append(reply.Actions, s.agent.Step(b.Clock-s.began, ev.Event)...)
+				reportPanic(reply, func() {
+					reply.Actions = append(reply.Actions, s.agent.Step(batch.Clock-s.startedAt, event.Event)...)
 				})
 			}
 		}
-		if err := simwire.Write(w, replies); err != nil {
+		if err := simwire.WriteReplies(writer, replies); err != nil {
 			return err
 		}
 	}
 }
 
-// guard turns a panic of the module into the wire's fault report.
-func guard(reply *simwire.Reply, f func()) {
+// reportPanic turns a panic of the module into the wire's fault report.
+func reportPanic(reply *simwire.Reply, step func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			reply.Actions = append(reply.Actions, simwire.Bug{Text: fmt.Sprint(p)})
+			reply.Actions = append(reply.Actions, simwire.PolicyFailure{Text: fmt.Sprint(p)})
 		}
 	}()
-	f()
+	step()
 }
--- a/decide/route.go
+++ b/decide/route.go
@@ -9,145 +9,145 @@
 
 // The course of a transaction: taken, placed, sent, sent again, given up.
 
-func (b *Balancer) legal(t *transaction, a *appliance) bool {
-	if !a.listed || !b.told || a.Build < b.oneWay(t.Key) || !b.exposable(t, a) {
+func (b *Balancer) eligible(tx *transaction, backend *backend) bool {
+	if !backend.listed || !b.rolloutKnown || backend.Build < b.boundBuild(tx.Key) || !b.exposureAllows(tx, backend) {
 		return false
 	}
-	if t.ran >= 0 && t.work.effect == "receipted" {
-		same := t.work.group == "all" || t.work.group == "zone" && a.Place == t.ranAt.Place ||
-			t.work.group == "cell" && a.Group == t.ranAt.Group
-		if !same || b.now-t.ran >= t.work.memory-term(b, "tick", beat) {
+	if tx.mayHaveRunAt >= 0 && tx.workload.effect == "receipted" {
+		same := tx.workload.group == "all" || tx.workload.group == "zone" && backend.Zone == tx.mayHaveRunOn.Zone ||
+			tx.workload.group == "cell" && backend.Cell == tx.mayHaveRunOn.Cell
+		if !same || b.now-tx.mayHaveRunAt >= tx.workload.memory-setting(b, "tick", heartbeatInterval) {
 			return false
 		}
 	}
-	return b.warmEnough(a)
+	return b.slowStartAllows(backend)
 }
 
-const timesHalf = 5 * time.Second
+const latencyHalfLife = 5 * time.Second
 
-func (b *Balancer) take(e agent.Taken) {
-	w := b.workload(e.Workload)
-	t := &transaction{Taken: e, work: w, flow: b.flow(w, e.Customer), at: b.now, ran: -1}
-	b.noteTaken(t)
-	b.boundIn.Add(b.now, demandHalf, float64(min(b.oneWay(e.Key), 1)))
+func (b *Balancer) acceptTransaction(event agent.TransactionAccepted) {
+	workload := b.workloadOf(event.Workload)
+	tx := &transaction{TransactionAccepted: event, workload: workload, flow: b.flowOf(workload, event.Customer), acceptedAt: b.now, mayHaveRunAt: -1}
+	b.recordAccepted(tx)
+	b.boundShare.Add(b.now, demandHalfLife, float64(min(b.boundBuild(event.Key), 1)))
 	// The trial gets three quarters of its cap, but no more than its machines' share and a third, else they look
 	// slow from load; from agents that see too little to spread their sends by load the share alone, in a fleet
 	// of such agents a fifth less; but the others never bear more than a seventh above theirs.
-	_, share := b.onTrial(b.subject)
-	part, spread := b.trialPart(), 1.3
+	_, share := b.exposureCap(b.trialBuild)
+	part, spread := b.trialCapacityShare(), 1.3
 	if b.small() {
 		spread = 1
 	} else if b.sparse() {
 		spread = 0.8
 	}
-	b.ration = min(b.ration+max(min(0.75*share, spread*part), 1-1.15*(1-part)), 1.5)
-	b.further.earned.Add(b.now, furtherHalf, b.furtherShare())
+	b.trialQuota = min(b.trialQuota+max(min(0.75*share, spread*part), 1-1.15*(1-part)), 1.5)
+	b.retries.earned.Add(b.now, retryHalfLife, b.retryShare())
 	// The answer timer runs out a tick before the client's time does, so that the answer is never late.
-	b.after(e.Left-term(b, "tick", beat), func() {
-		t.why = agent.TimeUp
-		run(b, courses, &t.course, lastCall, t)
+	b.schedule(event.Timeout-setting(b, "tick", heartbeatInterval), func() {
+		tx.reason = agent.ReasonDeadline
+		advance(b, transactionTransitions, &tx.state, deadlineNear, tx)
 	})
-	run(b, courses, &t.course, taken, t)
+	advance(b, transactionTransitions, &tx.state, accepted, tx)
 }
 
-const furtherHalf = 10 * time.Second
+const retryHalfLife = 10 * time.Second
 
-// furtherShare is how many further sends each transaction taken earns: it follows how many of the recent
+// retryShare is how many further sends each transaction taken earns: it follows how many of the recent
 // ones succeeded, from 0.05 (to keep learning) to 0.3 (a retry storm must not double the load).
-func (b *Balancer) furtherShare() float64 {
-	tried := b.further.tried.Read(b.now, furtherHalf) + 4
-	return 0.05 + 0.25*(b.further.won.Read(b.now, furtherHalf)+2)/tried
+func (b *Balancer) retryShare() float64 {
+	tried := b.retries.tried.Value(b.now, retryHalfLife) + 4
+	return 0.05 + 0.25*(b.retries.won.Value(b.now, retryHalfLife)+2)/tried
 }
 
-func (b *Balancer) mayFurther(t *transaction) bool {
-	spare := b.further.earned.Read(b.now, furtherHalf) + 3 - b.further.tried.Read(b.now, furtherHalf)
-	return spare > 0 && float64(len(t.sends)) < term(b, "sends.most", 1.0)
+func (b *Balancer) mayRetry(tx *transaction) bool {
+	spare := b.retries.earned.Value(b.now, retryHalfLife) + 3 - b.retries.tried.Value(b.now, retryHalfLife)
+	return spare > 0 && float64(len(tx.attempts)) < setting(b, "sends.most", 1.0)
 }
 
-func (t *transaction) harmless() bool {
-	return t.ran < 0 || t.work.effect == "pure" || t.work.effect == "receipted" && t.work.group == "all"
+func (tx *transaction) safeToRepeat() bool {
+	return tx.mayHaveRunAt < 0 || tx.workload.effect == "pure" || tx.workload.effect == "receipted" && tx.workload.group == "all"
 }
 
-// again follows a send that failed: another where the workload and the budget allow it, else the answer.
-func (b *Balancer) again(t *transaction) {
-	t.why = agent.NoFurther
-	if t.ran >= 0 && t.work.effect == "effectful" {
-		t.why = agent.MayHaveRun
+// retry follows a send that failed: another where the workload and the budget allow it, else the answer.
+func (b *Balancer) retry(tx *transaction) {
+	tx.reason = agent.ReasonNoRetry
+	if tx.mayHaveRunAt >= 0 && tx.workload.effect == "effectful" {
+		tx.reason = agent.ReasonMayHaveRun
 	}
-	if t.why == agent.MayHaveRun || !b.mayFurther(t) {
-		run(b, courses, &t.course, lastCall, t)
+	if tx.reason == agent.ReasonMayHaveRun || !b.mayRetry(tx) {
+		advance(b, transactionTransitions, &tx.state, deadlineNear, tx)
 	} else {
-		b.place(t)
+		b.place(tx)
 	}
 }
 
-// copyOut sends a second copy of what takes longer than most do. Where no two may be out, the first is called
+// hedge sends a second copy of what takes longer than most do. Where no two may be out, the first is called
 // off instead, if its appliance has answered nothing since: a busy one will answer.
-func (b *Balancer) copyOut(t *transaction) {
-	if !b.mayFurther(t) || len(b.waiting) > 0 || b.now-t.at > t.work.goal-b.mean(t.work)/2 {
+func (b *Balancer) hedge(tx *transaction) {
+	if !b.mayRetry(tx) || len(b.queue) > 0 || b.now-tx.acceptedAt > tx.workload.goal-b.meanLatency(tx.workload)/2 {
 		return
 	}
-	if first := t.sends[0]; !term(b, "may.copy", false) {
-		if first.to.heard < first.at && term(b, "may.calloff", false) {
-			b.do(agent.CallOff{ID: t.ID})
+	if first := tx.attempts[0]; !setting(b, "may.copy", false) {
+		if first.backend.lastAnswer < first.startedAt && setting(b, "may.calloff", false) {
+			b.emit(agent.CancelAttempt{Transaction: tx.ID})
 		}
 		return
 	}
-	if a := b.choose(t); a != nil {
-		b.sendTo(t, a)
+	if backend := b.chooseBackend(tx); backend != nil {
+		b.startAttempt(tx, backend)
 	}
 }
 
 // place sends a held transaction, or keeps it while it could still be satisfied in time.
-func (b *Balancer) place(t *transaction) {
-	t.why = agent.Bounded
-	if float64(t.flow.out) < t.flow.most {
-		t.why = agent.NoAppliance
-		if a := b.choose(t); a != nil {
-			b.sendTo(t, a)
+func (b *Balancer) place(tx *transaction) {
+	tx.reason = agent.ReasonConcurrencyLimit
+	if float64(tx.flow.inFlight) < tx.flow.limit {
+		tx.reason = agent.ReasonNoBackend
+		if backend := b.chooseBackend(tx); backend != nil {
+			b.startAttempt(tx, backend)
 			return
 		}
 	}
 	// A quarter of the goal is kept for waiting here at most: what starts later is late, and answered now.
-	if b.now-t.at > min(t.work.goal/4, t.work.goal-b.mean(t.work)) {
-		run(b, courses, &t.course, lastCall, t)
+	if b.now-tx.acceptedAt > min(tx.workload.goal/4, tx.workload.goal-b.meanLatency(tx.workload)) {
+		advance(b, transactionTransitions, &tx.state, deadlineNear, tx)
 		return
 	}
-	b.waiting = append(b.waiting, t)
+	b.queue = append(b.queue, tx)
 }
 
-// choose picks the arm by D-Tracking and the server by two random choices.
-func (b *Balancer) choose(t *transaction) *appliance {
-	var ready, spare [2][]*appliance
-	level := b.level()
-	for _, a := range b.order {
-		if t.uses(a) || !b.legal(t, a) {
+// chooseBackend picks the arm by D-Tracking and the server by two random choices.
+func (b *Balancer) chooseBackend(tx *transaction) *backend {
+	var ready, spare [2][]*backend
+	mean := b.meanLoad()
+	for _, backend := range b.ordered {
+		if tx.triedOn(backend) || !b.eligible(tx, backend) {
 			continue
 		}
 		// Few machines carry the trial at first: holding more than the others do, one would be slow from
 		// load alone and be judged for it. A seventh more, so that the cap is still used.
-		i := b.armOf(a)
-		if a.ready() && (i == 0 || level <= 0 || a.out == 0 || b.burden(a) <= 1.15*level) {
-			ready[i] = append(ready[i], a)
+		i := b.armOf(backend)
+		if backend.available() && (i == 0 || mean <= 0 || backend.inFlight == 0 || b.load(backend) <= 1.15*mean) {
+			ready[i] = append(ready[i], backend)
 		} else {
-			spare[i] = append(spare[i], a)
+			spare[i] = append(spare[i], backend)
 		}
 	}
-	pick := b.track()
-	trial, share := b.onTrial(b.subject)
-	unbound := t.Key != "" && term(b, "trial.oneway", false) && b.oneWay(t.Key) == 0
+	pick := b.chooseArm()
+	trial, share := b.exposureCap(b.trialBuild)
+	unbound := tx.Key != "" && setting(b, "trial.oneway", false) && b.boundBuild(tx.Key) == 0
 	// Half of the cap is kept for keys that the trial has answered; further sends go to the build that is known.
-	if trial && (b.ration < 1 && b.loose() || unbound && b.boundIn.Read(b.now, demandHalf, 0, 0) > share/2) ||
-		b.abstain || len(t.sends) > 0 && len(ready[0]) > 0 {
+	if trial && (b.trialQuota < 1 && b.loose() || unbound && b.boundShare.Estimate(b.now, demandHalfLife, 0, 0) > share/2) ||
+		b.trialPaused || len(tx.attempts) > 0 && len(ready[0]) > 0 {
 		pick = 0
 	}
-	for _, group := range [][]*appliance{ready[pick], ready[1-pick], spare[0], spare[1]} {
+	for _, group := range [][]*backend{ready[pick], ready[1-pick], spare[0], spare[1]} {
 		if len(group) == 0 {
 			continue
 		}
-		i := b.roll(len(group))
+		i := b.randomBelow(len(group))
 		if len(group) > 1 { // two different ones, the less burdened goes
-			if j := (i + 1 + b.roll(len(group)-1)) % len(group); b.burden(group[j]) < b.burden(group[i]) {
+			if j := (i + 1 + b.randomBelow(len(group)-1)) % len(group); b.load(group[j]) < b.load(group[i]) {
 				i = j
 			}
 		}
@@ -156,64 +156,64 @@
 	return nil
 }
 
-// burden is about how long one more send would take there, in the workload's usual times.
-func (b *Balancer) burden(a *appliance) float64 {
+// load is about how long one more send would take there, in the workload's usual times.
+func (b *Balancer) load(backend *backend) float64 {
 	// A report's worth halves every half second: it is refreshed about as often.
-	stale := math.Exp2(-float64(b.now-a.reported) / float64(500*time.Millisecond))
-	slow := a.slowness.Read(b.now, max(3*time.Second, b.visit()), 1, 1) / b.warmth(a)
-	return (1 + float64(a.out) + 0.5*a.backlog*stale) * slow
+	stale := math.Exp2(-float64(b.now-backend.loadReportedAt) / float64(500*time.Millisecond))
+	slow := backend.slowness.Estimate(b.now, max(3*time.Second, b.attemptInterval()), 1, 1) / b.capacityShare(backend)
+	return (1 + float64(backend.inFlight) + 0.5*backend.backlog*stale) * slow
 }
 
-const coldFor = 3 * time.Second // the design's: what younger machines do is not counted
+const minCountedAge = 3 * time.Second // the design's: what younger machines do is not counted
 
-func (b *Balancer) sendTo(t *transaction, a *appliance) {
-	b.noteSend(t, a)
-	b.do(agent.Send{ID: t.ID, Appliance: a.ID})
-	if t.work.effect != "effectful" && len(t.sends) == 1 {
-		b.after(max(3*b.mean(t.work), 50*time.Millisecond), func() { run(b, courses, &t.course, lag, t) })
+func (b *Balancer) startAttempt(tx *transaction, backend *backend) {
+	b.recordAttempt(tx, backend)
+	b.emit(agent.StartAttempt{Transaction: tx.ID, Backend: backend.ID})
+	if tx.workload.effect != "effectful" && len(tx.attempts) == 1 {
+		b.schedule(max(3*b.meanLatency(tx.workload), 50*time.Millisecond), func() { advance(b, transactionTransitions, &tx.state, hedgeDue, tx) })
 	}
-	run(b, courses, &t.course, sent, t)
+	advance(b, transactionTransitions, &tx.state, attemptStarted, tx)
 }
 
 // giveUp answers at once: deferred where that is harmless, else broken off.
-func (b *Balancer) giveUp(t *transaction) {
-	t.noteRan()
-	if t.harmless() {
+func (b *Balancer) giveUp(tx *transaction) {
+	tx.noteMayHaveRun()
+	if tx.safeToRepeat() {
 		var wait time.Duration
-		if term(b, "may.advise", false) {
-			wait = min(b.usual(), term(b, "return.most", time.Duration(0)))
+		if setting(b, "may.advise", false) {
+			wait = min(b.usualLatency(), setting(b, "return.most", time.Duration(0)))
 		}
-		b.do(agent.Defer{ID: t.ID, Wait: wait, Why: t.why})
+		b.emit(agent.DeferTransaction{Transaction: tx.ID, RetryAfter: wait, Reason: tx.reason})
 	} else {
-		b.do(agent.BreakOff{ID: t.ID, Why: t.why})
+		b.emit(agent.FailTransaction{Transaction: tx.ID, Reason: tx.reason})
 	}
-	b.forget(t)
+	b.forget(tx)
 }
 
-func (b *Balancer) ended(e agent.Ended) {
-	t, s := b.settle(e)
-	if s == nil {
+func (b *Balancer) attemptEnded(event agent.AttemptEnded) {
+	tx, attempt := b.finishAttempt(event)
+	if attempt == nil {
 		return
 	}
-	b.observe(t, s, e)
-	if mayHaveRun(e.Outcome) && (t.ran < 0 || s.at < t.ran) {
-		t.ran, t.ranAt = s.at, s.to
+	b.observe(tx, attempt, event)
+	if mayHaveRun(event.Outcome) && (tx.mayHaveRunAt < 0 || attempt.startedAt < tx.mayHaveRunAt) {
+		tx.mayHaveRunAt, tx.mayHaveRunOn = attempt.startedAt, attempt.backend
 	}
-	binds := e.Outcome == agent.Satisfied || b.feared() && mayBeAnswered(e.Outcome)
-	if t.Key != "" && term(b, "trial.oneway", false) && binds && s.to.Build >= b.oldest() {
-		b.keys[t.Key] = max(b.keys[t.Key], s.to.Build)
+	binds := event.Outcome == agent.Succeeded || b.countsUnseen() && mayHaveAnswered(event.Outcome)
+	if tx.Key != "" && setting(b, "trial.oneway", false) && binds && attempt.backend.Build >= b.oldestBuild() {
+		b.keyBuilds[tx.Key] = max(b.keyBuilds[tx.Key], attempt.backend.Build)
 	}
-	switch satisfied := e.Outcome == agent.Satisfied; {
-	case satisfied || e.Closed:
-		if satisfied && e.Send > 0 && t.course != over {
-			b.further.won.Add(b.now, furtherHalf, 1)
+	switch satisfied := event.Outcome == agent.Succeeded; {
+	case satisfied || event.TransactionDone:
+		if satisfied && event.Attempt > 0 && tx.state != finished {
+			b.retries.won.Add(b.now, retryHalfLife, 1)
 		}
-		run(b, courses, &t.course, closed, t)
-	case e.Outcome == agent.Unfit: // no appliance can use it: it is not sent again, nor is asking again harmless
-		b.do(agent.BreakOff{ID: t.ID, Why: agent.NotUsable})
-		run(b, courses, &t.course, closed, t)
-	case t.out == 0:
-		run(b, courses, &t.course, lost, t)
-	}
-	b.pollHeld()
+		advance(b, transactionTransitions, &tx.state, transactionClosed, tx)
+	case event.Outcome == agent.InvalidRequest: // no appliance can use it: it is not sent again, nor is asking again harmless
+		b.emit(agent.FailTransaction{Transaction: tx.ID, Reason: agent.ReasonInvalidRequest})
+		advance(b, transactionTransitions, &tx.state, transactionClosed, tx)
+	case tx.inFlight == 0:
+		advance(b, transactionTransitions, &tx.state, attemptsFailed, tx)
+	}
+	b.retryQueued()
 }
