--- a/decide/state.go
+++ b/decide/state.go
@@ -15,280 +15,280 @@
 	"sagelever/gauge"
 )
 
-type row[S, I comparable, T any] struct {
+type transition[S, I comparable, T any] struct {
 	state  S
 	input  I
 	next   S
-	effect func(*Balancer, T)
+	action func(*Balancer, T)
 }
 
-func run[S, I comparable, T any](b *Balancer, table []row[S, I, T], state *S, input I, of T) {
+func advance[S, I comparable, T any](b *Balancer, table []transition[S, I, T], state *S, input I, subject T) {
 	for _, r := range table {
 		if r.state == *state && r.input == input {
-			if *state = r.next; r.effect != nil {
-				r.effect(b, of)
+			if *state = r.next; r.action != nil {
+				r.action(b, subject)
 			}
 			return
 		}
 	}
 }
 
-type course int // of a transaction
+type transactionState int // of a transaction
 
 const (
-	held    course = iota // nothing is out
-	out                   // one send or more is out
-	flowing               // its answer has begun to stream
-	over                  // it has its final answer
+	queued    transactionState = iota // nothing is out
+	inFlight                          // one send or more is out
+	streaming                         // its answer has begun to stream
+	finished                          // it has its final answer
 )
 
-type turn int // what befalls a transaction
+type transactionInput int // what befalls a transaction
 
 const (
-	taken    turn = iota
-	poll          // time to try a held one again
-	sent          // a send has gone
-	lost          // the last send out has failed
-	lag           // the answer is later than most
-	lastCall      // the client's time is nearly up
-	begun         // its answer has begun to stream
-	closed        // it was satisfied, or its client left
+	accepted          transactionInput = iota
+	retryPlacement                     // time to try a held one again
+	attemptStarted                     // a send has gone
+	attemptsFailed                     // the last send out has failed
+	hedgeDue                           // the answer is later than most
+	deadlineNear                       // the client's time is nearly up
+	responseStarted                    // its answer has begun to stream
+	transactionClosed                  // it was satisfied, or its client left
 )
 
-type health int // of an appliance
+type healthState int // of an appliance
 
 const (
-	fit     health = iota
-	resting        // gets nothing while others are ready
-	trying         // gets one send at a time
+	healthy healthState = iota
+	ejected             // gets nothing while others are ready
+	probing             // gets one send at a time
 )
 
-type symptom int
+type healthInput int
 
 const (
-	well symptom = iota
-	sick
-	rested
-	doubted // others found it sick
-	cleared // another found it well again
+	foundHealthy healthInput = iota
+	foundUnhealthy
+	ejectionExpired
+	peersFoundUnhealthy // others found it sick
+	peerFoundHealthy    // another found it well again
 )
 
-type casting int // of the agent's vote
+type voteState int // of the agent's vote
 
 const (
-	silent casting = iota
-	asked          // the platform has not answered yet
-	standing
+	voteNone    voteState = iota
+	votePending           // the platform has not answered yet
+	voteCounted
 )
 
-type reply int
+type voteInput int
 
 const (
-	wish    reply = iota // the verdict is another than the one that stands
-	counted              // the platform took it
-	refused              // it did not count
-	moot                 // it came too late for its build or stage
-	lapse                // no answer came, or it is about to run out
+	verdictChanged voteInput = iota // the verdict is another than the one that stands
+	voteAccepted                    // the platform took it
+	voteRefused                     // it did not count
+	voteOutdated                    // it came too late for its build or stage
+	voteExpired                     // no answer came, or it is about to run out
 )
 
 // Balancer is one agent.
 type Balancer struct {
-	terms          map[string]any
-	now            time.Duration
-	actions        []agent.Action
-	dice           uint64
-	work           map[agent.Workload]*workload
-	fleet          map[agent.ApplianceID]*appliance
-	up             int          // appliances listed
-	order          []*appliance // by id, so that the same events lead to the same actions
-	open           map[agent.TransactionID]*transaction
-	late           map[agent.TransactionID]*transaction // over, with sends still out
-	waiting        []*transaction
-	timers         map[agent.TimerID]func()
-	timer          agent.TimerID
-	takes          gauge.Sliding
-	demand         gauge.Decaying
-	exposure       map[lane]*gauge.Sliding
-	keys           map[agent.Key]agent.Build // one-way keys: the newest build that has answered
-	unsure         map[agent.Key][]*send     // sends out that may bind their key
-	boundIn        gauge.Mean                // share of what is taken that is bound to the build on trial
-	news           agent.TrialNews
-	last           agent.TrialNews // told after news, of a state before it
-	lateNews       bool            // there is such
-	ahead          agent.Stage     // by which the stage may be past the one told
-	told           bool
-	subject        agent.Build
-	ration         float64 // first sends that the trial may get
-	arms           [2]arm
-	ballot         ballot
-	times          gauge.Mean // of all answers
-	toldAt         time.Duration
-	askTill        time.Duration // no list is asked for until then
-	heeded         bool          // a list came in answer
-	heededAt       time.Duration
-	askedAt        time.Duration
-	lately, before gauge.Mean // payoffs over both arms, and before the trial
-	harmSince      time.Duration
-	blamedTill     time.Duration
-	doubtTill      time.Duration
-	blamed         bool          // as last judged
-	abstain        bool          // the trial gets nothing, to see what harm goes away
-	pace, paceWas  gauge.Mean    // answers a second, now and before the trial
-	lap            time.Duration // since when answers are summed up
-	laps           float64
-	flows          map[flowID]*flow
-	cries          [3][]agent.ApplianceID // found sick, well again, sick by three, and not told
-	further        struct{ earned, tried, won gauge.Decaying }
-}
-
-type lane struct {
+	settings                       map[string]any
+	now                            time.Duration
+	actions                        []agent.Action
+	randomState                    uint64
+	workloads                      map[agent.Workload]*workload
+	backends                       map[agent.BackendID]*backend
+	listedCount                    int        // appliances listed
+	ordered                        []*backend // by id, so that the same events lead to the same actions
+	transactions                   map[agent.TransactionID]*transaction
+	unfinished                     map[agent.TransactionID]*transaction // over, with sends still out
+	queue                          []*transaction
+	timers                         map[agent.TimerID]func()
+	lastTimer                      agent.TimerID
+	accepted                       gauge.SlidingWindow
+	demand                         gauge.Sum
+	exposure                       map[exposureKey]*gauge.SlidingWindow
+	keyBuilds                      map[agent.AffinityKey]agent.Build // one-way keys: the newest build that has answered
+	unconfirmed                    map[agent.AffinityKey][]*attempt  // sends out that may bind their key
+	boundShare                     gauge.Mean                        // share of what is taken that is bound to the build on trial
+	rollout                        agent.RolloutUpdate
+	laggingRollout                 agent.RolloutUpdate // told after news, of a state before it
+	rolloutLags                    bool                // there is such
+	stageGuess                     agent.Stage         // by which the stage may be past the one told
+	rolloutKnown                   bool
+	trialBuild                     agent.Build
+	trialQuota                     float64 // first sends that the trial may get
+	arms                           [2]arm
+	vote                           vote
+	latency                        gauge.Mean // of all answers
+	lastReport                     time.Duration
+	nextWatchAt                    time.Duration // no list is asked for until then
+	listReceived                   bool          // a list came in answer
+	listReceivedAt                 time.Duration
+	watchedAt                      time.Duration
+	recentPayoff, baselinePayoff   gauge.Mean // payoffs over both arms, and before the trial
+	harmSince                      time.Duration
+	blamedUntil                    time.Duration
+	doubtUntil                     time.Duration
+	blamed                         bool          // as last judged
+	trialPaused                    bool          // the trial gets nothing, to see what harm goes away
+	throughput, baselineThroughput gauge.Mean    // answers a second, now and before the trial
+	throughputSince                time.Duration // since when answers are summed up
+	throughputCount                float64
+	flows                          map[flowKey]*flow
+	healthReports                  [3][]agent.BackendID // found sick, well again, sick by three, and not told
+	retries                        struct{ earned, tried, won gauge.Sum }
+}
+
+type exposureKey struct {
 	build    agent.Build
 	workload agent.Workload
 }
 
 type workload struct {
-	name          agent.Workload
-	effect, group string
-	goal          time.Duration
-	memory        time.Duration
-	payoff        float64
-	takes         gauge.Sliding
-	times         map[agent.MachineKind]*gauge.Mean // of the earlier build
-	all           gauge.Mean
-	tallied       gauge.Mean // the platform's mean time before the trial
-	tally         [2]sums    // what the platform counted, by arm
+	name             agent.Workload
+	effect, group    string
+	goal             time.Duration
+	memory           time.Duration
+	payoff           float64
+	accepted         gauge.SlidingWindow
+	latencyByMachine map[agent.MachineType]*gauge.Mean // of the earlier build
+	latency          gauge.Mean
+	baselineLatency  gauge.Mean   // the platform's mean time before the trial
+	tally            [2]tallySums // what the platform counted, by arm
 }
 
-// sums are the platform's counts of sends and satisfied ones, and these ones' time.
-type sums struct{ n, sum, time float64 }
+// tallySums are the platform's counts of sends and satisfied ones, and these ones' time.
+type tallySums struct{ attempts, succeeded, latencySum float64 }
 
 // flow is what one customer asks of one workload.
 type flow struct {
-	work   *workload
-	demand gauge.Decaying
-	out    int        // sends out
-	most   float64    // most sends out at once
-	fill   gauge.Mean // time of answers by their goal
+	workload     *workload
+	demand       gauge.Sum
+	inFlight     int        // sends out
+	limit        float64    // most sends out at once
+	latencyRatio gauge.Mean // time of answers by their goal
 }
 
-type flowID struct {
+type flowKey struct {
 	workload agent.Workload
 	customer agent.Customer
 }
 
-// flow gives the flow of one transaction; a new one learns its bound from above.
-func (b *Balancer) flow(w *workload, c agent.Customer) *flow {
-	f := b.flows[flowID{w.name, c}]
+// flowOf gives the flow of one transaction; a new one learns its bound from above.
+func (b *Balancer) flowOf(w *workload, customer agent.Customer) *flow {
+	f := b.flows[flowKey{w.name, customer}]
 	if f == nil {
-		f = &flow{work: w, most: math.Inf(1)}
-		b.flows[flowID{w.name, c}] = f
+		f = &flow{workload: w, limit: math.Inf(1)}
+		b.flows[flowKey{w.name, customer}] = f
 	}
 	return f
 }
 
-type appliance struct {
-	agent.Appliance
-	listed   bool
-	stage    agent.Stage // as told when it was first listed
-	health   health
-	until    time.Duration // end of its rest
-	rests    int
-	out      int
-	streak   int // sends in a row without any answer
-	heard    time.Duration
-	asked    time.Duration // since when it owes an answer
-	faulty   float64       // share of faults in the last few answers
-	slowness gauge.Mean    // time of its answers by the workload's mean
-	backlog  float64
-	reported time.Duration
-	given    arm     // its part of its arm's counts
-	untold   arm     // what other agents have not been told of it
-	credit   float64 // sends that its pace allows
-	creditAt time.Duration
-	criers   []crier       // agents that lately found it sick
-	knownAt  time.Duration // when all were last told that it is sick, 0 if not since it was well
-}
-
-// crier is an agent that found a machine sick.
-type crier struct {
-	by agent.PeerNo
-	at time.Duration
-}
-
-type send struct {
-	to   *appliance
+type backend struct {
+	agent.Backend
+	listed           bool
+	stage            agent.Stage // as told when it was first listed
+	health           healthState
+	ejectedUntil     time.Duration // end of its rest
+	ejections        int
+	inFlight         int
+	failureStreak    int // sends in a row without any answer
+	lastAnswer       time.Duration
+	owesSince        time.Duration // since when it owes an answer
+	faultRate        float64       // share of faults in the last few answers
+	slowness         gauge.Mean    // time of its answers by the workload's mean
+	backlog          float64
+	loadReportedAt   time.Duration
+	counts           arm     // its part of its arm's counts
+	unreported       arm     // what other agents have not been told of it
+	paceCredit       float64 // sends that its pace allows
+	paceCreditAt     time.Duration
+	unhealthyReports []unhealthyReport // agents that lately found it sick
+	broadcastAt      time.Duration     // when all were last told that it is sick, 0 if not since it was well
+}
+
+// unhealthyReport is an agent that found a machine sick.
+type unhealthyReport struct {
+	from agent.PeerNumber
 	at   time.Duration
-	over bool
-	cold bool
+}
+
+type attempt struct {
+	backend   *backend
+	startedAt time.Duration
+	finished  bool
+	warmingUp bool
 }
 
 type transaction struct {
-	agent.Taken
-	work   *workload
-	flow   *flow
-	at     time.Duration
-	course course
-	sends  []*send
-	out    int
-	ran    time.Duration // when the first send that may have run was sent, -1 if none
-	ranAt  *appliance
-	stream agent.SendNo
-	why    agent.Why // if it is given up now
+	agent.TransactionAccepted
+	workload         *workload
+	flow             *flow
+	acceptedAt       time.Duration
+	state            transactionState
+	attempts         []*attempt
+	inFlight         int
+	mayHaveRunAt     time.Duration // when the first send that may have run was sent, -1 if none
+	mayHaveRunOn     *backend
+	streamingAttempt agent.AttemptNumber
+	reason           agent.Reason // if it is given up now
 }
 
 // arm counts decisions, outcomes and payoffs of one build, as the design has it; own outcomes are those of this
 // agent, the others it has heard of.
 type arm struct {
-	picked, n, sum, own float64
-	faults              float64 // outcomes that were faults
+	picked, outcomes, payoff, ownOutcomes float64
+	faults                                float64 // outcomes that were faults
 }
 
 // add puts another arm's outcomes on top, or takes them off.
-func (a *arm) add(x arm, times float64) {
-	a.n, a.sum, a.faults = a.n+times*x.n, a.sum+times*x.sum, a.faults+times*x.faults
+func (a *arm) add(other arm, times float64) {
+	a.outcomes, a.payoff, a.faults = a.outcomes+times*other.outcomes, a.payoff+times*other.payoff, a.faults+times*other.faults
 }
 
-// sound is the arm as it is when only faults count against it.
-func (a arm) sound() arm { return arm{n: a.n, sum: a.n - a.faults} }
+// faultsOnly is the arm as it is when only faults count against it.
+func (a arm) faultsOnly() arm { return arm{outcomes: a.outcomes, payoff: a.outcomes - a.faults} }
 
-type ballot struct {
-	state   casting
-	verdict agent.Verdict
-	build   agent.Build
-	stage   agent.Stage
-	at      time.Duration
-	notTill time.Duration
+type vote struct {
+	state     voteState
+	verdict   agent.Verdict
+	build     agent.Build
+	stage     agent.Stage
+	castAt    time.Duration
+	notBefore time.Duration
 }
 
-// term reads one of the deployment's terms, or gives what holds where it names none.
-func term[T any](b *Balancer, name string, otherwise T) T {
-	if v, ok := b.terms[name].(T); ok {
+// setting reads one of the deployment's terms, or gives what holds where it names none.
+func setting[T any](b *Balancer, name string, otherwise T) T {
+	if v, ok := b.settings[name].(T); ok {
 		return v
 	}
 	return otherwise
 }
 
-// roll is a permuted congruential generator (O'Neill's PCG-XSH-RR), drawn below n.
-func (b *Balancer) roll(n int) int {
-	old := b.dice
-	b.dice = old*6364136223846793005 + 1442695040888963407
+// randomBelow is a permuted congruential generator (O'Neill's PCG-XSH-RR), drawn below n.
+func (b *Balancer) randomBelow(n int) int {
+	old := b.randomState
+	b.randomState = old*6364136223846793005 + 1442695040888963407
 	x, rot := uint32(((old>>18)^old)>>27), uint32(old>>59)
 	return int(uint64(x>>rot|x<<(-rot&31)) * uint64(n) >> 32)
 }
 
-// luck is drawn evenly between 0 and 1.
-func (b *Balancer) luck() float64 { return float64(b.roll(1<<20)) / (1 << 20) }
+// randomFloat is drawn evenly between 0 and 1.
+func (b *Balancer) randomFloat() float64 { return float64(b.randomBelow(1<<20)) / (1 << 20) }
 
-func (b *Balancer) do(a agent.Action) { b.actions = append(b.actions, a) }
+func (b *Balancer) emit(a agent.Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) after(d time.Duration, f func()) {
-	b.timer++
-	b.timers[b.timer] = f
-	b.do(agent.Wake{After: max(d, 0), Timer: b.timer})
+func (b *Balancer) schedule(delay time.Duration, callback func()) {
+	b.lastTimer++
+	b.timers[b.lastTimer] = callback
+	b.emit(agent.SetTimer{After: max(delay, 0), Timer: b.lastTimer})
 }
 
-// unit is 1 for what is so.
-func unit(is bool) float64 {
+// indicator is 1 for what is so.
+func indicator(is bool) float64 {
 	if is {
 		return 1
 	}
@@ -298,538 +298,542 @@
 // Step takes one event and gives the actions that answer it.
 func (b *Balancer) Step(now time.Duration, event agent.Event) []agent.Action {
 	b.now, b.actions = now, nil
-	if b.timer == 0 {
-		b.askTill, b.askedAt, b.heededAt = b.within(), -b.within(), -b.within()
-		if b.askSoon(); term(b, "discovery", "") == "asked" && !b.unheard() {
-			b.do(agent.Subscribe{On: true})
+	if b.lastTimer == 0 {
+		b.nextWatchAt, b.watchedAt, b.listReceivedAt = b.watchTimeout(), -b.watchTimeout(), -b.watchTimeout()
+		if b.scheduleWatch(); setting(b, "discovery", "") == "asked" && !b.watchUnconfirmed() {
+			b.emit(agent.WatchBackends{On: true})
 		}
 		b.heartbeat()
 	}
 	switch e := event.(type) {
-	case agent.ListNews:
-		b.follow(e)
-	case agent.Taken:
-		b.take(e)
-	case agent.Begun:
-		if t := b.open[e.ID]; t != nil {
-			t.stream = e.Send
-			run(b, courses, &t.course, begun, t)
+	case agent.BackendUpdate:
+		b.updateBackends(e)
+	case agent.TransactionAccepted:
+		b.acceptTransaction(e)
+	case agent.ResponseStarted:
+		if tx := b.transactions[e.Transaction]; tx != nil {
+			tx.streamingAttempt = e.Attempt
+			advance(b, transactionTransitions, &tx.state, responseStarted, tx)
 		}
-	case agent.Ended:
-		b.ended(e)
-	case agent.ClientLeft:
-		if t := b.open[e.ID]; t != nil {
-			run(b, courses, &t.course, closed, t)
+	case agent.AttemptEnded:
+		b.attemptEnded(e)
+	case agent.TransactionClosed:
+		if tx := b.transactions[e.Transaction]; tx != nil {
+			advance(b, transactionTransitions, &tx.state, transactionClosed, tx)
 		}
-	case agent.Due:
-		if f := b.timers[e.Timer]; f != nil {
+	case agent.TimerFired:
+		if callback := b.timers[e.Timer]; callback != nil {
 			delete(b.timers, e.Timer)
-			f()
+			callback()
 		}
-	case agent.TrialNews:
-		b.hearNews(e)
+	case agent.RolloutUpdate:
+		b.receiveRollout(e)
 	case agent.Complaint:
-		b.complain(e)
-	case agent.Tally:
-		b.count(e)
-	case agent.Heard:
-		b.hear(e)
+		b.applyComplaint(e)
+	case agent.ReleaseTally:
+		b.addTally(e)
+	case agent.MessageReceived:
+		b.receiveMessage(e)
 	}
 	return b.actions
 }
 
-func (b *Balancer) workload(name agent.Workload) *workload {
-	w := b.work[name]
+func (b *Balancer) workloadOf(name agent.Workload) *workload {
+	w := b.workloads[name]
 	if w == nil {
-		p := "workload." + string(name) + "."
-		w = &workload{name: name, effect: term(b, p+"effect", "effectful"), group: term(b, p+"group", ""),
-			goal:   term(b, p+"goal", time.Second),
-			memory: term(b, p+"memory", time.Duration(0)), payoff: term(b, p+"payoff", 1.0),
-			times: map[agent.MachineKind]*gauge.Mean{}}
-		b.work[name] = w
+		prefix := "workload." + string(name) + "."
+		w = &workload{name: name, effect: setting(b, prefix+"effect", "effectful"), group: setting(b, prefix+"group", ""),
+			goal:   setting(b, prefix+"goal", time.Second),
+			memory: setting(b, prefix+"memory", time.Duration(0)), payoff: setting(b, prefix+"payoff", 1.0),
+			latencyByMachine: map[agent.MachineType]*gauge.Mean{}}
+		b.workloads[name] = w
 	}
 	return w
 }
 
-// lane gives the count that the exposure rule keeps for sends of this workload at this build.
-func (b *Balancer) lane(build agent.Build, w *workload) (*gauge.Sliding, *gauge.Sliding) {
-	l, takes := lane{build: build}, &b.takes
-	if term(b, "trial.counts", "") == "per_lane" {
-		l.workload, takes = w.name, &w.takes
+// exposureCounters gives the count that the exposure rule keeps for sends of this workload at this build.
+func (b *Balancer) exposureCounters(build agent.Build, w *workload) (*gauge.SlidingWindow, *gauge.SlidingWindow) {
+	key, takes := exposureKey{build: build}, &b.accepted
+	if setting(b, "trial.counts", "") == "per_lane" {
+		key.workload, takes = w.name, &w.accepted
 	}
-	if b.exposure[l] == nil {
-		b.exposure[l] = &gauge.Sliding{}
+	if b.exposure[key] == nil {
+		b.exposure[key] = &gauge.SlidingWindow{}
 	}
-	return b.exposure[l], takes
+	return b.exposure[key], takes
 }
 
-func (t *transaction) uses(a *appliance) bool {
-	for _, s := range t.sends {
-		if s.to == a {
+func (tx *transaction) triedOn(backend *backend) bool {
+	for _, attempt := range tx.attempts {
+		if attempt.backend == backend {
 			return true
 		}
 	}
 	return false
 }
 
-// noteRan marks the first send still out as one that may have run.
-func (t *transaction) noteRan() {
-	for _, s := range t.sends {
-		if !s.over && (t.ran < 0 || s.at < t.ran) {
-			t.ran, t.ranAt = s.at, s.to
+// noteMayHaveRun marks the first send still out as one that may have run.
+func (tx *transaction) noteMayHaveRun() {
+	for _, attempt := range tx.attempts {
+		if !attempt.finished && (tx.mayHaveRunAt < 0 || attempt.startedAt < tx.mayHaveRunAt) {
+			tx.mayHaveRunAt, tx.mayHaveRunOn = attempt.startedAt, attempt.backend
 		}
 	}
 }
 
 func (a *arm) mean() float64 {
-	if a.n == 0 {
+	if a.outcomes == 0 {
 		return 0.5
 	}
-	return a.sum / a.n
+	return a.payoff / a.outcomes
 }
 
-func (b *Balancer) armOf(a *appliance) int {
-	if a.Build == b.subject {
+func (b *Balancer) armOf(a *backend) int {
+	if a.Build == b.trialBuild {
 		return 1
 	}
 	return 0
 }
 
-// credit puts outcomes and their payoffs on an appliance and its arm. Both arms start anew at the trial's first.
-func (b *Balancer) credit(a *appliance, x arm) {
-	i := b.armOf(a)
-	if i == 1 && b.arms[1].n == 0 {
-		b.clear(0)
+// creditOutcome puts outcomes and their payoffs on an appliance and its arm. Both arms start anew at the trial's first.
+func (b *Balancer) creditOutcome(backend *backend, counts arm) {
+	i := b.armOf(backend)
+	if i == 1 && b.arms[1].outcomes == 0 {
+		b.clearArm(0)
 	}
-	b.arms[i].add(x, 1)
-	a.given.add(x, 1)
+	b.arms[i].add(counts, 1)
+	backend.counts.add(counts, 1)
 }
 
-const line = 10 // bytes for one appliance in a message
+const recordSize = 10 // bytes for one appliance in a message
 
-const mostTold = 256 - 2 - line // bytes after which a message has no room for one more
+const maxReportSize = 256 - 2 - recordSize // bytes after which a message has no room for one more
 
-// untold is the size of the message that tells what has not been told, 0 if nothing.
-func (b *Balancer) untold() int {
+// reportSize is the size of the message that tells what has not been told, 0 if nothing.
+func (b *Balancer) reportSize() int {
 	size := 0
-	for _, a := range b.order {
-		if a.untold.n > 0 && size < mostTold {
-			size += line
+	for _, backend := range b.ordered {
+		if backend.unreported.outcomes > 0 && size < maxReportSize {
+			size += recordSize
 		}
 	}
 	return size
 }
 
-// message holds the build judged, then for each appliance its id, its arm (top bit) and outcomes, twice its
+// reportMessage holds the build judged, then for each appliance its id, its arm (top bit) and outcomes, twice its
 // payoffs, and its faults. What does not fit waits for the next.
-func (b *Balancer) message() []byte {
-	data := binary.BigEndian.AppendUint16(nil, uint16(b.subject))
-	for _, a := range b.order {
-		u := &a.untold
-		if n := min(u.n, 1<<14); n > 0 && len(data) <= mostTold {
-			data = binary.BigEndian.AppendUint32(data, uint32(a.ID))
-			data = binary.BigEndian.AppendUint16(data, uint16(n)|uint16(b.armOf(a))<<15)
-			data = binary.BigEndian.AppendUint16(data, uint16(2*min(u.sum, n)))
-			data = binary.BigEndian.AppendUint16(data, uint16(min(u.faults, n)))
-			*u = arm{}
+func (b *Balancer) reportMessage() []byte {
+	data := binary.BigEndian.AppendUint16(nil, uint16(b.trialBuild))
+	for _, backend := range b.ordered {
+		counts := &backend.unreported
+		if n := min(counts.outcomes, 1<<14); n > 0 && len(data) <= maxReportSize {
+			data = binary.BigEndian.AppendUint32(data, uint32(backend.ID))
+			data = binary.BigEndian.AppendUint16(data, uint16(n)|uint16(b.armOf(backend))<<15)
+			data = binary.BigEndian.AppendUint16(data, uint16(2*min(counts.payoff, n)))
+			data = binary.BigEndian.AppendUint16(data, uint16(min(counts.faults, n)))
+			*counts = arm{}
 		}
 	}
 	return data
 }
 
-const cry = 5 // bytes of the shortest message on health, which are told by their length: a kind, then ids of four bytes
+const minHealthMessage = 5 // bytes of the shortest message on health, which are told by their length: a kind, then ids of four bytes
 
-const mostCried = (256 - 1) / 4
+const maxHealthIDs = (256 - 1) / 4
 
-// cryData is a message on machines: found sick (kind 0), well again (1), sick by three (2). No message of counts has its length: they
+// healthMessage is a message on machines: found sick (kind 0), well again (1), sick by three (2). No message of counts has its length: they
 // leave 2 by 10, this an odd number.
-func cryData(kind int, ids []agent.ApplianceID) []byte {
+func healthMessage(kind int, ids []agent.BackendID) []byte {
 	data := []byte{byte(kind)}
-	for _, id := range ids[:min(len(ids), mostCried)] {
+	for _, id := range ids[:min(len(ids), maxHealthIDs)] {
 		data = binary.BigEndian.AppendUint32(data, uint32(id))
 	}
 	return data
 }
 
-// hearCry takes such a message.
-func (b *Balancer) hearCry(e agent.Heard) {
-	for d := e.Data[1:]; len(d) >= 4; d = d[4:] {
-		a := b.fleet[agent.ApplianceID(binary.BigEndian.Uint32(d))]
+// receiveHealthReport takes such a message.
+func (b *Balancer) receiveHealthReport(message agent.MessageReceived) {
+	for rest := message.Data[1:]; len(rest) >= 4; rest = rest[4:] {
+		backend := b.backends[agent.BackendID(binary.BigEndian.Uint32(rest))]
 		switch {
-		case a == nil || !a.listed:
-		case e.Data[0] == 0:
-			b.doubt(a, e.From)
-		case e.Data[0] == 2:
-			b.avoid(a)
-		case e.Data[0] == 1:
-			a.knownAt = 0
-			run(b, healths, &a.health, cleared, a)
+		case backend == nil || !backend.listed:
+		case message.Data[0] == 0:
+			b.noteUnhealthyReport(backend, message.From)
+		case message.Data[0] == 2:
+			b.ejectOnReports(backend)
+		case message.Data[0] == 1:
+			backend.broadcastAt = 0
+			advance(b, healthTransitions, &backend.health, peerFoundHealthy, backend)
 		}
 	}
 }
 
-// number is this agent's own.
-func (b *Balancer) number() agent.PeerNo { return agent.PeerNo(term(b, "number", 0.0)) }
+// peerNumber is this agent's own.
+func (b *Balancer) peerNumber() agent.PeerNumber { return agent.PeerNumber(setting(b, "number", 0.0)) }
 
-// unheard tells whether an agent that has asked discovery cannot tell if it was heard: a front whose wire tells says so.
-func (b *Balancer) unheard() bool {
-	return term(b, "discovery", "") == "asked" && term(b, "discovery.unsure", true)
+// watchUnconfirmed tells whether an agent that has asked discovery cannot tell if it was heard: a front whose wire tells says so.
+func (b *Balancer) watchUnconfirmed() bool {
+	return setting(b, "discovery", "") == "asked" && setting(b, "discovery.unsure", true)
 }
 
-// within is the time after which an agent that has asked for no list counts as told.
-func (b *Balancer) within() time.Duration { return term(b, "discovery.within", 10*time.Second) }
+// watchTimeout is the time after which an agent that has asked for no list counts as told.
+func (b *Balancer) watchTimeout() time.Duration {
+	return setting(b, "discovery.within", 10*time.Second)
+}
 
-// tellFirst sends a message to the first agents, but for this one.
-func (b *Balancer) tellFirst(agents int, data []byte) {
+// sendToFirst sends a message to the first agents, but for this one.
+func (b *Balancer) sendToFirst(agents int, data []byte) {
 	for to := range agents {
-		if to != int(b.number()) {
-			b.do(agent.Tell{To: agent.PeerNo(to), Data: data})
+		if to != int(b.peerNumber()) {
+			b.emit(agent.SendMessage{To: agent.PeerNumber(to), Data: data})
 		}
 	}
 }
 
-// known tells whether all were told just now that a machine is sick.
-func (b *Balancer) known(a *appliance) bool { return a.knownAt > 0 && b.now-a.knownAt <= cried }
+// recentlyBroadcast tells whether all were told just now that a machine is sick.
+func (b *Balancer) recentlyBroadcast(backend *backend) bool {
+	return backend.broadcastAt > 0 && b.now-backend.broadcastAt <= healthReportWindow
+}
 
-// restful is how many listed machines rest.
-func (b *Balancer) restful() (n int) {
-	for _, a := range b.order {
-		if a.listed && a.health != fit {
+// ejectedCount is how many listed machines rest.
+func (b *Balancer) ejectedCount() (n int) {
+	for _, backend := range b.ordered {
+		if backend.listed && backend.health != healthy {
 			n++
 		}
 	}
 	return n
 }
 
-func (b *Balancer) hear(e agent.Heard) {
-	if len(e.Data) >= cry && len(e.Data)%4 == 1 {
-		b.hearCry(e)
+func (b *Balancer) receiveMessage(message agent.MessageReceived) {
+	if len(message.Data) >= minHealthMessage && len(message.Data)%4 == 1 {
+		b.receiveHealthReport(message)
 		return
 	}
-	if len(e.Data)%line != 2 || agent.Build(binary.BigEndian.Uint16(e.Data)) != b.subject || !b.told {
+	if len(message.Data)%recordSize != 2 || agent.Build(binary.BigEndian.Uint16(message.Data)) != b.trialBuild || !b.rolloutKnown {
 		return
 	}
-	for d := e.Data[2:]; len(d) > 0; d = d[line:] {
-		n, sum := binary.BigEndian.Uint16(d[4:]), float64(binary.BigEndian.Uint16(d[6:]))/2
-		faults := float64(binary.BigEndian.Uint16(d[8:]))
-		a := b.fleet[agent.ApplianceID(binary.BigEndian.Uint32(d))]
-		if of := float64(n & (1<<15 - 1)); a != nil && of > 0 && b.armOf(a) == int(n>>15) && sum+faults <= of {
-			b.learn(a, arm{n: of, sum: sum, faults: faults})
+	for record := message.Data[2:]; len(record) > 0; record = record[recordSize:] {
+		n, sum := binary.BigEndian.Uint16(record[4:]), float64(binary.BigEndian.Uint16(record[6:]))/2
+		faults := float64(binary.BigEndian.Uint16(record[8:]))
+		backend := b.backends[agent.BackendID(binary.BigEndian.Uint32(record))]
+		if outcomes := float64(n & (1<<15 - 1)); backend != nil && outcomes > 0 && b.armOf(backend) == int(n>>15) && sum+faults <= outcomes {
+			b.learnFromPeer(backend, arm{outcomes: outcomes, payoff: sum, faults: faults})
 		}
 	}
 }
 
-func (w *workload) timesOn(k agent.MachineKind) *gauge.Mean {
-	if w.times[k] == nil {
-		w.times[k] = &gauge.Mean{}
+func (w *workload) latencyOn(k agent.MachineType) *gauge.Mean {
+	if w.latencyByMachine[k] == nil {
+		w.latencyByMachine[k] = &gauge.Mean{}
 	}
-	return w.times[k]
+	return w.latencyByMachine[k]
 }
 
 // New starts an agent.
 func New(seed uint64, terms map[string]any) *Balancer {
-	b := &Balancer{terms: terms, dice: seed*2 + 1, work: map[agent.Workload]*workload{},
-		fleet: map[agent.ApplianceID]*appliance{}, open: map[agent.TransactionID]*transaction{},
-		late: map[agent.TransactionID]*transaction{}, timers: map[agent.TimerID]func(){},
-		exposure: map[lane]*gauge.Sliding{}, keys: map[agent.Key]agent.Build{}, unsure: map[agent.Key][]*send{},
-		flows: map[flowID]*flow{}}
+	b := &Balancer{settings: terms, randomState: seed*2 + 1, workloads: map[agent.Workload]*workload{},
+		backends: map[agent.BackendID]*backend{}, transactions: map[agent.TransactionID]*transaction{},
+		unfinished: map[agent.TransactionID]*transaction{}, timers: map[agent.TimerID]func(){},
+		exposure: map[exposureKey]*gauge.SlidingWindow{}, keyBuilds: map[agent.AffinityKey]agent.Build{}, unconfirmed: map[agent.AffinityKey][]*attempt{},
+		flows: map[flowKey]*flow{}}
 	return b
 }
 
 // stageStart is when the machines of the present stage had started, as far as is known.
 func (b *Balancer) stageStart() time.Duration {
 	at := time.Duration(0)
-	for _, a := range b.order {
-		if a.listed && a.Build == b.subject {
-			at = max(at, a.Started)
+	for _, backend := range b.ordered {
+		if backend.listed && backend.Build == b.trialBuild {
+			at = max(at, backend.Started)
 		}
 	}
 	return at
 }
 
-// clear drops the outcomes of one arm, also from the appliances that gave them.
-func (b *Balancer) clear(i int) {
-	for _, a := range b.order {
-		if b.armOf(a) == i {
-			a.given, a.untold = arm{}, arm{}
+// clearArm drops the outcomes of one arm, also from the appliances that gave them.
+func (b *Balancer) clearArm(i int) {
+	for _, backend := range b.ordered {
+		if b.armOf(backend) == i {
+			backend.counts, backend.unreported = arm{}, arm{}
 		}
 	}
 	b.arms[i] = arm{picked: b.arms[i].picked}
 }
 
-// enlist brings the list up to date.
-func (b *Balancer) enlist(e agent.ListNews) {
-	if e.Kind != agent.Changes {
-		for _, a := range b.order {
-			a.listed, a.Standing = false, agent.Gone // unless named below
+// applyList brings the list up to date.
+func (b *Balancer) applyList(update agent.BackendUpdate) {
+	if update.Kind != agent.UpdateIncremental {
+		for _, current := range b.ordered {
+			current.listed, current.State = false, agent.StateGone // unless named below
 		}
 	}
-	for _, n := range e.Entries {
-		a := b.fleet[n.ID]
-		if again := a != nil && (a.Started != n.Started || a.Build != n.Build); a == nil || again {
+	for _, entry := range update.Backends {
+		current := b.backends[entry.ID]
+		if restarted := current != nil && (current.Started != entry.Started || current.Build != entry.Build); current == nil || restarted {
 			// What runs anew, or another build under an old id, is a new machine: what was known of its health is
 			// void, and what the old one still owes ends there.
-			if again {
-				b.order = slices.DeleteFunc(b.order, func(x *appliance) bool { return x == a })
+			if restarted {
+				b.ordered = slices.DeleteFunc(b.ordered, func(x *backend) bool { return x == current })
 			}
-			a = &appliance{credit: b.luck(), creditAt: b.now, stage: b.news.Stage}
-			b.fleet[n.ID] = a
-			b.order = append(b.order, a)
+			current = &backend{paceCredit: b.randomFloat(), paceCreditAt: b.now, stage: b.rollout.Stage}
+			b.backends[entry.ID] = current
+			b.ordered = append(b.ordered, current)
 		}
-		a.Appliance, a.listed = n, n.Standing == agent.Up
+		current.Backend, current.listed = entry, entry.State == agent.StateUp
 	}
-	kept := b.order[:0]
-	b.up = 0
-	for _, a := range b.order {
-		if a.listed {
-			b.up++
+	kept := b.ordered[:0]
+	b.listedCount = 0
+	for _, current := range b.ordered {
+		if current.listed {
+			b.listedCount++
 		}
-		if a.listed || a.out > 0 || a.Standing == agent.Draining {
-			kept = append(kept, a)
+		if current.listed || current.inFlight > 0 || current.State == agent.StateDraining {
+			kept = append(kept, current)
 		} else {
-			delete(b.fleet, a.ID)
+			delete(b.backends, current.ID)
 		}
 	}
-	b.order = kept
-	sort.Slice(b.order, func(i, j int) bool { return b.order[i].ID < b.order[j].ID })
+	b.ordered = kept
+	sort.Slice(b.ordered, func(i, j int) bool { return b.ordered[i].ID < b.ordered[j].ID })
 }
 
-// note leaves a line in the log on the vote just cast.
-func (b *Balancer) note(o *ballot) {
-	early, trial := b.tallied(0, b.arms[0]), b.tallied(1, b.arms[1])
-	word := []string{"no vote", "vote on", "vote hold", "vote back"}[o.verdict]
+// logVote leaves a line in the log on the vote just cast.
+func (b *Balancer) logVote(vote *vote) {
+	baseline, trial := b.withTally(0, b.arms[0]), b.withTally(1, b.arms[1])
+	verdict := []string{"no vote", "vote on", "vote hold", "vote back"}[vote.verdict]
 	if b.blamed {
-		word += ", all harmed,"
+		verdict += ", all harmed,"
 	}
-	b.do(agent.Log{Text: fmt.Sprintf("%s: build %d stage %d: %.3f of %.0f, %.3f of %.0f, Z %.1f", word,
-		o.build, o.stage, early.mean(), early.n, trial.mean(), trial.n, statistic(early, trial, 0))})
+	b.emit(agent.LogLine{Text: fmt.Sprintf("%s: build %d stage %d: %.3f of %.0f, %.3f of %.0f, Z %.1f", verdict,
+		vote.build, vote.stage, baseline.mean(), baseline.outcomes, trial.mean(), trial.outcomes, statistic(baseline, trial, 0))})
 }
 
-// newest is the highest build that the news or the list names.
-func (b *Balancer) newest() agent.Build {
-	newest := b.news.Build
-	for _, a := range b.order {
-		if a.listed {
-			newest = max(newest, a.Build)
+// newestBuild is the highest build that the news or the list names.
+func (b *Balancer) newestBuild() agent.Build {
+	newest := b.rollout.Build
+	for _, backend := range b.ordered {
+		if backend.listed {
+			newest = max(newest, backend.Build)
 		}
 	}
 	return newest
 }
 
-// disown takes what an appliance has given out of its arm.
-func (b *Balancer) disown(a *appliance) {
-	b.credit(a, arm{n: -a.given.n, sum: -a.given.sum, faults: -a.given.faults})
-	a.given, a.untold = arm{}, arm{}
+// discardCounts takes what an appliance has given out of its arm.
+func (b *Balancer) discardCounts(backend *backend) {
+	b.creditOutcome(backend, arm{outcomes: -backend.counts.outcomes, payoff: -backend.counts.payoff, faults: -backend.counts.faults})
+	backend.counts, backend.unreported = arm{}, arm{}
 }
 
-// unbind forgets keys bound to builds before the one in the news, and sends at them: no rule asks for them again.
-func (b *Balancer) unbind() {
-	oldest := b.oldest()
-	for k, build := range b.keys {
+// dropOldKeys forgets keys bound to builds before the one in the news, and sends at them: no rule asks for them again.
+func (b *Balancer) dropOldKeys() {
+	oldest := b.oldestBuild()
+	for k, build := range b.keyBuilds {
 		if build < oldest {
-			delete(b.keys, k)
+			delete(b.keyBuilds, k)
 		}
 	}
 	for l := range b.exposure {
-		if l.build < b.news.Build {
+		if l.build < b.rollout.Build {
 			delete(b.exposure, l)
 		}
 	}
 }
 
-// level is the mean burden of the machines that run earlier builds, 0 where there are none.
-func (b *Balancer) level() float64 {
+// meanLoad is the mean burden of the machines that run earlier builds, 0 where there are none.
+func (b *Balancer) meanLoad() float64 {
 	var sum, n float64
-	for _, a := range b.order {
-		if a.listed && a.health == fit && b.armOf(a) == 0 {
-			sum, n = sum+b.burden(a), n+1
+	for _, backend := range b.ordered {
+		if backend.listed && backend.health == healthy && b.armOf(backend) == 0 {
+			sum, n = sum+b.load(backend), n+1
 		}
 	}
 	return sum / max(n, 1)
 }
 
-// stands tells whether an arm has a listed machine whose outcomes count.
-func (b *Balancer) stands(i int) bool {
-	for _, a := range b.order {
-		if a.listed && b.armOf(a) == i && b.now-a.Started > coldFor {
+// armHasWarmBackend tells whether an arm has a listed machine whose outcomes count.
+func (b *Balancer) armHasWarmBackend(i int) bool {
+	for _, backend := range b.ordered {
+		if backend.listed && b.armOf(backend) == i && b.now-backend.Started > minCountedAge {
 			return true
 		}
 	}
 	return false
 }
 
-// trialPart is the share of the trial's machines in what all listed ones can do.
-func (b *Balancer) trialPart() float64 {
+// trialCapacityShare is the share of the trial's machines in what all listed ones can do.
+func (b *Balancer) trialCapacityShare() float64 {
 	var part [2]float64
-	for _, a := range b.order {
-		if a.listed {
-			part[b.armOf(a)] += b.warmth(a)
+	for _, backend := range b.ordered {
+		if backend.listed {
+			part[b.armOf(backend)] += b.capacityShare(backend)
 		}
 	}
 	return part[1] / max(part[0]+part[1], 1)
 }
 
-// newSubject sees whether a later build than the one judged so far has come; both arms then start anew.
-func (b *Balancer) newSubject() {
-	newest := b.newest()
-	if newest != b.subject && b.told {
-		b.clear(0)
-		b.clear(1)
-		for _, w := range b.work {
-			w.tally = [2]sums{}
+// switchTrialBuild sees whether a later build than the one judged so far has come; both arms then start anew.
+func (b *Balancer) switchTrialBuild() {
+	newest := b.newestBuild()
+	if newest != b.trialBuild && b.rolloutKnown {
+		b.clearArm(0)
+		b.clearArm(1)
+		for _, w := range b.workloads {
+			w.tally = [2]tallySums{}
 		}
-		b.subject, b.arms, b.ration = newest, [2]arm{}, b.luck()
-		b.harmSince, b.blamedTill, b.doubtTill, b.abstain = b.now, 0, 0, false
+		b.trialBuild, b.arms, b.trialQuota = newest, [2]arm{}, b.randomFloat()
+		b.harmSince, b.blamedUntil, b.doubtUntil, b.trialPaused = b.now, 0, 0, false
 	}
 }
 
 // outdated tells whether a state of the newest build is one that came before another: a higher build is a newer one,
 // and a build's stages rise until it is released or, at any time, goes back.
-func outdated(old, news agent.TrialNews) bool {
+func outdated(old, news agent.RolloutUpdate) bool {
 	if old.Build != news.Build {
 		return old.Build < news.Build
 	}
-	course := map[agent.Phase]int{agent.OnTrial: 0, agent.Released: 1, agent.GoingBack: 2, agent.Withdrawn: 3}
+	course := map[agent.Phase]int{agent.PhaseTrial: 0, agent.PhaseReleased: 1, agent.PhaseRollingBack: 2, agent.PhaseWithdrawn: 3}
 	if old.Phase != news.Phase {
 		return course[old.Phase] < course[news.Phase]
 	}
 	return old.Stage < news.Stage
 }
 
-// states are those that the rules may go by: the newest, and one told after it that came before.
-func (b *Balancer) states() []agent.TrialNews {
+// bindingRollouts are those that the rules may go by: the newest, and one told after it that came before.
+func (b *Balancer) bindingRollouts() []agent.RolloutUpdate {
 	switch {
-	case !b.told:
+	case !b.rolloutKnown:
 		return nil
-	case b.lateNews:
-		return []agent.TrialNews{b.news, b.last}
+	case b.rolloutLags:
+		return []agent.RolloutUpdate{b.rollout, b.laggingRollout}
 	}
-	return []agent.TrialNews{b.news}
+	return []agent.RolloutUpdate{b.rollout}
 }
 
-// oldest is the lowest build that a state names.
-func (b *Balancer) oldest() agent.Build {
-	oldest := b.news.Build
-	for _, n := range b.states() {
+// oldestBuild is the lowest build that a state names.
+func (b *Balancer) oldestBuild() agent.Build {
+	oldest := b.rollout.Build
+	for _, n := range b.bindingRollouts() {
 		oldest = min(oldest, n.Build)
 	}
 	return oldest
 }
 
-// oneWay tells the lowest build that a key may go to.
-func (b *Balancer) oneWay(k agent.Key) agent.Build {
-	build, ok := b.keys[k]
-	for _, s := range b.unsure[k] {
-		if b.now-s.at >= unseen {
-			build, ok = max(build, s.to.Build), true
+// boundBuild tells the lowest build that a key may go to.
+func (b *Balancer) boundBuild(k agent.AffinityKey) agent.Build {
+	build, ok := b.keyBuilds[k]
+	for _, attempt := range b.unconfirmed[k] {
+		if b.now-attempt.startedAt >= unseenDelay {
+			build, ok = max(build, attempt.backend.Build), true
 		}
 	}
 	if !ok {
 		return 0
 	}
-	for _, n := range b.states() {
-		goes := n.Phase == agent.GoingBack || n.Phase == agent.Withdrawn
-		if build > n.Build || build == n.Build && !goes {
+	for _, rollout := range b.bindingRollouts() {
+		goes := rollout.Phase == agent.PhaseRollingBack || rollout.Phase == agent.PhaseWithdrawn
+		if build > rollout.Build || build == rollout.Build && !goes {
 			return build
 		}
 	}
 	return 0
 }
 
-func (b *Balancer) hearNews(e agent.TrialNews) {
-	took := refused
+func (b *Balancer) receiveRollout(update agent.RolloutUpdate) {
+	input := voteRefused
 	switch {
-	case e.Answer == agent.Counted:
-		took = counted
-	case e.Answer == agent.Moot && b.ballot.verdict == agent.On:
-		took = moot
+	case update.Result == agent.VoteCounted:
+		input = voteAccepted
+	case update.Result == agent.VoteStale && b.vote.verdict == agent.VerdictAdvance:
+		input = voteOutdated
 	}
-	if e.ToVote {
-		run(b, votes, &b.ballot.state, took, &b.ballot)
+	if update.AnswersVote {
+		advance(b, voteTransitions, &b.vote.state, input, &b.vote)
 	}
-	if took != counted {
+	if input != voteAccepted {
 		return
 	}
-	if b.lateNews = b.told && outdated(e, b.news); b.lateNews {
-		b.last = e // the rules go by what was told last; decisions do not
+	if b.rolloutLags = b.rolloutKnown && outdated(update, b.rollout); b.rolloutLags {
+		b.laggingRollout = update // the rules go by what was told last; decisions do not
 	} else {
-		b.news, b.told, b.ahead = e, true, 0
-		b.unbind()
-		b.newSubject()
-		b.judge()
+		b.rollout, b.rolloutKnown, b.stageGuess = update, true, 0
+		b.dropOldKeys()
+		b.switchTrialBuild()
+		b.updateVote()
 	}
 }
 
-// window is that of the exposure rule, and the two ticks by which it is stretched and cut.
-func (b *Balancer) window() (whole, edge time.Duration) {
-	return term(b, "trial.window", time.Minute), 2 * term(b, "tick", beat)
+// exposureWindow is that of the exposure rule, and the two ticks by which it is stretched and cut.
+func (b *Balancer) exposureWindow() (whole, edge time.Duration) {
+	return setting(b, "trial.window", time.Minute), 2 * setting(b, "tick", heartbeatInterval)
 }
 
 // rate is how many transactions a second make up a demand.
-func (b *Balancer) rate(d *gauge.Decaying) float64 {
-	seen := float64(demandHalf) / math.Ln2 * (1 - math.Exp2(-float64(b.now)/float64(demandHalf)))
-	return d.Read(b.now, demandHalf) / max(seen, float64(time.Second)) * float64(time.Second)
+func (b *Balancer) rate(d *gauge.Sum) float64 {
+	seen := float64(demandHalfLife) / math.Ln2 * (1 - math.Exp2(-float64(b.now)/float64(demandHalfLife)))
+	return d.Value(b.now, demandHalfLife) / max(seen, float64(time.Second)) * float64(time.Second)
 }
 
 // forget drops a transaction that is over and calls off what is still out for it.
-func (b *Balancer) forget(t *transaction) {
-	delete(b.open, t.ID)
-	if t.out > 0 {
-		b.late[t.ID] = t
-		b.dropCopies(t)
+func (b *Balancer) forget(tx *transaction) {
+	delete(b.transactions, tx.ID)
+	if tx.inFlight > 0 {
+		b.unfinished[tx.ID] = tx
+		b.cancelOthers(tx)
 	}
 }
 
-// dropCopies calls off what is still out, but for a send whose answer has begun.
-func (b *Balancer) dropCopies(t *transaction) {
-	for i, s := range t.sends {
-		if !s.over && term(b, "may.calloff", false) && (t.course != flowing || agent.SendNo(i) != t.stream) {
-			b.do(agent.CallOff{ID: t.ID, Send: agent.SendNo(i)})
+// cancelOthers calls off what is still out, but for a send whose answer has begun.
+func (b *Balancer) cancelOthers(tx *transaction) {
+	for i, attempt := range tx.attempts {
+		if !attempt.finished && setting(b, "may.calloff", false) && (tx.state != streaming || agent.AttemptNumber(i) != tx.streamingAttempt) {
+			b.emit(agent.CancelAttempt{Transaction: tx.ID, Attempt: agent.AttemptNumber(i)})
 		}
 	}
 }
 
-func (b *Balancer) cast(o *ballot) {
-	o.at = b.now
-	b.do(agent.Vote{Build: o.build, Stage: o.stage, Verdict: o.verdict})
-	b.note(o)
+func (b *Balancer) castVote(o *vote) {
+	o.castAt = b.now
+	b.emit(agent.CastVote{Build: o.build, Stage: o.stage, Verdict: o.verdict})
+	b.logVote(o)
 }
 
-// noteSend counts one more send wherever sends are counted.
-func (b *Balancer) noteSend(t *transaction, a *appliance) {
-	if trial, _ := b.onTrial(a.Build); trial {
-		sends, _ := b.lane(a.Build, t.work)
-		window, edge := b.window()
+// recordAttempt counts one more send wherever sends are counted.
+func (b *Balancer) recordAttempt(tx *transaction, backend *backend) {
+	if trial, _ := b.exposureCap(backend.Build); trial {
+		sends, _ := b.exposureCounters(backend.Build, tx.workload)
+		window, edge := b.exposureWindow()
 		sends.Add(b.now, window+edge)
 	}
-	if len(t.sends) == 0 {
-		i := b.armOf(a)
+	if len(tx.attempts) == 0 {
+		i := b.armOf(backend)
 		b.arms[i].picked++
-		b.ration -= float64(i)
+		b.trialQuota -= float64(i)
 	} else {
-		b.further.tried.Add(b.now, furtherHalf, 1)
+		b.retries.tried.Add(b.now, retryHalfLife, 1)
 	}
-	if a.out == 0 {
-		a.asked = b.now
+	if backend.inFlight == 0 {
+		backend.owesSince = b.now
 	}
-	a.out++
-	t.flow.out++
-	a.credit--
-	s := &send{to: a, at: b.now, cold: b.now-a.Started < coldFor}
-	t.sends, t.out = append(t.sends, s), t.out+1
-	if t.Key != "" && b.feared() && a.Build >= b.oldest() {
-		b.unsure[t.Key] = append(b.unsure[t.Key], s)
+	backend.inFlight++
+	tx.flow.inFlight++
+	backend.paceCredit--
+	started := &attempt{backend: backend, startedAt: b.now, warmingUp: b.now-backend.Started < minCountedAge}
+	tx.attempts, tx.inFlight = append(tx.attempts, started), tx.inFlight+1
+	if tx.Key != "" && b.countsUnseen() && backend.Build >= b.oldestBuild() {
+		b.unconfirmed[tx.Key] = append(b.unconfirmed[tx.Key], started)
 	}
 }
 
-// answered tells whether an outcome shows that the machine lives, whatever it wrote.
-func answered(o agent.Outcome) bool {
-	return o == agent.Satisfied || o == agent.Fault || o == agent.Rejected || o == agent.Spoilt || o == agent.Unfit
+// backendResponded tells whether an outcome shows that the machine lives, whatever it wrote.
+func backendResponded(o agent.Outcome) bool {
+	return o == agent.Succeeded || o == agent.ErrorResponse || o == agent.Rejected || o == agent.MalformedResponse || o == agent.InvalidRequest
 }
 
-// mayBeAnswered tells whether an outcome leaves it open that the appliance has written a good answer.
-func mayBeAnswered(o agent.Outcome) bool {
-	return mayHaveRun(o) && o != agent.Fault && o != agent.Unfit
+// mayHaveAnswered tells whether an outcome leaves it open that the appliance has written a good answer.
+func mayHaveAnswered(o agent.Outcome) bool {
+	return mayHaveRun(o) && o != agent.ErrorResponse && o != agent.InvalidRequest
 }
 
 // mayHaveRun tells whether an outcome leaves it open that the send was carried out.
@@ -837,113 +841,115 @@
 	return o != agent.Rejected && o != agent.Unreachable && o != agent.NotSent
 }
 
-// settle finds the send that has ended and counts it as no longer out.
-func (b *Balancer) settle(e agent.Ended) (*transaction, *send) {
-	t := b.open[e.ID]
-	if t == nil {
-		t = b.late[e.ID]
+// finishAttempt finds the send that has ended and counts it as no longer out.
+func (b *Balancer) finishAttempt(event agent.AttemptEnded) (*transaction, *attempt) {
+	tx := b.transactions[event.Transaction]
+	if tx == nil {
+		tx = b.unfinished[event.Transaction]
 	}
-	if t == nil || int(e.Send) >= len(t.sends) || t.sends[e.Send].over {
+	if tx == nil || int(event.Attempt) >= len(tx.attempts) || tx.attempts[event.Attempt].finished {
 		return nil, nil
 	}
-	s := t.sends[e.Send]
-	s.over = true
-	if left := slices.DeleteFunc(b.unsure[t.Key], func(x *send) bool { return x == s }); len(left) > 0 {
-		b.unsure[t.Key] = left
+	current := tx.attempts[event.Attempt]
+	current.finished = true
+	if left := slices.DeleteFunc(b.unconfirmed[tx.Key], func(x *attempt) bool { return x == current }); len(left) > 0 {
+		b.unconfirmed[tx.Key] = left
 	} else {
-		delete(b.unsure, t.Key)
+		delete(b.unconfirmed, tx.Key)
 	}
-	t.out--
-	s.to.out--
-	t.flow.out--
-	if t.out == 0 && t.course == over {
-		delete(b.late, t.ID)
+	tx.inFlight--
+	current.backend.inFlight--
+	tx.flow.inFlight--
+	if tx.inFlight == 0 && tx.state == finished {
+		delete(b.unfinished, tx.ID)
 	}
-	return t, s
+	return tx, current
 }
 
-// own counts one outcome of this agent's own, and keeps it to be told.
-func (b *Balancer) own(a *appliance, worth float64, fault bool) {
-	x := arm{n: 1, sum: worth, faults: unit(fault)}
-	b.arms[b.armOf(a)].own++
-	b.credit(a, x)
-	if b.arms[1].own > 0 {
-		a.untold.add(x, 1)
+// countOwn counts one outcome of this agent's own, and keeps it to be told.
+func (b *Balancer) countOwn(backend *backend, payoff float64, fault bool) {
+	x := arm{outcomes: 1, payoff: payoff, faults: indicator(fault)}
+	b.arms[b.armOf(backend)].ownOutcomes++
+	b.creditOutcome(backend, x)
+	if b.arms[1].ownOutcomes > 0 {
+		backend.unreported.add(x, 1)
 	}
 }
 
-// served notes answers a second, a span at a time: as they were before the trial, and as they are now.
-func (b *Balancer) served(n float64, span time.Duration) {
-	if took := b.now - b.lap; took > span {
-		b.pace.Add(b.now, paceHalf, b.laps/took.Seconds())
-		if b.arms[1].n == 0 && !b.stands(1) {
-			b.paceWas.Add(b.now, parHalf, b.laps/took.Seconds())
+// noteThroughput notes answers a second, a span at a time: as they were before the trial, and as they are now.
+func (b *Balancer) noteThroughput(n float64, span time.Duration) {
+	if took := b.now - b.throughputSince; took > span {
+		b.throughput.Add(b.now, throughputHalfLife, b.throughputCount/took.Seconds())
+		if b.arms[1].outcomes == 0 && !b.armHasWarmBackend(1) {
+			b.baselineThroughput.Add(b.now, baselineHalfLife, b.throughputCount/took.Seconds())
 		}
-		b.lap, b.laps = b.now, 0
+		b.throughputSince, b.throughputCount = b.now, 0
 	}
-	b.laps += n
+	b.throughputCount += n
 }
 
-// byStage gives an arm's machines with outcomes by the stage they came with, those with the lowest payoffs first.
-func (b *Balancer) byStage(i int) (machines [8][]*appliance) {
-	for _, a := range b.order {
-		if s := min(a.stage, 7); a.given.n > 0 && b.armOf(a) == i {
-			machines[s] = append(machines[s], a)
+// backendsByStage gives an arm's machines with outcomes by the stage they came with, those with the lowest payoffs first.
+func (b *Balancer) backendsByStage(i int) (machines [8][]*backend) {
+	for _, backend := range b.ordered {
+		if s := min(backend.stage, 7); backend.counts.outcomes > 0 && b.armOf(backend) == i {
+			machines[s] = append(machines[s], backend)
 		}
 	}
 	for _, group := range machines {
-		sort.SliceStable(group, func(i, j int) bool { return group[i].given.mean() < group[j].given.mean() })
+		sort.SliceStable(group, func(i, j int) bool { return group[i].counts.mean() < group[j].counts.mean() })
 	}
 	return machines
 }
 
-// visit is the mean time between this agent's sends to one appliance.
-func (b *Balancer) visit() time.Duration {
-	return time.Duration(float64(b.up) / max(b.rate(&b.demand), 1e-3) * float64(time.Second))
+// attemptInterval is the mean time between this agent's sends to one appliance.
+func (b *Balancer) attemptInterval() time.Duration {
+	return time.Duration(float64(b.listedCount) / max(b.rate(&b.demand), 1e-3) * float64(time.Second))
 }
 
 // statistic is Z for the two arms, with extra added to the trial's mean.
-func statistic(x, y arm, extra float64) float64 {
-	return arms.Statistic(x.counted(), y.counted(), extra)
+func statistic(baseline, trial arm, extra float64) float64 {
+	return arms.LikelihoodRatio(baseline.forStatistic(), trial.forStatistic(), extra)
 }
 
-// counted is the arm as the statistic takes it.
-func (a arm) counted() arms.Arm { return arms.Arm{Picked: a.picked, N: a.n, Sum: a.sum} }
+// forStatistic is the arm as the statistic takes it.
+func (a arm) forStatistic() arms.Arm {
+	return arms.Arm{Pulls: a.picked, Observations: a.outcomes, Reward: a.payoff}
+}
 
-// felt notes a payoff over both arms, as it is lately and as it was before the trial.
-func (b *Balancer) felt(good float64, before bool) {
-	b.lately.Add(b.now, latelyHalf, good)
-	if before {
-		b.before.Add(b.now, parHalf, good)
+// notePayoff notes a payoff over both arms, as it is lately and as it was before the trial.
+func (b *Balancer) notePayoff(payoff float64, baseline bool) {
+	b.recentPayoff.Add(b.now, recentHalfLife, payoff)
+	if baseline {
+		b.baselinePayoff.Add(b.now, baselineHalfLife, payoff)
 	}
 }
 
-// noteTaken counts one more transaction wherever they are counted.
-func (b *Balancer) noteTaken(t *transaction) {
-	b.open[t.ID] = t
-	window, edge := b.window()
-	b.takes.Add(b.now, window+edge)
-	t.work.takes.Add(b.now, window+edge)
-	b.demand.Add(b.now, demandHalf, 1)
-	t.flow.demand.Add(b.now, demandHalf, 1)
+// recordAccepted counts one more transaction wherever they are counted.
+func (b *Balancer) recordAccepted(tx *transaction) {
+	b.transactions[tx.ID] = tx
+	window, edge := b.exposureWindow()
+	b.accepted.Add(b.now, window+edge)
+	tx.workload.accepted.Add(b.now, window+edge)
+	b.demand.Add(b.now, demandHalfLife, 1)
+	tx.flow.demand.Add(b.now, demandHalfLife, 1)
 }
 
-// usual is the mean time of recent answers; a tenth of a second until there are some.
-func (b *Balancer) usual() time.Duration {
-	return time.Duration(b.times.Read(b.now, timesHalf, 0.1, 1) * float64(time.Second))
+// usualLatency is the mean time of recent answers; a tenth of a second until there are some.
+func (b *Balancer) usualLatency() time.Duration {
+	return time.Duration(b.latency.Estimate(b.now, latencyHalfLife, 0.1, 1) * float64(time.Second))
 }
 
-func (b *Balancer) mean(w *workload) time.Duration {
+func (b *Balancer) meanLatency(w *workload) time.Duration {
 	prior := w.goal.Seconds() / 4 // goals are set a few times the usual time
-	return time.Duration(w.all.Read(b.now, timesHalf, prior, 2) * float64(time.Second))
+	return time.Duration(w.latency.Estimate(b.now, latencyHalfLife, prior, 2) * float64(time.Second))
 }
 
-// hearers is how many agents, from number 0, hear all counts and judge: every one where shares of all must
+// judgeCount is how many agents, from number 0, hear all counts and judge: every one where shares of all must
 // stand for a vote, else six, of whom some live when half of all die.
-func (b *Balancer) hearers() int {
-	all := int(term(b, "agents", 1.0))
-	shared := term(b, "may.tell", false) || term(b, "tally.every", time.Duration(0)) > 0
-	if term(b, "trial.control", "") == "single" && shared {
+func (b *Balancer) judgeCount() int {
+	all := int(setting(b, "agents", 1.0))
+	shared := setting(b, "may.tell", false) || setting(b, "tally.every", time.Duration(0)) > 0
+	if setting(b, "trial.control", "") == "single" && shared {
 		return min(all, 6)
 	}
 	return all
--- a/ebb/room_easyjson.go
+++ b/ebb/capacity_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson426b19f9DecodeSageleverEbb(in *jlexer.Lexer, out *Short) {
+func easyjson8c194514DecodeSageleverEbb(in *jlexer.Lexer, out *ServiceLoad) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -31,35 +31,29 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "service":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				out.Service = string(in.String())
 			}
-		case "homes":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Homes = string(in.String())
-			}
-		case "need":
+		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Need = float64(in.Float64())
+				out.HomeRegions = string(in.String())
 			}
-		case "have":
+		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Have = float64(in.Float64())
+				out.RequestsPerSecond = float64(in.Float64())
 			}
-		case "before":
+		case "w":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Before = float64(in.Float64())
+				out.ServiceSeconds = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -71,62 +65,57 @@
 		in.Consumed()
 	}
 }
-func easyjson426b19f9EncodeSageleverEbb(out *jwriter.Writer, in Short) {
+func easyjson8c194514EncodeSageleverEbb(out *jwriter.Writer, in ServiceLoad) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"service\":"
+		const prefix string = ",\"s\":"
 		out.RawString(prefix[1:])
 		out.String(string(in.Service))
 	}
-	if in.Homes != "" {
-		const prefix string = ",\"homes\":"
-		out.RawString(prefix)
-		out.String(string(in.Homes))
-	}
-	{
-		const prefix string = ",\"need\":"
+	if in.HomeRegions != "" {
+		const prefix string = ",\"h\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Need))
+		out.String(string(in.HomeRegions))
 	}
 	{
-		const prefix string = ",\"have\":"
+		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Have))
+		out.Float64(float64(in.RequestsPerSecond))
 	}
 	{
-		const prefix string = ",\"before\":"
+		const prefix string = ",\"w\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Before))
+		out.Float64(float64(in.ServiceSeconds))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Short) MarshalJSON() ([]byte, error) {
+func (v ServiceLoad) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson426b19f9EncodeSageleverEbb(&w, v)
+	easyjson8c194514EncodeSageleverEbb(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Short) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson426b19f9EncodeSageleverEbb(w, v)
+func (v ServiceLoad) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson8c194514EncodeSageleverEbb(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Short) UnmarshalJSON(data []byte) error {
+func (v *ServiceLoad) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson426b19f9DecodeSageleverEbb(&r, v)
+	easyjson8c194514DecodeSageleverEbb(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Short) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson426b19f9DecodeSageleverEbb(l, v)
+func (v *ServiceLoad) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson8c194514DecodeSageleverEbb(l, v)
 }
-func easyjson426b19f9DecodeSageleverEbb1(in *jlexer.Lexer, out *Load) {
+func easyjson8c194514DecodeSageleverEbb1(in *jlexer.Lexer, out *CapacityShortfall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -140,29 +129,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "s":
+		case "service":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				out.Service = string(in.String())
 			}
-		case "h":
+		case "homes":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Homes = string(in.String())
+				out.HomeRegions = string(in.String())
 			}
-		case "r":
+		case "need":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rate = float64(in.Float64())
+				out.Required = float64(in.Float64())
 			}
-		case "w":
+		case "have":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Remaining = float64(in.Float64())
+			}
+		case "before":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Work = float64(in.Float64())
+				out.Current = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -174,53 +169,58 @@
 		in.Consumed()
 	}
 }
-func easyjson426b19f9EncodeSageleverEbb1(out *jwriter.Writer, in Load) {
+func easyjson8c194514EncodeSageleverEbb1(out *jwriter.Writer, in CapacityShortfall) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"s\":"
+		const prefix string = ",\"service\":"
 		out.RawString(prefix[1:])
 		out.String(string(in.Service))
 	}
-	if in.Homes != "" {
-		const prefix string = ",\"h\":"
+	if in.HomeRegions != "" {
+		const prefix string = ",\"homes\":"
 		out.RawString(prefix)
-		out.String(string(in.Homes))
+		out.String(string(in.HomeRegions))
 	}
 	{
-		const prefix string = ",\"r\":"
+		const prefix string = ",\"need\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Rate))
+		out.Float64(float64(in.Required))
 	}
 	{
-		const prefix string = ",\"w\":"
+		const prefix string = ",\"have\":"
+		out.RawString(prefix)
+		out.Float64(float64(in.Remaining))
+	}
+	{
+		const prefix string = ",\"before\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Work))
+		out.Float64(float64(in.Current))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Load) MarshalJSON() ([]byte, error) {
+func (v CapacityShortfall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson426b19f9EncodeSageleverEbb1(&w, v)
+	easyjson8c194514EncodeSageleverEbb1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Load) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson426b19f9EncodeSageleverEbb1(w, v)
+func (v CapacityShortfall) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson8c194514EncodeSageleverEbb1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Load) UnmarshalJSON(data []byte) error {
+func (v *CapacityShortfall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson426b19f9DecodeSageleverEbb1(&r, v)
+	easyjson8c194514DecodeSageleverEbb1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Load) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson426b19f9DecodeSageleverEbb1(l, v)
+func (v *CapacityShortfall) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson8c194514DecodeSageleverEbb1(l, v)
 }
--- a/ebb/tell_easyjson.go
+++ b/ebb/progress_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonC17cfca5DecodeSageleverEbb(in *jlexer.Lexer, out *Progress) {
+func easyjsonE0d6db01DecodeSageleverEbb(in *jlexer.Lexer, out *Response) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -37,86 +37,80 @@
 			} else {
 				out.Target = string(in.String())
 			}
-		case "began":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.BeganMs = int64(in.Int64())
-			}
-		case "for":
+		case "stood":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ForMs = int64(in.Int64())
+				out.AlreadyActive = bool(in.Bool())
 			}
-		case "backends":
+		case "short":
 			if in.IsNull() {
 				in.Skip()
-				out.Backends = nil
+				out.Shortfalls = nil
 			} else {
 				in.Delim('[')
-				if out.Backends == nil {
+				if out.Shortfalls == nil {
 					if !in.IsDelim(']') {
-						out.Backends = make([]Leaver, 0, 1)
+						out.Shortfalls = make([]CapacityShortfall, 0, 1)
 					} else {
-						out.Backends = []Leaver{}
+						out.Shortfalls = []CapacityShortfall{}
 					}
 				} else {
-					out.Backends = (out.Backends)[:0]
+					out.Shortfalls = (out.Shortfalls)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Leaver
+					var v1 CapacityShortfall
 					if in.IsNull() {
 						in.Skip()
 					} else {
 						(v1).UnmarshalEasyJSON(in)
 					}
-					out.Backends = append(out.Backends, v1)
+					out.Shortfalls = append(out.Shortfalls, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "nodes":
+		case "unheard":
 			if in.IsNull() {
 				in.Skip()
-				out.Nodes = nil
+				out.Unresponsive = nil
 			} else {
 				in.Delim('[')
-				if out.Nodes == nil {
+				if out.Unresponsive == nil {
 					if !in.IsDelim(']') {
-						out.Nodes = make([]Holder, 0, 1)
+						out.Unresponsive = make([]string, 0, 4)
 					} else {
-						out.Nodes = []Holder{}
+						out.Unresponsive = []string{}
 					}
 				} else {
-					out.Nodes = (out.Nodes)[:0]
+					out.Unresponsive = (out.Unresponsive)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v2 Holder
+					var v2 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v2).UnmarshalEasyJSON(in)
+						v2 = string(in.String())
 					}
-					out.Nodes = append(out.Nodes, v2)
+					out.Unresponsive = append(out.Unresponsive, v2)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "unheard":
+		case "backends":
 			if in.IsNull() {
 				in.Skip()
-				out.Unheard = nil
+				out.Backends = nil
 			} else {
 				in.Delim('[')
-				if out.Unheard == nil {
+				if out.Backends == nil {
 					if !in.IsDelim(']') {
-						out.Unheard = make([]string, 0, 4)
+						out.Backends = make([]string, 0, 4)
 					} else {
-						out.Unheard = []string{}
+						out.Backends = []string{}
 					}
 				} else {
-					out.Unheard = (out.Unheard)[:0]
+					out.Backends = (out.Backends)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v3 string
@@ -125,29 +119,11 @@
 					} else {
 						v3 = string(in.String())
 					}
-					out.Unheard = append(out.Unheard, v3)
+					out.Backends = append(out.Backends, v3)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "harmless":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Harmless = int(in.Int())
-			}
-		case "risky":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Risky = int(in.Int())
-			}
-		case "done":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Done = bool(in.Bool())
-			}
 		default:
 			in.SkipRecursive()
 		}
@@ -158,7 +134,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC17cfca5EncodeSageleverEbb(out *jwriter.Writer, in Progress) {
+func easyjsonE0d6db01EncodeSageleverEbb(out *jwriter.Writer, in Response) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -167,24 +143,17 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Target))
 	}
-	{
-		const prefix string = ",\"began\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.BeganMs))
-	}
-	{
-		const prefix string = ",\"for\":"
+	if in.AlreadyActive {
+		const prefix string = ",\"stood\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.ForMs))
+		out.Bool(bool(in.AlreadyActive))
 	}
-	{
-		const prefix string = ",\"backends\":"
+	if len(in.Shortfalls) != 0 {
+		const prefix string = ",\"short\":"
 		out.RawString(prefix)
-		if in.Backends == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
+		{
 			out.RawByte('[')
-			for v4, v5 := range in.Backends {
+			for v4, v5 := range in.Shortfalls {
 				if v4 > 0 {
 					out.RawByte(',')
 				}
@@ -193,28 +162,26 @@
 			out.RawByte(']')
 		}
 	}
-	{
-		const prefix string = ",\"nodes\":"
+	if len(in.Unresponsive) != 0 {
+		const prefix string = ",\"unheard\":"
 		out.RawString(prefix)
-		if in.Nodes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
+		{
 			out.RawByte('[')
-			for v6, v7 := range in.Nodes {
+			for v6, v7 := range in.Unresponsive {
 				if v6 > 0 {
 					out.RawByte(',')
 				}
-				(v7).MarshalEasyJSON(out)
+				out.String(string(v7))
 			}
 			out.RawByte(']')
 		}
 	}
-	if len(in.Unheard) != 0 {
-		const prefix string = ",\"unheard\":"
+	if len(in.Backends) != 0 {
+		const prefix string = ",\"backends\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v8, v9 := range in.Unheard {
+			for v8, v9 := range in.Backends {
 				if v8 > 0 {
 					out.RawByte(',')
 				}
@@ -223,48 +190,33 @@
 			out.RawByte(']')
 		}
 	}
-	{
-		const prefix string = ",\"harmless\":"
-		out.RawString(prefix)
-		out.Int(int(in.Harmless))
-	}
-	{
-		const prefix string = ",\"risky\":"
-		out.RawString(prefix)
-		out.Int(int(in.Risky))
-	}
-	{
-		const prefix string = ",\"done\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Done))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Progress) MarshalJSON() ([]byte, error) {
+func (v Response) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC17cfca5EncodeSageleverEbb(&w, v)
+	easyjsonE0d6db01EncodeSageleverEbb(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Progress) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC17cfca5EncodeSageleverEbb(w, v)
+func (v Response) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonE0d6db01EncodeSageleverEbb(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Progress) UnmarshalJSON(data []byte) error {
+func (v *Response) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC17cfca5DecodeSageleverEbb(&r, v)
+	easyjsonE0d6db01DecodeSageleverEbb(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Progress) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC17cfca5DecodeSageleverEbb(l, v)
+func (v *Response) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonE0d6db01DecodeSageleverEbb(l, v)
 }
-func easyjsonC17cfca5DecodeSageleverEbb1(in *jlexer.Lexer, out *Listing) {
+func easyjsonE0d6db01DecodeSageleverEbb1(in *jlexer.Lexer, out *ProgressList) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -315,7 +267,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC17cfca5EncodeSageleverEbb1(out *jwriter.Writer, in Listing) {
+func easyjsonE0d6db01EncodeSageleverEbb1(out *jwriter.Writer, in ProgressList) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -339,29 +291,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Listing) MarshalJSON() ([]byte, error) {
+func (v ProgressList) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC17cfca5EncodeSageleverEbb1(&w, v)
+	easyjsonE0d6db01EncodeSageleverEbb1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Listing) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC17cfca5EncodeSageleverEbb1(w, v)
+func (v ProgressList) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonE0d6db01EncodeSageleverEbb1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Listing) UnmarshalJSON(data []byte) error {
+func (v *ProgressList) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC17cfca5DecodeSageleverEbb1(&r, v)
+	easyjsonE0d6db01DecodeSageleverEbb1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Listing) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC17cfca5DecodeSageleverEbb1(l, v)
+func (v *ProgressList) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonE0d6db01DecodeSageleverEbb1(l, v)
 }
-func easyjsonC17cfca5DecodeSageleverEbb2(in *jlexer.Lexer, out *Leaver) {
+func easyjsonE0d6db01DecodeSageleverEbb2(in *jlexer.Lexer, out *Progress) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -375,35 +327,122 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "id":
+		case "target":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ID = string(in.String())
+				out.Target = string(in.String())
 			}
-		case "service":
+		case "began":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Service = string(in.String())
+				out.StartedMs = int64(in.Int64())
 			}
-		case "zone":
+		case "for":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Zone = string(in.String())
+				out.ElapsedMs = int64(in.Int64())
+			}
+		case "backends":
+			if in.IsNull() {
+				in.Skip()
+				out.Backends = nil
+			} else {
+				in.Delim('[')
+				if out.Backends == nil {
+					if !in.IsDelim(']') {
+						out.Backends = make([]DrainingBackend, 0, 1)
+					} else {
+						out.Backends = []DrainingBackend{}
+					}
+				} else {
+					out.Backends = (out.Backends)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v13 DrainingBackend
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v13).UnmarshalEasyJSON(in)
+					}
+					out.Backends = append(out.Backends, v13)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "nodes":
+			if in.IsNull() {
+				in.Skip()
+				out.BlockingProxies = nil
+			} else {
+				in.Delim('[')
+				if out.BlockingProxies == nil {
+					if !in.IsDelim(']') {
+						out.BlockingProxies = make([]BlockingProxy, 0, 1)
+					} else {
+						out.BlockingProxies = []BlockingProxy{}
+					}
+				} else {
+					out.BlockingProxies = (out.BlockingProxies)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v14 BlockingProxy
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v14).UnmarshalEasyJSON(in)
+					}
+					out.BlockingProxies = append(out.BlockingProxies, v14)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "unheard":
+			if in.IsNull() {
+				in.Skip()
+				out.Unresponsive = nil
+			} else {
+				in.Delim('[')
+				if out.Unresponsive == nil {
+					if !in.IsDelim(']') {
+						out.Unresponsive = make([]string, 0, 4)
+					} else {
+						out.Unresponsive = []string{}
+					}
+				} else {
+					out.Unresponsive = (out.Unresponsive)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v15 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v15 = string(in.String())
+					}
+					out.Unresponsive = append(out.Unresponsive, v15)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		case "harmless":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Harmless = int(in.Int())
+				out.Idempotent = int(in.Int())
 			}
 		case "risky":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Risky = int(in.Int())
+				out.NonIdempotent = int(in.Int())
+			}
+		case "done":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Done = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -415,62 +454,113 @@
 		in.Consumed()
 	}
 }
-func easyjsonC17cfca5EncodeSageleverEbb2(out *jwriter.Writer, in Leaver) {
+func easyjsonE0d6db01EncodeSageleverEbb2(out *jwriter.Writer, in Progress) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"id\":"
+		const prefix string = ",\"target\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.ID))
+		out.String(string(in.Target))
 	}
 	{
-		const prefix string = ",\"service\":"
+		const prefix string = ",\"began\":"
 		out.RawString(prefix)
-		out.String(string(in.Service))
+		out.Int64(int64(in.StartedMs))
 	}
 	{
-		const prefix string = ",\"zone\":"
+		const prefix string = ",\"for\":"
 		out.RawString(prefix)
-		out.String(string(in.Zone))
+		out.Int64(int64(in.ElapsedMs))
+	}
+	{
+		const prefix string = ",\"backends\":"
+		out.RawString(prefix)
+		if in.Backends == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v16, v17 := range in.Backends {
+				if v16 > 0 {
+					out.RawByte(',')
+				}
+				(v17).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	{
+		const prefix string = ",\"nodes\":"
+		out.RawString(prefix)
+		if in.BlockingProxies == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v18, v19 := range in.BlockingProxies {
+				if v18 > 0 {
+					out.RawByte(',')
+				}
+				(v19).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if len(in.Unresponsive) != 0 {
+		const prefix string = ",\"unheard\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v20, v21 := range in.Unresponsive {
+				if v20 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v21))
+			}
+			out.RawByte(']')
+		}
 	}
 	{
 		const prefix string = ",\"harmless\":"
 		out.RawString(prefix)
-		out.Int(int(in.Harmless))
+		out.Int(int(in.Idempotent))
 	}
 	{
 		const prefix string = ",\"risky\":"
 		out.RawString(prefix)
-		out.Int(int(in.Risky))
+		out.Int(int(in.NonIdempotent))
+	}
+	{
+		const prefix string = ",\"done\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Done))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Leaver) MarshalJSON() ([]byte, error) {
+func (v Progress) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC17cfca5EncodeSageleverEbb2(&w, v)
+	easyjsonE0d6db01EncodeSageleverEbb2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Leaver) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC17cfca5EncodeSageleverEbb2(w, v)
+func (v Progress) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonE0d6db01EncodeSageleverEbb2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Leaver) UnmarshalJSON(data []byte) error {
+func (v *Progress) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC17cfca5DecodeSageleverEbb2(&r, v)
+	easyjsonE0d6db01DecodeSageleverEbb2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Leaver) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC17cfca5DecodeSageleverEbb2(l, v)
+func (v *Progress) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonE0d6db01DecodeSageleverEbb2(l, v)
 }
-func easyjsonC17cfca5DecodeSageleverEbb3(in *jlexer.Lexer, out *Holder) {
+func easyjsonE0d6db01DecodeSageleverEbb3(in *jlexer.Lexer, out *DrainingBackend) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -484,35 +574,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "node":
+		case "id":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Node = string(in.String())
+				out.ID = string(in.String())
 			}
-		case "zone":
+		case "service":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Zone = string(in.String())
+				out.Service = string(in.String())
 			}
-		case "sends":
+		case "zone":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Sends = bool(in.Bool())
+				out.Zone = string(in.String())
 			}
 		case "harmless":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Harmless = int(in.Int())
+				out.Idempotent = int(in.Int())
 			}
 		case "risky":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Risky = int(in.Int())
+				out.NonIdempotent = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -524,62 +614,62 @@
 		in.Consumed()
 	}
 }
-func easyjsonC17cfca5EncodeSageleverEbb3(out *jwriter.Writer, in Holder) {
+func easyjsonE0d6db01EncodeSageleverEbb3(out *jwriter.Writer, in DrainingBackend) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"node\":"
+		const prefix string = ",\"id\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Node))
+		out.String(string(in.ID))
 	}
 	{
-		const prefix string = ",\"zone\":"
+		const prefix string = ",\"service\":"
 		out.RawString(prefix)
-		out.String(string(in.Zone))
+		out.String(string(in.Service))
 	}
 	{
-		const prefix string = ",\"sends\":"
+		const prefix string = ",\"zone\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Sends))
+		out.String(string(in.Zone))
 	}
 	{
 		const prefix string = ",\"harmless\":"
 		out.RawString(prefix)
-		out.Int(int(in.Harmless))
+		out.Int(int(in.Idempotent))
 	}
 	{
 		const prefix string = ",\"risky\":"
 		out.RawString(prefix)
-		out.Int(int(in.Risky))
+		out.Int(int(in.NonIdempotent))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Holder) MarshalJSON() ([]byte, error) {
+func (v DrainingBackend) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC17cfca5EncodeSageleverEbb3(&w, v)
+	easyjsonE0d6db01EncodeSageleverEbb3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Holder) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC17cfca5EncodeSageleverEbb3(w, v)
+func (v DrainingBackend) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonE0d6db01EncodeSageleverEbb3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Holder) UnmarshalJSON(data []byte) error {
+func (v *DrainingBackend) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC17cfca5DecodeSageleverEbb3(&r, v)
+	easyjsonE0d6db01DecodeSageleverEbb3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Holder) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC17cfca5DecodeSageleverEbb3(l, v)
+func (v *DrainingBackend) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonE0d6db01DecodeSageleverEbb3(l, v)
 }
-func easyjsonC17cfca5DecodeSageleverEbb4(in *jlexer.Lexer, out *Answer) {
+func easyjsonE0d6db01DecodeSageleverEbb4(in *jlexer.Lexer, out *BlockingProxy) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -593,98 +683,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "target":
+		case "node":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Target = string(in.String())
+				out.Proxy = string(in.String())
 			}
-		case "stood":
+		case "zone":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stood = bool(in.Bool())
+				out.Zone = string(in.String())
 			}
-		case "short":
+		case "sends":
 			if in.IsNull() {
 				in.Skip()
-				out.Short = nil
 			} else {
-				in.Delim('[')
-				if out.Short == nil {
-					if !in.IsDelim(']') {
-						out.Short = make([]Short, 0, 1)
-					} else {
-						out.Short = []Short{}
-					}
-				} else {
-					out.Short = (out.Short)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v13 Short
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v13).UnmarshalEasyJSON(in)
-					}
-					out.Short = append(out.Short, v13)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.MaySend = bool(in.Bool())
 			}
-		case "unheard":
+		case "harmless":
 			if in.IsNull() {
 				in.Skip()
-				out.Unheard = nil
 			} else {
-				in.Delim('[')
-				if out.Unheard == nil {
-					if !in.IsDelim(']') {
-						out.Unheard = make([]string, 0, 4)
-					} else {
-						out.Unheard = []string{}
-					}
-				} else {
-					out.Unheard = (out.Unheard)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v14 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v14 = string(in.String())
-					}
-					out.Unheard = append(out.Unheard, v14)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Idempotent = int(in.Int())
 			}
-		case "backends":
+		case "risky":
 			if in.IsNull() {
 				in.Skip()
-				out.Backends = nil
 			} else {
-				in.Delim('[')
-				if out.Backends == nil {
-					if !in.IsDelim(']') {
-						out.Backends = make([]string, 0, 4)
-					} else {
-						out.Backends = []string{}
-					}
-				} else {
-					out.Backends = (out.Backends)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v15 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v15 = string(in.String())
-					}
-					out.Backends = append(out.Backends, v15)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.NonIdempotent = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -696,85 +723,58 @@
 		in.Consumed()
 	}
 }
-func easyjsonC17cfca5EncodeSageleverEbb4(out *jwriter.Writer, in Answer) {
+func easyjsonE0d6db01EncodeSageleverEbb4(out *jwriter.Writer, in BlockingProxy) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"target\":"
+		const prefix string = ",\"node\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Target))
+		out.String(string(in.Proxy))
 	}
-	if in.Stood {
-		const prefix string = ",\"stood\":"
+	{
+		const prefix string = ",\"zone\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Stood))
+		out.String(string(in.Zone))
 	}
-	if len(in.Short) != 0 {
-		const prefix string = ",\"short\":"
+	{
+		const prefix string = ",\"sends\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v16, v17 := range in.Short {
-				if v16 > 0 {
-					out.RawByte(',')
-				}
-				(v17).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.Bool(bool(in.MaySend))
 	}
-	if len(in.Unheard) != 0 {
-		const prefix string = ",\"unheard\":"
+	{
+		const prefix string = ",\"harmless\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v18, v19 := range in.Unheard {
-				if v18 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v19))
-			}
-			out.RawByte(']')
-		}
+		out.Int(int(in.Idempotent))
 	}
-	if len(in.Backends) != 0 {
-		const prefix string = ",\"backends\":"
+	{
+		const prefix string = ",\"risky\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v20, v21 := range in.Backends {
-				if v20 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v21))
-			}
-			out.RawByte(']')
-		}
+		out.Int(int(in.NonIdempotent))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Answer) MarshalJSON() ([]byte, error) {
+func (v BlockingProxy) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC17cfca5EncodeSageleverEbb4(&w, v)
+	easyjsonE0d6db01EncodeSageleverEbb4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Answer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC17cfca5EncodeSageleverEbb4(w, v)
+func (v BlockingProxy) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonE0d6db01EncodeSageleverEbb4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Answer) UnmarshalJSON(data []byte) error {
+func (v *BlockingProxy) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC17cfca5DecodeSageleverEbb4(&r, v)
+	easyjsonE0d6db01DecodeSageleverEbb4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Answer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC17cfca5DecodeSageleverEbb4(l, v)
+func (v *BlockingProxy) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonE0d6db01DecodeSageleverEbb4(l, v)
 }
--- a/httpagent/agent.go
+++ b/httpagent/agent.go
@@ -21,68 +21,68 @@
 
 // Agent is one agent on sockets.
 type Agent struct {
-	station *Station
-	log     *slog.Logger
-	engine  *engine.Engine
-	links   *links
-	control *http.Transport // to discovery and the platform
-	peers   *peers
-	ctx     context.Context // ends when the agent does
+	station  *Station
+	log      *slog.Logger
+	engine   *engine.Engine
+	backends *backendClients
+	control  *http.Transport // to discovery and the platform
+	peers    *peerSocket
+	lifetime context.Context // ends when the agent does
 
-	ready      atomic.Bool // what it knew at the start has reached the module
-	leaving    atomic.Bool // it has been told to stop
-	held       atomic.Int64
-	account    account
-	doors      doors
-	bodies     atomic.Int64 // bytes of clients\' bodies held
-	mostBodies int64
-	bad        ration                      // lines on clients that send what is no request
-	rules      atomic.Pointer[match.Judge] // nil where the operator has none
-	troubled   ration                      // lines on errors of rules
-	moved      moved
-	listing    sync.Mutex   // lists come one at a time
-	version    atomic.Int64 // of the list
-	watching   atomic.Bool  // the module wants changes, where they come only when asked for
-	subscribed chan struct{}
+	ready            atomic.Bool // what it knew at the start has reached the module
+	stopping         atomic.Bool // it has been told to stop
+	openTransactions atomic.Int64
+	counters         outcomeCounters
+	clientConns      clientConns
+	bodyBytes        atomic.Int64 // bytes of clients\' bodies held
+	maxBodyBytes     int64
+	badRequestLog    rateLimitedLog              // lines on clients that send what is no request
+	rules            atomic.Pointer[match.Judge] // nil where the operator has none
+	ruleErrorLog     rateLimitedLog              // lines on errors of rules
+	endpoints        controlEndpoints
+	updating         sync.Mutex   // lists come one at a time
+	listVersion      atomic.Int64 // of the list
+	watchWanted      atomic.Bool  // the module wants changes, where they come only when asked for
+	watchRequested   chan struct{}
 
-	mounted    map[string]http.Handler // other fronts, by path
-	onList     func([]Place)
-	placed     map[agent.ApplianceID]agent.Appliance // told to other fronts as up
+	mounts     map[string]http.Handler // other fronts, by path
+	onBackends func([]BackendEndpoint)
+	announced  map[agent.BackendID]agent.Backend // told to other fronts as up
 	deployment match.Deployment
-	guests     sync.WaitGroup // connections that other fronts have taken over
-	left       chan struct{}  // closed when the agent has been told to stop
+	upgraded   sync.WaitGroup // connections that other fronts have taken over
+	stopped    chan struct{}  // closed when the agent has been told to stop
 }
 
-// reserve is the descriptors kept for discovery, the platform, other agents and the log.
-const reserve = 40
+// reservedDescriptors is the descriptors kept for discovery, the platform, other agents and the log.
+const reservedDescriptors = 40
 
 // New makes an agent from a station that has been checked.
-func New(s *Station) *Agent {
-	log := s.Log
+func New(station *Station) *Agent {
+	log := station.Log
 	if log == nil {
 		log = slog.Default()
 	}
-	sockets := int64(s.Limits.Sockets)
+	sockets := int64(station.Limits.Sockets)
 	if sockets == 0 {
 		sockets = 1 << 20
-	} else if sockets < 4*reserve {
+	} else if sockets < 4*reservedDescriptors {
 		log.Warn("few_descriptors", "sockets", sockets)
-		sockets = 4 * reserve
+		sockets = 4 * reservedDescriptors
 	}
-	memory := s.Limits.MemoryMB << 20
+	memory := station.Limits.MemoryMB << 20
 	if memory == 0 {
 		memory = 512 << 20
 	}
-	dial := term(s, "link.dial", time.Second)
-	a := &Agent{station: s, log: log, deployment: s.Deployment(), left: make(chan struct{}), placed: map[agent.ApplianceID]agent.Appliance{}, bad: ration{to: log}, troubled: ration{to: log}, control: plain(dial), subscribed: make(chan struct{}, 1),
-		links: newLinks(dial, term(s, "link.idle", time.Minute), sockets/2-reserve/2, memory)}
-	a.moved.at = addresses{s.Discovery, s.Platform.Address}
-	a.moved.watch, a.moved.stream = make(chan struct{}, 1), make(chan struct{}, 1)
-	a.mostBodies = memory / 8 // as heads and answers may take several times that
-	a.doors.most = int(sockets/2 - reserve/2)
-	a.doors.enough = a.doors.most / 2
-	a.engine = engine.New(time.Now(), decide.New(uint64(s.Seed), s.terms), a.do, log)
-	a.setRules(s.Rules)
+	dialTimeout := setting(station, "link.dial", time.Second)
+	a := &Agent{station: station, log: log, deployment: station.Deployment(), stopped: make(chan struct{}), announced: map[agent.BackendID]agent.Backend{}, badRequestLog: rateLimitedLog{logger: log}, ruleErrorLog: rateLimitedLog{logger: log}, control: newPlainTransport(dialTimeout), watchRequested: make(chan struct{}, 1),
+		backends: newBackendClients(dialTimeout, setting(station, "link.idle", time.Minute), sockets/2-reservedDescriptors/2, memory)}
+	a.endpoints.current = endpointAddresses{station.Discovery, station.Platform.Address}
+	a.endpoints.watchChanged, a.endpoints.streamChanged = make(chan struct{}, 1), make(chan struct{}, 1)
+	a.maxBodyBytes = memory / 8 // as heads and answers may take several times that
+	a.clientConns.hardLimit = int(sockets/2 - reservedDescriptors/2)
+	a.clientConns.softLimit = a.clientConns.hardLimit / 2
+	a.engine = engine.New(time.Now(), decide.New(uint64(station.Seed), station.deploymentSettings), a.execute, log)
+	a.setRules(station.Rules)
 	return a
 }
 
@@ -93,78 +93,78 @@
 		return err
 	}
 	if a.station.PeerAt != "" {
-		if a.peers, err = openPeers(a.station, a.log); err != nil {
+		if a.peers, err = openPeerSocket(a.station, a.log); err != nil {
 			listener.Close()
 			return fmt.Errorf("peer_listen: %w", err)
 		}
 		defer a.peers.socket.Close()
 	}
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	a.ctx = life
-	go a.engine.Run(life)
-	if err := a.start(); err != nil {
+	lifetime, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	a.lifetime = lifetime
+	go a.engine.Run(lifetime)
+	if err := a.loadInitialState(); err != nil {
 		listener.Close()
 		return err
 	}
 	if a.peers != nil {
-		go a.peers.send(life)
-		go a.peers.hear(a.engine.Tell)
+		go a.peers.sendLoop(lifetime)
+		go a.peers.receiveLoop(a.engine.Deliver)
 	}
-	go a.watch(life)
-	go a.tellAccount(life)
+	go a.watchDiscovery(lifetime)
+	go a.logCounters(lifetime)
 	if a.station.Platform.Address != "" {
-		go a.listen(life)
+		go a.followPlatform(lifetime)
 	}
 	return a.serve(ctx, listener)
 }
 
-// start hands the module what the station knew.
-func (a *Agent) start() error {
-	if given(a.station.Known) {
-		l, err := readList(a.station.Known, a.engine.Began())
+// loadInitialState hands the module what the station knew.
+func (a *Agent) loadInitialState() error {
+	if present(a.station.Known) {
+		known, err := parseBackendList(a.station.Known, a.engine.StartTime())
 		if err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
-		l.news.Kind = agent.Remembered
-		a.enlist(l)
+		known.update.Kind = agent.UpdateCached
+		a.applyList(known)
 	}
-	if given(a.station.Platform.News) {
-		news, err := readNews(a.station.Platform.News)
+	if present(a.station.Platform.News) {
+		news, err := parseRollout(a.station.Platform.News)
 		if err != nil {
 			return fmt.Errorf("platform.news: %w", err)
 		}
-		a.engine.Tell(news)
+		a.engine.Deliver(news)
 	}
 	a.ready.Store(true)
-	a.log.Info("started", "name", a.station.Name, "listen", a.station.Listen, "discovery", term(a.station, "discovery", "pushed"), "knows", a.version.Load())
+	a.log.Info("started", "name", a.station.Name, "listen", a.station.Listen, "discovery", setting(a.station, "discovery", "pushed"), "knows", a.listVersion.Load())
 	return nil
 }
 
-// do carries out an action that belongs to no transaction. It runs on the engine's goroutine and returns at once.
-func (a *Agent) do(action agent.Action) {
+// execute carries out an action that belongs to no transaction. It runs on the engine's goroutine and returns at once.
+func (a *Agent) execute(action agent.Action) {
 	switch x := action.(type) {
-	case agent.Probe:
-		go a.probe(a.ctx, x.Appliance)
-	case agent.FreeLinks:
-		if l := a.links.to(x.Appliance); l != nil {
-			go l.transport.CloseIdleConnections()
+	case agent.CheckHealth:
+		go a.checkHealth(a.lifetime, x.Backend)
+	case agent.CloseIdleConnections:
+		if target := a.backends.get(x.Backend); target != nil {
+			go target.transport.CloseIdleConnections()
 		}
-	case agent.Tell:
+	case agent.SendMessage:
 		if a.peers != nil {
-			a.peers.tell(x)
+			a.peers.enqueue(x)
 		}
-	case agent.Vote:
-		go a.vote(a.ctx, x)
-	case agent.Subscribe:
-		if a.watching.Swap(x.On) && x.On { // another beside the one that stands, which may bring nothing
-			nudge(a.moved.watch)
+	case agent.CastVote:
+		go a.submitVote(a.lifetime, x)
+	case agent.WatchBackends:
+		if a.watchWanted.Swap(x.On) && x.On { // another beside the one that stands, which may bring nothing
+			notify(a.endpoints.watchChanged)
 			return
 		}
-		nudge(a.subscribed)
-	case agent.Fetch:
-		go a.fetch(a.ctx)
-	case agent.Log:
+		notify(a.watchRequested)
+	case agent.FetchBackends:
+		go a.fetchBackends(a.lifetime)
+	case agent.LogLine:
 		a.log.Info("module", "text", x.Text)
 	default:
 		a.log.Error("unknown_action", "action", fmt.Sprintf("%T", action))
--- a/httpagent/peers.go
+++ b/httpagent/peers.go
@@ -10,76 +10,76 @@
 	"sagelever/agent"
 )
 
-const mostMessage = 256 // bytes that a message between agents may have
+const maxMessageSize = 256 // bytes that a message between agents may have
 
-// peers is the datagram side of an agent.
-type peers struct {
-	socket  *net.UDPConn
-	numbers map[netip.AddrPort]agent.PeerNo
-	others  []netip.AddrPort
-	all     netip.AddrPort
-	out     chan agent.Tell
-	log     *slog.Logger
+// peerSocket is the datagram side of an agent.
+type peerSocket struct {
+	socket   *net.UDPConn
+	numbers  map[netip.AddrPort]agent.PeerNumber
+	others   []netip.AddrPort
+	all      netip.AddrPort
+	outgoing chan agent.SendMessage
+	log      *slog.Logger
 }
 
-func openPeers(s *Station, log *slog.Logger) (*peers, error) {
-	at, err := netip.ParseAddrPort(s.PeerAt)
+func openPeerSocket(station *Station, log *slog.Logger) (*peerSocket, error) {
+	local, err := netip.ParseAddrPort(station.PeerAt)
 	if err != nil {
 		return nil, err
 	}
-	p := &peers{numbers: map[netip.AddrPort]agent.PeerNo{}, out: make(chan agent.Tell, 64), log: log}
-	for i, address := range s.Peers {
+	p := &peerSocket{numbers: map[netip.AddrPort]agent.PeerNumber{}, outgoing: make(chan agent.SendMessage, 64), log: log}
+	for i, address := range station.Peers {
 		other, err := netip.ParseAddrPort(address)
 		if err != nil {
 			return nil, err
 		}
-		p.numbers[other] = agent.PeerNo(i)
+		p.numbers[other] = agent.PeerNumber(i)
 		p.others = append(p.others, other)
 	}
-	if s.AllPeers != "" {
-		if p.all, err = netip.ParseAddrPort(s.AllPeers); err != nil {
+	if station.AllPeers != "" {
+		if p.all, err = netip.ParseAddrPort(station.AllPeers); err != nil {
 			return nil, err
 		}
 	}
-	p.socket, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	p.socket, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	return p, err
 }
 
-// tell queues a message; like any datagram it may be lost, so a full queue drops it.
-func (p *peers) tell(t agent.Tell) {
+// enqueue queues a message; like any datagram it may be lost, so a full queue drops it.
+func (p *peerSocket) enqueue(message agent.SendMessage) {
 	select {
-	case p.out <- t:
+	case p.outgoing <- message:
 	default:
 	}
 }
 
-// send writes what is queued.
-func (p *peers) send(ctx context.Context) {
+// sendLoop writes what is queued.
+func (p *peerSocket) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-p.out:
-			if t.All && !p.all.IsValid() { // there is no address for all: one after the other
+		case message := <-p.outgoing:
+			if message.All && !p.all.IsValid() { // there is no address for all: one after the other
 				for _, other := range p.others {
-					p.write(t.Data, other)
+					p.write(message.Data, other)
 				}
 				continue
 			}
 			to := p.all
-			if !t.All {
-				if int(t.To) < 0 || int(t.To) >= len(p.others) {
+			if !message.All {
+				if int(message.To) < 0 || int(message.To) >= len(p.others) {
 					continue
 				}
-				to = p.others[t.To]
+				to = p.others[message.To]
 			}
-			p.write(t.Data, to)
+			p.write(message.Data, to)
 		}
 	}
 }
 
-func (p *peers) write(data []byte, to netip.AddrPort) {
-	if len(data) > mostMessage {
+func (p *peerSocket) write(data []byte, to netip.AddrPort) {
+	if len(data) > maxMessageSize {
 		p.log.Warn("message_dropped", "bytes", len(data), "to", to)
 		return
 	}
@@ -88,9 +88,9 @@
 	}
 }
 
-// hear reads messages until the socket is closed. One that is too long or from nobody known is dropped.
-func (p *peers) hear(tell func(agent.Event)) {
-	buffer := make([]byte, 2*mostMessage)
+// receiveLoop reads messages until the socket is closed. One that is too long or from nobody known is dropped.
+func (p *peerSocket) receiveLoop(deliver func(agent.Event)) {
+	buffer := make([]byte, 2*maxMessageSize)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -99,9 +99,9 @@
 			continue
 		}
 		number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !known || n > mostMessage {
+		if !known || n > maxMessageSize {
 			continue
 		}
-		tell(agent.Heard{From: number, Data: append([]byte(nil), buffer[:n]...)})
+		deliver(agent.MessageReceived{From: number, Data: append([]byte(nil), buffer[:n]...)})
 	}
 }
