--- a/httpagent/rules.go
+++ b/httpagent/rules.go
@@ -11,14 +11,14 @@
 	"sagelever/match"
 )
 
-// judged is an HTTP request as the operator's rules see it.
-type judged struct {
+// ruleSubject is an HTTP request as the operator's rules see it.
+type ruleSubject struct {
 	*http.Request
 	hint   time.Duration
 	effect string // of the workload that the path names, "" if it names none
 }
 
-func (r judged) Text(name string) string {
+func (r ruleSubject) Text(name string) string {
 	switch name {
 	case "method":
 		return r.Method
@@ -31,11 +31,11 @@
 	return ""
 }
 
-func (r judged) Segments() []string {
+func (r ruleSubject) Segments() []string {
 	return strings.Split(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 }
 
-func (r judged) Table(name string) match.Table {
+func (r ruleSubject) Table(name string) match.Table {
 	switch name {
 	case "header":
 		return match.Table{Of: r.Header, Fold: true}
@@ -55,19 +55,19 @@
 	return match.Table{}
 }
 
-func (r judged) Size() int64         { return r.ContentLength }
-func (r judged) Hint() time.Duration { return r.hint }
+func (r ruleSubject) Size() int64         { return r.ContentLength }
+func (r ruleSubject) Hint() time.Duration { return r.hint }
 
 // Sent is how repeatable a request is as it was sent.
-func (r judged) Sent() match.Repeatable {
+func (r ruleSubject) Sent() match.Repeatable {
 	return match.SentAs(r.Method, r.ContentLength != 0, r.Header.Get("Idempotency-Key") != "", r.effect)
 }
 
 // Deployment is what rules for this station have to fit.
 func (s *Station) Deployment() match.Deployment {
-	d := match.Deployment{Effects: map[string]string{}, Customers: term(s, "customers", []string(nil))}
-	for _, w := range term(s, "workloads", []string(nil)) {
-		d.Effects[w] = term(s, "workload."+w+".effect", "effectful")
+	d := match.Deployment{Effects: map[string]string{}, Customers: setting(s, "customers", []string(nil))}
+	for _, w := range setting(s, "workloads", []string(nil)) {
+		d.Effects[w] = setting(s, "workload."+w+".effect", "effectful")
 	}
 	return d
 }
@@ -75,8 +75,8 @@
 // Subject is a request as the rules of this station's agent see it.
 func (s *Station) Subject(r *http.Request) match.Subject {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
-	hint, _ := readHint(r.Header.Get("Work-Hint"))
-	return judged{r, hint, term(s, "workload."+name+".effect", "")}
+	hint, _ := parseWorkHint(r.Header.Get("Work-Hint"))
+	return ruleSubject{r, hint, setting(s, "workload."+name+".effect", "")}
 }
 
 // SetRules takes up other rules, nil for none. What was taken goes on as it was judged.
@@ -93,31 +93,31 @@
 	}
 }
 
-// judge lets the operator's rules say what a request is, and gives its workload: that of the path where no rule says
+// applyRules lets the operator's rules say what a request is, and gives its workload: that of the path where no rule says
 // another.
-func (a *Agent) judge(r *http.Request, x *asked, byPath, effect string) (workload string, err error) {
+func (a *Agent) applyRules(r *http.Request, request *clientRequest, byPath, effect string) (workload string, err error) {
 	rules := a.rules.Load()
 	if rules == nil {
 		return byPath, nil
 	}
-	j := (*rules).Judge(judged{r, x.Cost, effect})
-	if j.Trouble != nil {
-		a.troubled.line("rule_error", "error", j.Trouble)
+	judgement := (*rules).Judge(ruleSubject{r, request.Cost, effect})
+	if judgement.Trouble != nil {
+		a.ruleErrorLog.warn("rule_error", "error", judgement.Trouble)
 	}
-	if j.Refused != nil {
-		return "", badRequest{http.StatusBadRequest, j.Refused.Error()}
+	if judgement.Refused != nil {
+		return "", requestError{http.StatusBadRequest, judgement.Refused.Error()}
 	}
-	if j.Key != "" {
-		x.Key = agent.Key(j.Key)
+	if judgement.Key != "" {
+		request.Key = agent.AffinityKey(judgement.Key)
 	}
-	if j.Customer != "" {
-		x.Customer = agent.Customer(j.Customer)
+	if judgement.Customer != "" {
+		request.Customer = agent.Customer(judgement.Customer)
 	}
-	if j.Cost > 0 {
-		x.Cost, x.CostKnown = j.Cost, true
+	if judgement.Cost > 0 {
+		request.Cost, request.CostKnown = judgement.Cost, true
 	}
-	if j.Workload != "" {
-		return j.Workload, nil
+	if judgement.Workload != "" {
+		return judgement.Workload, nil
 	}
 	return byPath, nil
 }
--- a/httpagent/station.go
+++ b/httpagent/station.go
@@ -18,7 +18,7 @@
 	Name      string   `json:"name"`
 	Listen    string   `json:"listen"`
 	Discovery string   `json:"discovery"`
-	Seed      seed     `json:"seed"`
+	Seed      hexSeed  `json:"seed"`
 	Limits    Limits   `json:"limits"`
 	PeerAt    string   `json:"peer_listen"`
 	Peers     []string `json:"peers"`
@@ -32,7 +32,7 @@
 	Log      *slog.Logger    `json:"-"` // slog.Default() if nil
 	Rules    match.Judge     `json:"-"` // the operator's rules, nil if none
 
-	terms map[string]any
+	deploymentSettings map[string]any
 }
 
 // Limits are what the process may use; 0 is no limit.
@@ -42,10 +42,10 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// seed is written as hexadecimal digits.
-type seed uint64
+// hexSeed is written as hexadecimal digits.
+type hexSeed uint64
 
-func (s *seed) UnmarshalJSON(text []byte) error {
+func (s *hexSeed) UnmarshalJSON(text []byte) error {
 	var digits string
 	if err := json.Unmarshal(text, &digits); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if err != nil {
 		return fmt.Errorf("seed %q is not hexadecimal", digits)
 	}
-	*s = seed(v)
+	*s = hexSeed(v)
 	return nil
 }
 
@@ -100,35 +100,35 @@
 	if s.Limits.Cores < 0 || s.Limits.MemoryMB < 0 || s.Limits.Sockets < 0 {
 		return fmt.Errorf("limits are below 0: %+v", s.Limits)
 	}
-	if !given(s.Settings) {
+	if !present(s.Settings) {
 		return fmt.Errorf("settings are missing")
 	}
 	var err error
-	if s.terms, err = terms.Read(s.Settings); err != nil {
+	if s.deploymentSettings, err = terms.Parse(s.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if w, _ := s.terms["workloads"].([]string); len(w) == 0 {
+	if w, _ := s.deploymentSettings["workloads"].([]string); len(w) == 0 {
 		return fmt.Errorf("settings name no workload (classes)")
 	}
-	if given(s.Known) {
-		if _, err := readList(s.Known, time.Now()); err != nil {
+	if present(s.Known) {
+		if _, err := parseBackendList(s.Known, time.Now()); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	if given(s.Platform.News) {
-		if _, err := readNews(s.Platform.News); err != nil {
+	if present(s.Platform.News) {
+		if _, err := parseRollout(s.Platform.News); err != nil {
 			return fmt.Errorf("platform.news: %w", err)
 		}
 	}
 	return nil
 }
 
-// given tells whether a part of the configuration is there.
-func given(part json.RawMessage) bool { return len(part) > 0 && string(part) != "null" }
+// present tells whether a part of the configuration is there.
+func present(part json.RawMessage) bool { return len(part) > 0 && string(part) != "null" }
 
-// term reads one of the deployment's terms, or gives what holds where it names none.
-func term[T any](s *Station, name string, otherwise T) T {
-	if v, ok := s.terms[name].(T); ok {
+// setting reads one of the deployment's terms, or gives what holds where it names none.
+func setting[T any](s *Station, name string, otherwise T) T {
+	if v, ok := s.deploymentSettings[name].(T); ok {
 		return v
 	}
 	return otherwise
--- a/internal/control/membership/set_easyjson.go
+++ b/internal/control/membership/configuration_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAb31f886DecodeSageleverInternalControlMembership(in *jlexer.Lexer, out *Set) {
+func easyjsonA0a30a08DecodeSageleverInternalControlMembership(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -41,7 +41,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Lose = int(in.Int())
+				out.MaxFailures = int(in.Int())
 			}
 		case "m":
 			if in.IsNull() {
@@ -60,7 +60,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v1 Member
-					easyjsonAb31f886DecodeSageleverInternalControlMembership1(in, &v1)
+					easyjsonA0a30a08DecodeSageleverInternalControlMembership1(in, &v1)
 					out.Members = append(out.Members, v1)
 					in.WantComma()
 				}
@@ -83,7 +83,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v2 Member
-					easyjsonAb31f886DecodeSageleverInternalControlMembership1(in, &v2)
+					easyjsonA0a30a08DecodeSageleverInternalControlMembership1(in, &v2)
 					out.Previous = append(out.Previous, v2)
 					in.WantComma()
 				}
@@ -93,7 +93,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.PrevLose = int(in.Int())
+				out.PreviousMaxFailures = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -105,7 +105,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAb31f886EncodeSageleverInternalControlMembership(out *jwriter.Writer, in Set) {
+func easyjsonA0a30a08EncodeSageleverInternalControlMembership(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -117,7 +117,7 @@
 	{
 		const prefix string = ",\"f\":"
 		out.RawString(prefix)
-		out.Int(int(in.Lose))
+		out.Int(int(in.MaxFailures))
 	}
 	{
 		const prefix string = ",\"m\":"
@@ -130,7 +130,7 @@
 				if v3 > 0 {
 					out.RawByte(',')
 				}
-				easyjsonAb31f886EncodeSageleverInternalControlMembership1(out, v4)
+				easyjsonA0a30a08EncodeSageleverInternalControlMembership1(out, v4)
 			}
 			out.RawByte(']')
 		}
@@ -144,43 +144,43 @@
 				if v5 > 0 {
 					out.RawByte(',')
 				}
-				easyjsonAb31f886EncodeSageleverInternalControlMembership1(out, v6)
+				easyjsonA0a30a08EncodeSageleverInternalControlMembership1(out, v6)
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.PrevLose != 0 {
+	if in.PreviousMaxFailures != 0 {
 		const prefix string = ",\"q\":"
 		out.RawString(prefix)
-		out.Int(int(in.PrevLose))
+		out.Int(int(in.PreviousMaxFailures))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Set) MarshalJSON() ([]byte, error) {
+func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAb31f886EncodeSageleverInternalControlMembership(&w, v)
+	easyjsonA0a30a08EncodeSageleverInternalControlMembership(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Set) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAb31f886EncodeSageleverInternalControlMembership(w, v)
+func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonA0a30a08EncodeSageleverInternalControlMembership(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Set) UnmarshalJSON(data []byte) error {
+func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAb31f886DecodeSageleverInternalControlMembership(&r, v)
+	easyjsonA0a30a08DecodeSageleverInternalControlMembership(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Set) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAb31f886DecodeSageleverInternalControlMembership(l, v)
+func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonA0a30a08DecodeSageleverInternalControlMembership(l, v)
 }
-func easyjsonAb31f886DecodeSageleverInternalControlMembership1(in *jlexer.Lexer, out *Member) {
+func easyjsonA0a30a08DecodeSageleverInternalControlMembership1(in *jlexer.Lexer, out *Member) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -216,7 +216,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Disk = string(in.String())
+				out.DiskID = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -228,7 +228,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAb31f886EncodeSageleverInternalControlMembership1(out *jwriter.Writer, in Member) {
+func easyjsonA0a30a08EncodeSageleverInternalControlMembership1(out *jwriter.Writer, in Member) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -247,10 +247,10 @@
 		out.RawString(prefix)
 		out.String(string(in.Addr))
 	}
-	if in.Disk != "" {
+	if in.DiskID != "" {
 		const prefix string = ",\"d\":"
 		out.RawString(prefix)
-		out.String(string(in.Disk))
+		out.String(string(in.DiskID))
 	}
 	out.RawByte('}')
 }
--- a/internal/control/quorum/quorum_easyjson.go
+++ b/internal/control/quorum/quorum_easyjson.go
@@ -138,7 +138,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Gone = bool(in.Bool())
+				out.Deleted = bool(in.Bool())
 			}
 		case "b":
 			if in.IsNull() {
@@ -150,7 +150,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Note = string(in.String())
+				out.Annotation = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -171,24 +171,24 @@
 		out.RawString(prefix[1:])
 		out.Uint64(uint64(in.Version))
 	}
-	if in.Gone {
+	if in.Deleted {
 		const prefix string = ",\"g\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Gone))
+		out.Bool(bool(in.Deleted))
 	}
 	if in.Body != "" {
 		const prefix string = ",\"b\":"
 		out.RawString(prefix)
 		out.String(string(in.Body))
 	}
-	if in.Note != "" {
+	if in.Annotation != "" {
 		const prefix string = ",\"n\":"
 		out.RawString(prefix)
-		out.String(string(in.Note))
+		out.String(string(in.Annotation))
 	}
 	out.RawByte('}')
 }
-func easyjsonA60574f3DecodeSageleverInternalControlQuorum1(in *jlexer.Lexer, out *Ballot) {
+func easyjsonA60574f3DecodeSageleverInternalControlQuorum1(in *jlexer.Lexer, out *ProposalNumber) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -212,13 +212,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.N = uint64(in.Uint64())
+				out.Number = uint64(in.Uint64())
 			}
 		case "w":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Who = string(in.String())
+				out.Proposer = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -230,7 +230,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA60574f3EncodeSageleverInternalControlQuorum1(out *jwriter.Writer, in Ballot) {
+func easyjsonA60574f3EncodeSageleverInternalControlQuorum1(out *jwriter.Writer, in ProposalNumber) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -248,12 +248,12 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Uint64(uint64(in.N))
+		out.Uint64(uint64(in.Number))
 	}
-	if in.Who != "" {
+	if in.Proposer != "" {
 		const prefix string = ",\"w\":"
 		out.RawString(prefix)
-		out.String(string(in.Who))
+		out.String(string(in.Proposer))
 	}
 	out.RawByte('}')
 }
--- a/internal/control/rangesync/fingerprint.go
+++ b/internal/control/rangesync/fingerprint.go
@@ -17,21 +17,21 @@
 	high, low uint64
 }
 
-// digestBytes is the length of a digest in bytes, and digestText that of its text in a message.
+// digestBytes is the length of a digest in bytes, and digestTextBytes that of its text in a message.
 const (
-	digestBytes = 16
-	digestText  = 22
+	digestBytes     = 16
+	digestTextBytes = 22
 )
 
-// Plus is the digest of two disjoint sets together.
-func (d Digest) Plus(other Digest) Digest {
+// Add is the digest of two disjoint sets together.
+func (d Digest) Add(other Digest) Digest {
 	low, carry := bits.Add64(d.low, other.low, 0)
 	high, _ := bits.Add64(d.high, other.high, carry)
 	return Digest{high, low}
 }
 
-// Minus is the digest of a set without a part of it.
-func (d Digest) Minus(other Digest) Digest {
+// Sub is the digest of a set without a part of it.
+func (d Digest) Sub(other Digest) Digest {
 	low, borrow := bits.Sub64(d.low, other.low, 0)
 	high, _ := bits.Sub64(d.high, other.high, borrow)
 	return Digest{high, low}
@@ -65,36 +65,36 @@
 	digest Digest
 }
 
-// Ballot is the ballot under which a value was accepted.
-type Ballot struct {
-	Epoch  uint64
-	Number uint64
-	Member string
+// ProposalNumber is the ballot under which a value was accepted.
+type ProposalNumber struct {
+	Epoch    uint64
+	Number   uint64
+	Proposer string
 }
 
-// State is what one member knows of a register's value.
-type State struct {
-	Chosen   bool
-	Version  uint64 // of the value
-	Note     string // of the value's writer, which may change under one version
-	Accepted Ballot
+// RegisterState is what one member knows of a register's value.
+type RegisterState struct {
+	Chosen     bool
+	Version    uint64 // of the value
+	Annotation string // of the value's writer, which may change under one version
+	Accepted   ProposalNumber
 }
 
-// FingerprintOf is the fingerprint of a register. The version and the note of a chosen value say all, whichever ballot it came
+// NewFingerprint is the fingerprint of a register. The version and the note of a chosen value say all, whichever ballot it came
 // by; of one that is not known to be chosen the ballot says all.
-func FingerprintOf(key string, state State) Fingerprint {
+func NewFingerprint(key string, state RegisterState) Fingerprint {
 	text := make([]byte, 0, 128) // on the stack for usual keys
 	text = binary.AppendUvarint(text, uint64(len(key)))
 	text = append(text, key...)
 	if state.Chosen {
 		text = append(text, 1)
 		text = binary.BigEndian.AppendUint64(text, state.Version)
-		text = append(text, state.Note...)
+		text = append(text, state.Annotation...)
 	} else {
 		text = append(text, 0)
 		text = binary.BigEndian.AppendUint64(text, state.Accepted.Epoch)
 		text = binary.BigEndian.AppendUint64(text, state.Accepted.Number)
-		text = append(text, state.Accepted.Member...)
+		text = append(text, state.Accepted.Proposer...)
 	}
 	sum := sha256.Sum256(text)
 	return Fingerprint{Digest{binary.BigEndian.Uint64(sum[:8]), binary.BigEndian.Uint64(sum[8:])}}
--- a/internal/control/rangesync/index.go
+++ b/internal/control/rangesync/index.go
@@ -15,13 +15,13 @@
 
 // Bounds on the size of a node: one that is larger is split, one that is smaller is joined with its neighbour.
 const (
-	mostInNode  = 64
-	leastInNode = mostInNode / 4
+	maxNodeSize = 64
+	minNodeSize = maxNodeSize / 4
 )
 
 // node is a leaf with entries, or an inner node with children.
 type node struct {
-	least    string // no key below is smaller, and every key of the neighbour before is; unused in a first child
+	minKey   string // no key below is smaller, and every key of the neighbour before is; unused in a first child
 	summary  Summary
 	entries  []entry
 	children []*node
@@ -44,13 +44,13 @@
 func (x *Index) Set(key string, fingerprint Fingerprint) {
 	e := entry{key, fingerprint.digest}
 	before := x.root.set(e)
-	x.history.note(change{key: key, before: before, after: e.summary()})
-	if x.root.size() <= mostInNode {
+	x.history.record(change{key: key, before: before, after: e.summary()})
+	if x.root.size() <= maxNodeSize {
 		return
 	}
 	left := x.root
 	right := left.split()
-	x.root = &node{children: []*node{left, right}, summary: left.summary.plus(right.summary)}
+	x.root = &node{children: []*node{left, right}, summary: left.summary.add(right.summary)}
 }
 
 // Remove takes a key out; nothing happens where it is not there.
@@ -66,15 +66,15 @@
 func (x *Index) Summary(r Range) Summary {
 	upTo := x.root.summary
 	if r.To != "" {
-		upTo = x.root.before(r.To)
+		upTo = x.root.summaryBefore(r.To)
 	}
-	return upTo.minus(x.root.before(r.From))
+	return upTo.sub(x.root.summaryBefore(r.From))
 }
 
 // Keys lists the keys in a range in order, the first most of them.
-func (x *Index) Keys(r Range, most int) (keys []string) {
+func (x *Index) Keys(r Range, limit int) (keys []string) {
 	x.each(r, func(key string) bool {
-		if len(keys) == most {
+		if len(keys) == limit {
 			return false
 		}
 		keys = append(keys, key)
@@ -84,83 +84,83 @@
 }
 
 // each goes through the keys in a range in order until it is told to stop.
-func (x *Index) each(r Range, visit func(key string) (goOn bool)) {
+func (x *Index) each(r Range, visit func(key string) (keepGoing bool)) {
 	x.root.each(r, visit)
 }
 
 // size is the number of entries or children.
 func (n *node) size() int { return len(n.entries) + len(n.children) }
 
-// find is where a key stands among the entries of a leaf, or would be put.
-func (n *node) find(key string) (at int, found bool) {
-	at = sort.Search(len(n.entries), func(i int) bool { return n.entries[i].key >= key })
-	return at, at < len(n.entries) && n.entries[at].key == key
+// search is where a key stands among the entries of a leaf, or would be put.
+func (n *node) search(key string) (position int, found bool) {
+	position = sort.Search(len(n.entries), func(i int) bool { return n.entries[i].key >= key })
+	return position, position < len(n.entries) && n.entries[position].key == key
 }
 
-// childFor is the child in which a key stands, or would be put.
-func (n *node) childFor(key string) int {
+// childIndex is the child in which a key stands, or would be put.
+func (n *node) childIndex(key string) int {
 	rest := n.children[1:]
-	return sort.Search(len(rest), func(i int) bool { return rest[i].least > key })
+	return sort.Search(len(rest), func(i int) bool { return rest[i].minKey > key })
 }
 
 // set puts an entry in its place and hands back what was there.
 func (n *node) set(e entry) (before Summary) {
 	if n.children == nil {
-		return n.setEntry(e)
+		return n.setInLeaf(e)
 	}
-	at := n.childFor(e.key)
+	at := n.childIndex(e.key)
 	child := n.children[at]
 	before = child.set(e)
-	n.summary = n.summary.minus(before).plus(e.summary())
-	if child.size() > mostInNode {
+	n.summary = n.summary.sub(before).add(e.summary())
+	if child.size() > maxNodeSize {
 		n.children = slices.Insert(n.children, at+1, child.split())
 	}
 	return before
 }
 
-func (n *node) setEntry(e entry) (before Summary) {
-	at, found := n.find(e.key)
+func (n *node) setInLeaf(e entry) (before Summary) {
+	at, found := n.search(e.key)
 	if found {
 		before = n.entries[at].summary()
 		n.entries[at].digest = e.digest
 	} else {
 		n.entries = slices.Insert(n.entries, at, e)
 	}
-	n.summary = n.summary.minus(before).plus(e.summary())
+	n.summary = n.summary.sub(before).add(e.summary())
 	return before
 }
 
 func (n *node) remove(key string) {
 	if n.children == nil {
-		n.removeEntry(key)
+		n.removeFromLeaf(key)
 		return
 	}
-	at := n.childFor(key)
+	at := n.childIndex(key)
 	child := n.children[at]
-	n.summary = n.summary.minus(child.summary)
+	n.summary = n.summary.sub(child.summary)
 	child.remove(key)
-	n.summary = n.summary.plus(child.summary)
-	if child.size() < leastInNode && len(n.children) > 1 {
-		n.join(max(at-1, 0))
+	n.summary = n.summary.add(child.summary)
+	if child.size() < minNodeSize && len(n.children) > 1 {
+		n.mergeChildren(max(at-1, 0))
 	}
 }
 
-func (n *node) removeEntry(key string) {
-	at, found := n.find(key)
+func (n *node) removeFromLeaf(key string) {
+	at, found := n.search(key)
 	if !found {
 		return
 	}
-	n.summary = n.summary.minus(n.entries[at].summary())
+	n.summary = n.summary.sub(n.entries[at].summary())
 	n.entries = slices.Delete(n.entries, at, at+1)
 }
 
-// join puts two neighbouring children together, and splits them evenly where that is too much for one.
-func (n *node) join(at int) {
+// mergeChildren puts two neighbouring children together, and splits them evenly where that is too much for one.
+func (n *node) mergeChildren(at int) {
 	left, right := n.children[at], n.children[at+1]
 	left.entries = append(left.entries, right.entries...)
 	left.children = append(left.children, right.children...)
-	left.summary = left.summary.plus(right.summary)
-	if left.size() > mostInNode {
+	left.summary = left.summary.add(right.summary)
+	if left.size() > maxNodeSize {
 		n.children[at+1] = left.split()
 		return
 	}
@@ -175,61 +175,61 @@
 		half := len(n.entries) / 2
 		right.entries = slices.Clone(n.entries[half:])
 		n.entries = slices.Clone(n.entries[:half])
-		right.least = right.entries[0].key
+		right.minKey = right.entries[0].key
 	} else {
 		half := len(n.children) / 2
 		right.children = slices.Clone(n.children[half:])
 		n.children = slices.Clone(n.children[:half])
-		right.least = right.children[0].least
+		right.minKey = right.children[0].minKey
 	}
-	right.summary = right.sumUp()
-	n.summary = n.summary.minus(right.summary)
+	right.summary = right.computeSummary()
+	n.summary = n.summary.sub(right.summary)
 	return right
 }
 
-func (n *node) sumUp() (s Summary) {
+func (n *node) computeSummary() (s Summary) {
 	for _, e := range n.entries {
-		s = s.plus(e.summary())
+		s = s.add(e.summary())
 	}
 	for _, c := range n.children {
-		s = s.plus(c.summary)
+		s = s.add(c.summary)
 	}
 	return s
 }
 
-// before sums up the entries with keys smaller than this.
-func (n *node) before(key string) (s Summary) {
+// summaryBefore sums up the entries with keys smaller than this.
+func (n *node) summaryBefore(key string) (s Summary) {
 	if n.children == nil {
-		at, _ := n.find(key)
+		at, _ := n.search(key)
 		for _, e := range n.entries[:at] {
-			s = s.plus(e.summary())
+			s = s.add(e.summary())
 		}
 		return s
 	}
-	at := n.childFor(key)
+	at := n.childIndex(key)
 	for _, c := range n.children[:at] {
-		s = s.plus(c.summary)
+		s = s.add(c.summary)
 	}
-	return s.plus(n.children[at].before(key))
+	return s.add(n.children[at].summaryBefore(key))
 }
 
-// at is the key with so many before it.
-func (n *node) at(rank int) string {
+// keyAt is the key with so many before it.
+func (n *node) keyAt(rank int) string {
 	if n.children == nil {
 		return n.entries[rank].key
 	}
 	for _, c := range n.children {
 		if rank < c.summary.Count {
-			return c.at(rank)
+			return c.keyAt(rank)
 		}
 		rank -= c.summary.Count
 	}
 	panic("rangesync: a rank beyond the last key")
 }
 
-func (n *node) each(r Range, visit func(key string) (goOn bool)) (goOn bool) {
+func (n *node) each(r Range, visit func(key string) (keepGoing bool)) (keepGoing bool) {
 	if n.children == nil {
-		at, _ := n.find(r.From)
+		at, _ := n.search(r.From)
 		for _, e := range n.entries[at:] {
 			if r.endsBefore(e.key) || !visit(e.key) {
 				return false
@@ -237,7 +237,7 @@
 		}
 		return true
 	}
-	for _, c := range n.children[n.childFor(r.From):] {
+	for _, c := range n.children[n.childIndex(r.From):] {
 		if !c.each(r, visit) {
 			return false
 		}
--- a/internal/control/rangesync/messages_easyjson.go
+++ b/internal/control/rangesync/messages_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson66c1e240DecodeSageleverInternalControlRangesync(in *jlexer.Lexer, out *Request) {
+func easyjson66c1e240DecodeSageleverInternalControlRangesync(in *jlexer.Lexer, out *Response) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -51,15 +51,15 @@
 				in.Delim('[')
 				if out.Ranges == nil {
 					if !in.IsDelim(']') {
-						out.Ranges = make([]Asked, 0, 1)
+						out.Ranges = make([]RangeResult, 0, 0)
 					} else {
-						out.Ranges = []Asked{}
+						out.Ranges = []RangeResult{}
 					}
 				} else {
 					out.Ranges = (out.Ranges)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Asked
+					var v1 RangeResult
 					easyjson66c1e240DecodeSageleverInternalControlRangesync1(in, &v1)
 					out.Ranges = append(out.Ranges, v1)
 					in.WantComma()
@@ -76,7 +76,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlRangesync(out *jwriter.Writer, in Request) {
+func easyjson66c1e240EncodeSageleverInternalControlRangesync(out *jwriter.Writer, in Response) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -110,29 +110,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Request) MarshalJSON() ([]byte, error) {
+func (v Response) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeSageleverInternalControlRangesync(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Request) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Response) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeSageleverInternalControlRangesync(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Request) UnmarshalJSON(data []byte) error {
+func (v *Response) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeSageleverInternalControlRangesync(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Request) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Response) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeSageleverInternalControlRangesync(l, v)
 }
-func easyjson66c1e240DecodeSageleverInternalControlRangesync1(in *jlexer.Lexer, out *Asked) {
+func easyjson66c1e240DecodeSageleverInternalControlRangesync1(in *jlexer.Lexer, out *RangeResult) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -150,31 +150,94 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.All = bool(in.Bool())
+				out.Truncated = bool(in.Bool())
 			}
-		case "n":
+		case "m":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = int(in.Int())
+				out.ResumeFrom = string(in.String())
 			}
-		case "d":
+		case "b":
 			if in.IsNull() {
 				in.Skip()
+				out.SplitKeys = nil
 			} else {
-				(out.Digest).UnmarshalEasyJSON(in)
+				in.Delim('[')
+				if out.SplitKeys == nil {
+					if !in.IsDelim(']') {
+						out.SplitKeys = make([]string, 0, 4)
+					} else {
+						out.SplitKeys = []string{}
+					}
+				} else {
+					out.SplitKeys = (out.SplitKeys)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v4 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v4 = string(in.String())
+					}
+					out.SplitKeys = append(out.SplitKeys, v4)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "f":
+		case "c":
 			if in.IsNull() {
 				in.Skip()
+				out.PartCounts = nil
 			} else {
-				out.From = string(in.String())
+				in.Delim('[')
+				if out.PartCounts == nil {
+					if !in.IsDelim(']') {
+						out.PartCounts = make([]int, 0, 8)
+					} else {
+						out.PartCounts = []int{}
+					}
+				} else {
+					out.PartCounts = (out.PartCounts)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v5 int
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v5 = int(in.Int())
+					}
+					out.PartCounts = append(out.PartCounts, v5)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "t":
+		case "d":
 			if in.IsNull() {
 				in.Skip()
+				out.PartDigests = nil
 			} else {
-				out.To = string(in.String())
+				in.Delim('[')
+				if out.PartDigests == nil {
+					if !in.IsDelim(']') {
+						out.PartDigests = make([]Digest, 0, 4)
+					} else {
+						out.PartDigests = []Digest{}
+					}
+				} else {
+					out.PartDigests = (out.PartDigests)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v6 Digest
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v6).UnmarshalEasyJSON(in)
+					}
+					out.PartDigests = append(out.PartDigests, v6)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -186,49 +249,86 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlRangesync1(out *jwriter.Writer, in Asked) {
+func easyjson66c1e240EncodeSageleverInternalControlRangesync1(out *jwriter.Writer, in RangeResult) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.All {
+	if in.Truncated {
 		const prefix string = ",\"a\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Bool(bool(in.All))
+		out.Bool(bool(in.Truncated))
 	}
-	if in.Count != 0 {
-		const prefix string = ",\"n\":"
+	if in.ResumeFrom != "" {
+		const prefix string = ",\"m\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int(int(in.Count))
+		out.String(string(in.ResumeFrom))
 	}
-	{
-		const prefix string = ",\"d\":"
+	if len(in.SplitKeys) != 0 {
+		const prefix string = ",\"b\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		(in.Digest).MarshalEasyJSON(out)
+		{
+			out.RawByte('[')
+			for v7, v8 := range in.SplitKeys {
+				if v7 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v8))
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.From != "" {
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		out.String(string(in.From))
+	if len(in.PartCounts) != 0 {
+		const prefix string = ",\"c\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		{
+			out.RawByte('[')
+			for v9, v10 := range in.PartCounts {
+				if v9 > 0 {
+					out.RawByte(',')
+				}
+				out.Int(int(v10))
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.To != "" {
-		const prefix string = ",\"t\":"
-		out.RawString(prefix)
-		out.String(string(in.To))
+	if len(in.PartDigests) != 0 {
+		const prefix string = ",\"d\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		{
+			out.RawByte('[')
+			for v11, v12 := range in.PartDigests {
+				if v11 > 0 {
+					out.RawByte(',')
+				}
+				(v12).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
-func easyjson66c1e240DecodeSageleverInternalControlRangesync2(in *jlexer.Lexer, out *Answer) {
+func easyjson66c1e240DecodeSageleverInternalControlRangesync2(in *jlexer.Lexer, out *Request) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -262,17 +362,17 @@
 				in.Delim('[')
 				if out.Ranges == nil {
 					if !in.IsDelim(']') {
-						out.Ranges = make([]Told, 0, 0)
+						out.Ranges = make([]RangeQuery, 0, 1)
 					} else {
-						out.Ranges = []Told{}
+						out.Ranges = []RangeQuery{}
 					}
 				} else {
 					out.Ranges = (out.Ranges)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v4 Told
-					easyjson66c1e240DecodeSageleverInternalControlRangesync3(in, &v4)
-					out.Ranges = append(out.Ranges, v4)
+					var v13 RangeQuery
+					easyjson66c1e240DecodeSageleverInternalControlRangesync3(in, &v13)
+					out.Ranges = append(out.Ranges, v13)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -287,7 +387,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlRangesync2(out *jwriter.Writer, in Answer) {
+func easyjson66c1e240EncodeSageleverInternalControlRangesync2(out *jwriter.Writer, in Request) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -308,11 +408,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v5, v6 := range in.Ranges {
-				if v5 > 0 {
+			for v14, v15 := range in.Ranges {
+				if v14 > 0 {
 					out.RawByte(',')
 				}
-				easyjson66c1e240EncodeSageleverInternalControlRangesync3(out, v6)
+				easyjson66c1e240EncodeSageleverInternalControlRangesync3(out, v15)
 			}
 			out.RawByte(']')
 		}
@@ -321,29 +421,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Answer) MarshalJSON() ([]byte, error) {
+func (v Request) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeSageleverInternalControlRangesync2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Answer) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Request) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeSageleverInternalControlRangesync2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Answer) UnmarshalJSON(data []byte) error {
+func (v *Request) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeSageleverInternalControlRangesync2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Answer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Request) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeSageleverInternalControlRangesync2(l, v)
 }
-func easyjson66c1e240DecodeSageleverInternalControlRangesync3(in *jlexer.Lexer, out *Told) {
+func easyjson66c1e240DecodeSageleverInternalControlRangesync3(in *jlexer.Lexer, out *RangeQuery) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -361,94 +461,31 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Again = bool(in.Bool())
+				out.WantAll = bool(in.Bool())
 			}
-		case "m":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rest = string(in.String())
+				out.Count = int(in.Int())
 			}
-		case "b":
+		case "d":
 			if in.IsNull() {
 				in.Skip()
-				out.Bounds = nil
 			} else {
-				in.Delim('[')
-				if out.Bounds == nil {
-					if !in.IsDelim(']') {
-						out.Bounds = make([]string, 0, 4)
-					} else {
-						out.Bounds = []string{}
-					}
-				} else {
-					out.Bounds = (out.Bounds)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v7 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v7 = string(in.String())
-					}
-					out.Bounds = append(out.Bounds, v7)
-					in.WantComma()
-				}
-				in.Delim(']')
+				(out.Digest).UnmarshalEasyJSON(in)
 			}
-		case "c":
+		case "f":
 			if in.IsNull() {
 				in.Skip()
-				out.Counts = nil
 			} else {
-				in.Delim('[')
-				if out.Counts == nil {
-					if !in.IsDelim(']') {
-						out.Counts = make([]int, 0, 8)
-					} else {
-						out.Counts = []int{}
-					}
-				} else {
-					out.Counts = (out.Counts)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v8 int
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v8 = int(in.Int())
-					}
-					out.Counts = append(out.Counts, v8)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.From = string(in.String())
 			}
-		case "d":
+		case "t":
 			if in.IsNull() {
 				in.Skip()
-				out.Digests = nil
 			} else {
-				in.Delim('[')
-				if out.Digests == nil {
-					if !in.IsDelim(']') {
-						out.Digests = make([]Digest, 0, 4)
-					} else {
-						out.Digests = []Digest{}
-					}
-				} else {
-					out.Digests = (out.Digests)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v9 Digest
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v9).UnmarshalEasyJSON(in)
-					}
-					out.Digests = append(out.Digests, v9)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.To = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -460,82 +497,45 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlRangesync3(out *jwriter.Writer, in Told) {
+func easyjson66c1e240EncodeSageleverInternalControlRangesync3(out *jwriter.Writer, in RangeQuery) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Again {
+	if in.WantAll {
 		const prefix string = ",\"a\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Bool(bool(in.Again))
+		out.Bool(bool(in.WantAll))
 	}
-	if in.Rest != "" {
-		const prefix string = ",\"m\":"
+	if in.Count != 0 {
+		const prefix string = ",\"n\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		out.String(string(in.Rest))
+		out.Int(int(in.Count))
 	}
-	if len(in.Bounds) != 0 {
-		const prefix string = ",\"b\":"
+	{
+		const prefix string = ",\"d\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		{
-			out.RawByte('[')
-			for v10, v11 := range in.Bounds {
-				if v10 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v11))
-			}
-			out.RawByte(']')
-		}
+		(in.Digest).MarshalEasyJSON(out)
 	}
-	if len(in.Counts) != 0 {
-		const prefix string = ",\"c\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		{
-			out.RawByte('[')
-			for v12, v13 := range in.Counts {
-				if v12 > 0 {
-					out.RawByte(',')
-				}
-				out.Int(int(v13))
-			}
-			out.RawByte(']')
-		}
+	if in.From != "" {
+		const prefix string = ",\"f\":"
+		out.RawString(prefix)
+		out.String(string(in.From))
 	}
-	if len(in.Digests) != 0 {
-		const prefix string = ",\"d\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		{
-			out.RawByte('[')
-			for v14, v15 := range in.Digests {
-				if v14 > 0 {
-					out.RawByte(',')
-				}
-				(v15).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+	if in.To != "" {
+		const prefix string = ",\"t\":"
+		out.RawString(prefix)
+		out.String(string(in.To))
 	}
 	out.RawByte('}')
 }
--- a/internal/control/rangesync/range.go
+++ b/internal/control/rangesync/range.go
@@ -8,21 +8,21 @@
 	To   string `json:"t,omitempty"`
 }
 
-// Prefix is the range of the keys that begin with a prefix, of keys that are valid UTF-8. Its ends are valid UTF-8 too, as
+// PrefixRange is the range of the keys that begin with a prefix, of keys that are valid UTF-8. Its ends are valid UTF-8 too, as
 // they go into messages.
-func Prefix(prefix string) Range {
+func PrefixRange(prefix string) Range {
 	for head := prefix; head != ""; {
 		last, size := utf8.DecodeLastRuneInString(head)
 		head = head[:len(head)-size]
 		if last < utf8.MaxRune {
-			return Range{From: prefix, To: head + string(runeAfter(last))}
+			return Range{From: prefix, To: head + string(nextRune(last))}
 		}
 	}
 	return Range{From: prefix}
 }
 
-// runeAfter is the next code point that UTF-8 can carry.
-func runeAfter(r rune) rune {
+// nextRune is the next code point that UTF-8 can carry.
+func nextRune(r rune) rune {
 	const lastBeforeSurrogates, firstAfterSurrogates = 0xD7FF, 0xE000
 	if r == lastBeforeSurrogates {
 		return firstAfterSurrogates
@@ -39,8 +39,8 @@
 // valid tells whether the ends are in order.
 func (r Range) valid() bool { return r.To == "" || r.From < r.To }
 
-// splits tells whether a bound lies truly inside the range, so that both sides of it are smaller ranges.
-func (r Range) splits(bound string) bool { return r.From < bound && !r.endsBefore(bound) }
+// containsSplit tells whether a bound lies truly inside the range, so that both sides of it are smaller ranges.
+func (r Range) containsSplit(bound string) bool { return r.From < bound && !r.endsBefore(bound) }
 
 // Summary is what is said of the entries in a range: two that are equal stand for equal entries.
 type Summary struct {
@@ -48,16 +48,16 @@
 	Digest Digest `json:"d"`
 }
 
-func (s Summary) plus(other Summary) Summary {
-	return Summary{s.Count + other.Count, s.Digest.Plus(other.Digest)}
+func (s Summary) add(other Summary) Summary {
+	return Summary{s.Count + other.Count, s.Digest.Add(other.Digest)}
 }
 
-func (s Summary) minus(other Summary) Summary {
-	return Summary{s.Count - other.Count, s.Digest.Minus(other.Digest)}
+func (s Summary) sub(other Summary) Summary {
+	return Summary{s.Count - other.Count, s.Digest.Sub(other.Digest)}
 }
 
-// separator is a short text between two neighbouring keys: low < separator <= high.
-func separator(low, high string) string {
+// shortestSeparator is a short text between two neighbouring keys: low < separator <= high.
+func shortestSeparator(low, high string) string {
 	cut := 0
 	for cut < len(low) && low[cut] == high[cut] { // low < high: high does not end before they differ
 		cut++
--- a/internal/control/replica/clock.go
+++ b/internal/control/replica/clock.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// keepTime notes how late it is, and where the clock was set back brings what waits for a moment forward by as much: else a
+// observeClock notes how late it is, and where the clock was set back brings what waits for a moment forward by as much: else a
 // round that lost a message, or a value without an end, would wait for the time that was set back.
-func (m *Replica) keepTime(now time.Time) {
-	back := m.latest.Sub(now)
-	m.latest = now
-	if back <= 0 {
+func (r *Replica) observeClock(now time.Time) {
+	setBack := r.lastNow.Sub(now)
+	r.lastNow = now
+	if setBack <= 0 {
 		return
 	}
-	for _, t := range m.tasks {
-		t.until, t.deadline, t.again = earlier(t.until, back), earlier(t.deadline, back), earlier(t.again, back)
+	for _, op := range r.operations {
+		op.expiresAt, op.attemptDeadline, op.retryAt = shiftEarlier(op.expiresAt, setBack), shiftEarlier(op.attemptDeadline, setBack), shiftEarlier(op.retryAt, setBack)
 	}
-	for key, at := range m.open {
-		m.open[key] = earlier(at, back)
+	for key, at := range r.undecided {
+		r.undecided[key] = shiftEarlier(at, setBack)
 	}
-	for _, x := range m.members {
-		x.heard, x.asked, x.since = earlier(x.heard, back), earlier(x.asked, back), earlier(x.since, back)
+	for _, peer := range r.peers {
+		peer.lastHeard, peer.lastPull, peer.memberSince = shiftEarlier(peer.lastHeard, setBack), shiftEarlier(peer.lastPull, setBack), shiftEarlier(peer.memberSince, setBack)
 	}
-	for _, c := range m.candidates {
-		c.at = earlier(c.at, back)
+	for _, candidate := range r.candidates {
+		candidate.lastPull = shiftEarlier(candidate.lastPull, setBack)
 	}
-	m.begun, m.calledBack = earlier(m.begun, back), earlier(m.calledBack, back)
-	m.standing.adopted = earlier(m.standing.adopted, back)
+	r.startedAt, r.lastCallbackAt = shiftEarlier(r.startedAt, setBack), shiftEarlier(r.lastCallbackAt, setBack)
+	r.local.adoptedAt = shiftEarlier(r.local.adoptedAt, setBack)
 }
 
-// earlier is a moment brought forward; the zero one stays.
-func earlier(at time.Time, by time.Duration) time.Time {
+// shiftEarlier is a moment brought forward; the zero one stays.
+func shiftEarlier(at time.Time, by time.Duration) time.Time {
 	if at.IsZero() {
 		return at
 	}
--- a/internal/control/replica/members.go
+++ b/internal/control/replica/members.go
@@ -9,198 +9,198 @@
 	"sagelever/lore"
 )
 
-// meet takes up who calls.
-func (m *Replica) meet(now time.Time, p *Pull) (behind uint64) {
-	if p.Role == Core {
-		m.meetReplica(now, p)
+// registerCaller takes up who calls.
+func (r *Replica) registerCaller(now time.Time, request *PullRequest) (knownIncarnation uint64) {
+	if request.Role == RoleController {
+		r.registerController(now, request)
 		return 0
 	}
-	l := &lore.Lease{Node: p.From.Node, Role: p.Role, Zone: p.From.Zone, Front: p.Front, Home: m.c.Me.Node, Ended: p.Ended}
-	it := l.Item(p.Life << 8)
-	old, known := m.feed.Get(it.Key)
-	was, read := lore.ReadLease(old)
-	if p.Ended {
-		if !known || old.Version < p.Life<<8|0xff {
-			it.Version = p.Life<<8 | 0xff
-			m.tell(it)
+	lease := &lore.Lease{Node: request.From.Node, Role: request.Role, Zone: request.From.Zone, ListenAddress: request.ListenerAddr, Grantor: r.config.Self.Node, Ended: request.Ended}
+	item := lease.Item(request.Incarnation << 8)
+	previous, known := r.items.Get(item.Key)
+	previousLease, parsed := lore.ReadLease(previous)
+	if request.Ended {
+		if !known || previous.Version < request.Incarnation<<8|0xff {
+			item.Version = request.Incarnation<<8 | 0xff
+			r.mergeLocal(item)
 		}
 		return 0
 	}
-	m.roll.Renew(it.Key, l.Zone, now)
-	if known && read && *was == *l && old.Version>>8 == p.Life {
+	r.liveness.RenewLease(item.Key, lease.Zone, now)
+	if known && parsed && *previousLease == *lease && previous.Version>>8 == request.Incarnation {
 		return 0
 	}
-	if known && old.Version >= it.Version {
-		if old.Version>>8 > p.Life || old.Version&0xff == 0xff {
+	if known && previous.Version >= item.Version {
+		if previous.Version>>8 > request.Incarnation || previous.Version&0xff == 0xff {
 			// A word from before, or of an agent whose time of day has gone back: it is told, and comes again.
-			return old.Version >> 8
+			return previous.Version >> 8
 		}
-		it.Version = old.Version + 1 // it has moved here, or is back after it lapsed
+		item.Version = previous.Version + 1 // it has moved here, or is back after it lapsed
 	}
-	m.tell(it)
+	r.mergeLocal(item)
 	return 0
 }
 
-// meetReplica takes up a replica that calls: a member, where it is in the set with this disk, or a candidate.
-func (m *Replica) meetReplica(now time.Time, p *Pull) {
-	if p.From.Node == m.c.Me.Node || p.From.Node == "" {
+// registerController takes up a replica that calls: a member, where it is in the set with this disk, or a candidate.
+func (r *Replica) registerController(now time.Time, request *PullRequest) {
+	if request.From.Node == r.config.Self.Node || request.From.Node == "" {
 		return
 	}
-	m.noteGeneration(p.From, p.Disk)
-	if p.Set > m.standing.set.Epoch && now.Sub(m.calledBack) > stuck { // all whom this replica knows may be gone
-		m.calledBack = now
-		m.out.Call = append(m.out.Call, p.From)
+	r.recordGeneration(request.From, request.DiskGeneration)
+	if request.KnownEpoch > r.local.configuration.Epoch && now.Sub(r.lastCallbackAt) > stuckPullTimeout { // all whom this replica knows may be gone
+		r.lastCallbackAt = now
+		r.output.PullNow = append(r.output.PullNow, request.From)
 	}
-	known := m.members[p.From.Node]
-	if known == nil || !known.Is(p.From) {
-		m.noteCandidate(now, p)
+	peer := r.peers[request.From.Node]
+	if peer == nil || !peer.SameReplica(request.From) {
+		r.registerCandidate(now, request)
 		return
 	}
-	known.Member = p.From // it may have moved to another address
-	known.leaving = p.Ending
+	peer.Member = request.From // it may have moved to another address
+	peer.leaving = request.Leaving
 }
 
-// Members are those that are known, this one not.
-func (m *Replica) Members() []Member {
-	out := make([]Member, 0, len(m.members))
-	for _, x := range m.members {
-		out = append(out, x.Member)
-	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
-	return out
+// OtherMembers are those that are known, this one not.
+func (r *Replica) OtherMembers() []Member {
+	others := make([]Member, 0, len(r.peers))
+	for _, peer := range r.peers {
+		others = append(others, peer.Member)
+	}
+	sort.Slice(others, func(i, j int) bool { return others[i].Node < others[j].Node })
+	return others
 }
 
-// Generations are what is known of other replicas' disks, to be kept where it is good to have.
-func (m *Replica) Generations() map[string]Generation { return m.generations }
+// DiskGenerations are what is known of other replicas' disks, to be kept where it is good to have.
+func (r *Replica) DiskGenerations() map[string]DiskGeneration { return r.diskGenerations }
 
-// watch has this member look after an item that came from elsewhere or from its disk: of what it granted or heard in a
+// trackItem has this member look after an item that came from elsewhere or from its disk: of what it granted or heard in a
 // life before it knows only so.
-func (m *Replica) watch(now time.Time, it lore.Item) {
-	if strings.HasPrefix(it.Key, lore.LeaseKey) {
-		if l, ok := lore.ReadLease(it); ok && l.Home == m.c.Me.Node && !l.Ended {
-			m.roll.Expect(it.Key, l.Zone, now)
+func (r *Replica) trackItem(now time.Time, item lore.Item) {
+	if strings.HasPrefix(item.Key, lore.LeaseKey) {
+		if lease, ok := lore.ReadLease(item); ok && lease.Grantor == r.config.Self.Node && !lease.Ended {
+			r.liveness.RestoreLease(item.Key, lease.Zone, now)
 		}
 		return
 	}
-	id, ok := strings.CutPrefix(it.Key, lore.AppKey)
+	id, ok := strings.CutPrefix(item.Key, lore.BackendKey)
 	if !ok {
 		return
 	}
-	a, ok := lore.ReadApp(it)
+	backend, ok := lore.ReadBackend(item)
 	if !ok {
 		return
 	}
-	gone := a.Phase == lore.Left || a.Phase == lore.Silent
-	if gone {
-		m.tombs[it.Key] = now.Add(tomb)
+	ended := backend.Phase == lore.PhaseLeft || backend.Phase == lore.PhaseTimedOut
+	if ended {
+		r.tombstones[item.Key] = now.Add(tombstoneRetention)
 	}
-	if a.Home != m.c.Me.Node || gone {
-		m.roll.Unwatch(id)
-		delete(m.apps, id)
+	if backend.Owner != r.config.Self.Node || ended {
+		r.liveness.ForgetBackend(id)
+		delete(r.backends, id)
 	} else {
-		m.roll.Pulsed(id, now)
+		r.liveness.RecordHeartbeat(id, now)
 	}
 }
 
-// heardOf tells whether a member has answered lately.
-func (m *Replica) heardOf(node string, now time.Time) bool {
-	if node == m.c.Me.Node {
+// reachable tells whether a member has answered lately.
+func (r *Replica) reachable(node string, now time.Time) bool {
+	if node == r.config.Self.Node {
 		return true
 	}
-	x := m.members[node]
-	return x != nil && x.begun && now.Sub(x.heard) < Heard
+	peer := r.peers[node]
+	return peer != nil && peer.heardOnce && now.Sub(peer.lastHeard) < PeerTimeout
 }
 
 // takeoverGrace is for how long a member is still relied on that has not yet taken over from the epoch before: what it knows
 // is as new as what the others do, and orders wait until it acts.
 const takeoverGrace = 2 * time.Second
 
-// Sound tells whether what this member says may be relied on: it is a member, and hears more than half of the members. One
+// HasQuorum tells whether what this member says may be relied on: it is a member, and hears more than half of the members. One
 // that does not may lack what the others have acknowledged.
-func (m *Replica) Sound(now time.Time) bool {
-	if m.leaving || !m.inForce(now) {
+func (r *Replica) HasQuorum(now time.Time) bool {
+	if r.leaving || !r.activeOrTakingOver(now) {
 		return false
 	}
-	near := 1
-	for node := range m.members {
-		if m.heardOf(node, now) {
-			near++
+	heard := 1
+	for node := range r.peers {
+		if r.reachable(node, now) {
+			heard++
 		}
 	}
-	return m.standing.set.Majority(near)
+	return r.local.configuration.IsMajority(heard)
 }
 
-// inForce tells whether this replica acts in the epoch in force, or is about to take over from the one before.
-func (m *Replica) inForce(now time.Time) bool {
-	s := &m.standing
-	if s.set.Epoch == 0 {
+// activeOrTakingOver tells whether this replica acts in the epoch in force, or is about to take over from the one before.
+func (r *Replica) activeOrTakingOver(now time.Time) bool {
+	local := &r.local
+	if local.configuration.Epoch == 0 {
 		return false
 	}
-	return m.Acting() || s.confirmed && m.own() && s.member() && now.Sub(s.adopted) < takeoverGrace
+	return r.Active() || local.diskConfirmed && r.activeInPreviousEpoch() && local.isMember() && now.Sub(local.adoptedAt) < takeoverGrace
 }
 
 // Leave has this member end: whoever pulls is answered at once, and goes elsewhere.
-func (m *Replica) Leave(now time.Time) {
-	m.leaving = true
-	m.wake(0)
-	m.steer(now)
+func (r *Replica) Leave(now time.Time) {
+	r.leaving = true
+	r.notifyAfter(0)
+	r.reconfigure(now)
 }
 
-// look says when this member begins or ends to hear most of the core; whoever waits for news is told.
-func (m *Replica) look(now time.Time) {
-	if sound := m.Sound(now); sound != m.was {
-		m.was = sound
-		m.wake(0)
-		text := "hears most of the core"
-		if !sound {
-			text = "does not hear most of the core"
+// noteQuorumChange says when this member begins or ends to hear most of the core; whoever waits for news is told.
+func (r *Replica) noteQuorumChange(now time.Time) {
+	if hasQuorum := r.HasQuorum(now); hasQuorum != r.hadQuorum {
+		r.hadQuorum = hasQuorum
+		r.notifyAfter(0)
+		message := "hears most of the core"
+		if !hasQuorum {
+			message = "does not hear most of the core"
 		}
-		m.say(text, "sinceStartMs", strconv.FormatInt(now.Sub(m.begun).Milliseconds(), 10))
+		r.logEvent(message, "sinceStartMs", strconv.FormatInt(now.Sub(r.startedAt).Milliseconds(), 10))
 	}
 }
 
-// lapse ends the leases granted here that ran out. It comes before all that is told of them: a process that was held up
+// expireLeases ends the leases granted here that ran out. It comes before all that is told of them: a process that was held up
 // must not speak of leases as they were before.
-func (m *Replica) lapse(now time.Time) {
-	for _, key := range m.roll.Lapsed(now) {
-		it, ok := m.feed.Get(key)
-		if l, read := lore.ReadLease(it); ok && read && l.Home == m.c.Me.Node && !l.Ended {
-			l.Ended, l.Front = true, ""
-			m.tell(l.Item(it.Version + 1))
-			m.say("lease ran out", "agent", l.Node, "role", l.Role)
+func (r *Replica) expireLeases(now time.Time) {
+	for _, key := range r.liveness.ExpireLeases(now) {
+		item, ok := r.items.Get(key)
+		if lease, parsed := lore.ReadLease(item); ok && parsed && lease.Grantor == r.config.Self.Node && !lease.Ended {
+			lease.Ended, lease.ListenAddress = true, ""
+			r.mergeLocal(lease.Item(item.Version + 1))
+			r.logEvent("lease ran out", "agent", lease.Node, "role", lease.Role)
 		}
 	}
 }
 
-// Fronts lists where clients of a zone should go: to the agents there; where there are none to others of the region, then
+// ListenerAddrs lists where clients of a zone should go: to the agents there; where there are none to others of the region, then
 // to any.
-func (m *Replica) Fronts(now time.Time, zone, region string, most int) []string {
-	var near, mid, far []string
-	m.lapse(now)
-	m.feed.Each(lore.LeaseKey, func(it lore.Item) {
-		l, ok := lore.ReadLease(it)
-		if !ok || l.Ended || l.Front == "" || l.Role != Edge {
+func (r *Replica) ListenerAddrs(now time.Time, zone, region string, limit int) []string {
+	var sameZone, sameRegion, elsewhere []string
+	r.expireLeases(now)
+	r.items.ForEach(lore.LeaseKey, func(item lore.Item) {
+		lease, ok := lore.ReadLease(item)
+		if !ok || lease.Ended || lease.ListenAddress == "" || lease.Role != RoleProxy {
 			return
 		}
-		if l.Home == m.c.Me.Node && !m.roll.Granted(it.Key) || !m.heardOf(l.Home, now) {
+		if lease.Grantor == r.config.Self.Node && !r.liveness.HasRenewedLease(item.Key) || !r.reachable(lease.Grantor, now) {
 			return
 		}
 		switch {
-		case l.Zone == zone:
-			near = append(near, l.Front)
-		case m.c.Zones[l.Zone] == region:
-			mid = append(mid, l.Front)
+		case lease.Zone == zone:
+			sameZone = append(sameZone, lease.ListenAddress)
+		case r.config.RegionByZone[lease.Zone] == region:
+			sameRegion = append(sameRegion, lease.ListenAddress)
 		default:
-			far = append(far, l.Front)
+			elsewhere = append(elsewhere, lease.ListenAddress)
 		}
 	})
-	out := near
-	if len(out) == 0 {
-		out = mid
+	addrs := sameZone
+	if len(addrs) == 0 {
+		addrs = sameRegion
 	}
-	if len(out) == 0 {
-		out = far
+	if len(addrs) == 0 {
+		addrs = elsewhere
 	}
-	sort.Strings(out)
-	return out[:min(len(out), most)]
+	sort.Strings(addrs)
+	return addrs[:min(len(addrs), limit)]
 }
--- a/internal/control/replica/messages_easyjson.go
+++ b/internal/control/replica/messages_easyjson.go
@@ -22,7 +22,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson66c1e240DecodeSageleverInternalControlReplica(in *jlexer.Lexer, out *Work) {
+func easyjson66c1e240DecodeSageleverInternalControlReplica(in *jlexer.Lexer, out *PullResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -36,92 +36,216 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "f":
-			easyjson66c1e240DecodeSageleverInternalControlMembership(in, &out.From)
-		case "k":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = uint64(in.Uint64())
+				out.Source = string(in.String())
 			}
-		case "d":
+		case "g":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ProtocolVersion = int(in.Int())
+			}
+		case "q":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Seq = uint64(in.Uint64())
+			}
+		case "i":
+			if in.IsNull() {
+				in.Skip()
+				out.Items = nil
+			} else {
+				in.Delim('[')
+				if out.Items == nil {
+					if !in.IsDelim(']') {
+						out.Items = make([]lore.Item, 0, 1)
+					} else {
+						out.Items = []lore.Item{}
+					}
+				} else {
+					out.Items = (out.Items)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v1 lore.Item
+					easyjson66c1e240DecodeSageleverLore(in, &v1)
+					out.Items = append(out.Items, v1)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "j":
+			if in.IsNull() {
+				in.Skip()
+				out.Origins = nil
+			} else {
+				in.Delim('[')
+				if out.Origins == nil {
+					if !in.IsDelim(']') {
+						out.Origins = make([]string, 0, 4)
+					} else {
+						out.Origins = []string{}
+					}
+				} else {
+					out.Origins = (out.Origins)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v2 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v2 = string(in.String())
+					}
+					out.Origins = append(out.Origins, v2)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "u":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Drains = make(map[string]uint64)
+					out.Progress = make(lore.Vector)
 				} else {
-					out.Drains = nil
+					out.Progress = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v1 uint64
+					var v3 uint64
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v1 = uint64(in.Uint64())
+						v3 = uint64(in.Uint64())
 					}
-					(out.Drains)[key] = v1
+					(out.Progress)[key] = v3
 					in.WantComma()
 				}
 				in.Delim('}')
 			}
-		case "o":
+		case "x":
 			if in.IsNull() {
 				in.Skip()
-				out.Rows = nil
+				out.DroppedOrigins = nil
 			} else {
 				in.Delim('[')
-				if out.Rows == nil {
+				if out.DroppedOrigins == nil {
 					if !in.IsDelim(']') {
-						out.Rows = make([]lore.Row, 0, 2)
+						out.DroppedOrigins = make([]string, 0, 4)
 					} else {
-						out.Rows = []lore.Row{}
+						out.DroppedOrigins = []string{}
 					}
 				} else {
-					out.Rows = (out.Rows)[:0]
+					out.DroppedOrigins = (out.DroppedOrigins)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v2 lore.Row
+					var v4 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v2).UnmarshalEasyJSON(in)
+						v4 = string(in.String())
 					}
-					out.Rows = append(out.Rows, v2)
+					out.DroppedOrigins = append(out.DroppedOrigins, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "l":
+		case "w":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Complete = bool(in.Bool())
+			}
+		case "o":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.HasQuorum = bool(in.Bool())
+			}
+		case "n":
 			if in.IsNull() {
 				in.Skip()
-				out.Loads = nil
+			} else {
+				out.Proxies = int(in.Int())
+			}
+		case "h":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ZoneProxies = int(in.Int())
+			}
+		case "m":
+			if in.IsNull() {
+				in.Skip()
+				out.Members = nil
 			} else {
 				in.Delim('[')
-				if out.Loads == nil {
+				if out.Members == nil {
 					if !in.IsDelim(']') {
-						out.Loads = make([]ebb.Load, 0, 1)
+						out.Members = make([]membership.Member, 0, 1)
 					} else {
-						out.Loads = []ebb.Load{}
+						out.Members = []membership.Member{}
 					}
 				} else {
-					out.Loads = (out.Loads)[:0]
+					out.Members = (out.Members)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v3 ebb.Load
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v3).UnmarshalEasyJSON(in)
-					}
-					out.Loads = append(out.Loads, v3)
+					var v5 membership.Member
+					easyjson66c1e240DecodeSageleverInternalControlMembership(in, &v5)
+					out.Members = append(out.Members, v5)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
+		case "l":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.KnownIncarnation = uint64(in.Uint64())
+			}
+		case "t":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.NowMs = int64(in.Int64())
+			}
+		case "z":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.DiskID = string(in.String())
+			}
+		case "y":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ActiveEpoch = uint64(in.Uint64())
+			}
+		case "b":
+			if in.IsNull() {
+				in.Skip()
+				out.Configuration = nil
+			} else {
+				if out.Configuration == nil {
+					out.Configuration = new(quorum.Entry)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Configuration).UnmarshalEasyJSON(in)
+				}
+			}
+		case "k":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.SurveyID = uint64(in.Uint64())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -132,91 +256,176 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlReplica(out *jwriter.Writer, in Work) {
+func easyjson66c1e240EncodeSageleverInternalControlReplica(out *jwriter.Writer, in PullResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"f\":"
+		const prefix string = ",\"s\":"
 		out.RawString(prefix[1:])
-		easyjson66c1e240EncodeSageleverInternalControlMembership(out, in.From)
+		out.String(string(in.Source))
+	}
+	if in.ProtocolVersion != 0 {
+		const prefix string = ",\"g\":"
+		out.RawString(prefix)
+		out.Int(int(in.ProtocolVersion))
 	}
 	{
-		const prefix string = ",\"k\":"
+		const prefix string = ",\"q\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Count))
+		out.Uint64(uint64(in.Seq))
 	}
-	if len(in.Drains) != 0 {
-		const prefix string = ",\"d\":"
+	{
+		const prefix string = ",\"i\":"
+		out.RawString(prefix)
+		if in.Items == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v6, v7 := range in.Items {
+				if v6 > 0 {
+					out.RawByte(',')
+				}
+				easyjson66c1e240EncodeSageleverLore(out, v7)
+			}
+			out.RawByte(']')
+		}
+	}
+	if len(in.Origins) != 0 {
+		const prefix string = ",\"j\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v8, v9 := range in.Origins {
+				if v8 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v9))
+			}
+			out.RawByte(']')
+		}
+	}
+	if len(in.Progress) != 0 {
+		const prefix string = ",\"u\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('{')
-			v4First := true
-			for v4Name, v4Value := range in.Drains {
-				if v4First {
-					v4First = false
+			v10First := true
+			for v10Name, v10Value := range in.Progress {
+				if v10First {
+					v10First = false
 				} else {
 					out.RawByte(',')
 				}
-				out.String(string(v4Name))
+				out.String(string(v10Name))
 				out.RawByte(':')
-				out.Uint64(uint64(v4Value))
+				out.Uint64(uint64(v10Value))
 			}
 			out.RawByte('}')
 		}
 	}
-	if len(in.Rows) != 0 {
-		const prefix string = ",\"o\":"
+	if len(in.DroppedOrigins) != 0 {
+		const prefix string = ",\"x\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v5, v6 := range in.Rows {
-				if v5 > 0 {
+			for v11, v12 := range in.DroppedOrigins {
+				if v11 > 0 {
 					out.RawByte(',')
 				}
-				(v6).MarshalEasyJSON(out)
+				out.String(string(v12))
 			}
 			out.RawByte(']')
 		}
 	}
-	if len(in.Loads) != 0 {
-		const prefix string = ",\"l\":"
+	if in.Complete {
+		const prefix string = ",\"w\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Complete))
+	}
+	{
+		const prefix string = ",\"o\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.HasQuorum))
+	}
+	{
+		const prefix string = ",\"n\":"
+		out.RawString(prefix)
+		out.Int(int(in.Proxies))
+	}
+	{
+		const prefix string = ",\"h\":"
+		out.RawString(prefix)
+		out.Int(int(in.ZoneProxies))
+	}
+	if len(in.Members) != 0 {
+		const prefix string = ",\"m\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v7, v8 := range in.Loads {
-				if v7 > 0 {
+			for v13, v14 := range in.Members {
+				if v13 > 0 {
 					out.RawByte(',')
 				}
-				(v8).MarshalEasyJSON(out)
+				easyjson66c1e240EncodeSageleverInternalControlMembership(out, v14)
 			}
 			out.RawByte(']')
 		}
 	}
+	if in.KnownIncarnation != 0 {
+		const prefix string = ",\"l\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.KnownIncarnation))
+	}
+	{
+		const prefix string = ",\"t\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.NowMs))
+	}
+	if in.DiskID != "" {
+		const prefix string = ",\"z\":"
+		out.RawString(prefix)
+		out.String(string(in.DiskID))
+	}
+	if in.ActiveEpoch != 0 {
+		const prefix string = ",\"y\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.ActiveEpoch))
+	}
+	if in.Configuration != nil {
+		const prefix string = ",\"b\":"
+		out.RawString(prefix)
+		(*in.Configuration).MarshalEasyJSON(out)
+	}
+	if in.SurveyID != 0 {
+		const prefix string = ",\"k\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.SurveyID))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Work) MarshalJSON() ([]byte, error) {
+func (v PullResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeSageleverInternalControlReplica(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Work) MarshalEasyJSON(w *jwriter.Writer) {
+func (v PullResponse) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeSageleverInternalControlReplica(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Work) UnmarshalJSON(data []byte) error {
+func (v *PullResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeSageleverInternalControlReplica(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Work) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *PullResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeSageleverInternalControlReplica(l, v)
 }
 func easyjson66c1e240DecodeSageleverInternalControlMembership(in *jlexer.Lexer, out *membership.Member) {
@@ -255,7 +464,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Disk = string(in.String())
+				out.DiskID = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -286,14 +495,14 @@
 		out.RawString(prefix)
 		out.String(string(in.Addr))
 	}
-	if in.Disk != "" {
+	if in.DiskID != "" {
 		const prefix string = ",\"d\":"
 		out.RawString(prefix)
-		out.String(string(in.Disk))
+		out.String(string(in.DiskID))
 	}
 	out.RawByte('}')
 }
-func easyjson66c1e240DecodeSageleverInternalControlReplica1(in *jlexer.Lexer, out *Reply) {
+func easyjson66c1e240DecodeSageleverLore(in *jlexer.Lexer, out *lore.Item) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -307,106 +516,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "o":
+		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.OK = bool(in.Bool())
+				out.Key = string(in.String())
 			}
-		case "h":
+		case "v":
 			if in.IsNull() {
 				in.Skip()
-				out.Held = nil
 			} else {
-				in.Delim('[')
-				if out.Held == nil {
-					if !in.IsDelim(']') {
-						out.Held = make([]quorum.Entry, 0, 0)
-					} else {
-						out.Held = []quorum.Entry{}
-					}
-				} else {
-					out.Held = (out.Held)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v9 quorum.Entry
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v9).UnmarshalEasyJSON(in)
-					}
-					out.Held = append(out.Held, v9)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Version = uint64(in.Uint64())
 			}
-		case "s":
+		case "b":
 			if in.IsNull() {
 				in.Skip()
-				out.Ranges = nil
 			} else {
-				if out.Ranges == nil {
-					out.Ranges = new(rangesync.Answer)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.Ranges).UnmarshalEasyJSON(in)
-				}
+				out.Body = string(in.String())
 			}
-		case "r":
-			easyjson66c1e240DecodeSageleverInternalControlQuorum(in, &out.Refused)
-		case "t":
+		case "o":
 			if in.IsNull() {
 				in.Skip()
-				out.Set = nil
 			} else {
-				if out.Set == nil {
-					out.Set = new(quorum.Entry)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.Set).UnmarshalEasyJSON(in)
-				}
+				out.OriginIndex = int(in.Int())
 			}
-		case "e":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Acting = uint64(in.Uint64())
-			}
-		case "d":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Disk = string(in.String())
-			}
-		case "x":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				in.Delim('{')
-				if !in.IsDelim('}') {
-					out.Others = make(map[string]Generation)
-				} else {
-					out.Others = nil
-				}
-				for !in.IsDelim('}') {
-					key := string(in.String())
-					in.WantColon()
-					var v10 Generation
-					easyjson66c1e240DecodeSageleverInternalControlReplica2(in, &v10)
-					(out.Others)[key] = v10
-					in.WantComma()
-				}
-				in.Delim('}')
-			}
-		case "g":
+		case "q":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Generation = uint64(in.Uint64())
+				out.Sequence = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -418,226 +556,38 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlReplica1(out *jwriter.Writer, in Reply) {
+func easyjson66c1e240EncodeSageleverLore(out *jwriter.Writer, in lore.Item) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"o\":"
+		const prefix string = ",\"k\":"
 		out.RawString(prefix[1:])
-		out.Bool(bool(in.OK))
-	}
-	if len(in.Held) != 0 {
-		const prefix string = ",\"h\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v11, v12 := range in.Held {
-				if v11 > 0 {
-					out.RawByte(',')
-				}
-				(v12).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.Ranges != nil {
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		(*in.Ranges).MarshalEasyJSON(out)
+		out.String(string(in.Key))
 	}
 	{
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		easyjson66c1e240EncodeSageleverInternalControlQuorum(out, in.Refused)
-	}
-	if in.Set != nil {
-		const prefix string = ",\"t\":"
-		out.RawString(prefix)
-		(*in.Set).MarshalEasyJSON(out)
-	}
-	if in.Acting != 0 {
-		const prefix string = ",\"e\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Acting))
-	}
-	if in.Disk != "" {
-		const prefix string = ",\"d\":"
-		out.RawString(prefix)
-		out.String(string(in.Disk))
-	}
-	if len(in.Others) != 0 {
-		const prefix string = ",\"x\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('{')
-			v13First := true
-			for v13Name, v13Value := range in.Others {
-				if v13First {
-					v13First = false
-				} else {
-					out.RawByte(',')
-				}
-				out.String(string(v13Name))
-				out.RawByte(':')
-				easyjson66c1e240EncodeSageleverInternalControlReplica2(out, v13Value)
-			}
-			out.RawByte('}')
-		}
-	}
-	if in.Generation != 0 {
-		const prefix string = ",\"g\":"
+		const prefix string = ",\"v\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Generation))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Reply) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeSageleverInternalControlReplica1(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Reply) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeSageleverInternalControlReplica1(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Reply) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeSageleverInternalControlReplica1(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Reply) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeSageleverInternalControlReplica1(l, v)
-}
-func easyjson66c1e240DecodeSageleverInternalControlReplica2(in *jlexer.Lexer, out *Generation) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "d":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Disk = string(in.String())
-			}
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Number = uint64(in.Uint64())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeSageleverInternalControlReplica2(out *jwriter.Writer, in Generation) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"d\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Disk))
+		out.Uint64(uint64(in.Version))
 	}
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"b\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Number))
-	}
-	out.RawByte('}')
-}
-func easyjson66c1e240DecodeSageleverInternalControlQuorum(in *jlexer.Lexer, out *quorum.Ballot) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "e":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Epoch = uint64(in.Uint64())
-			}
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.N = uint64(in.Uint64())
-			}
-		case "w":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Who = string(in.String())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeSageleverInternalControlQuorum(out *jwriter.Writer, in quorum.Ballot) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	if in.Epoch != 0 {
-		const prefix string = ",\"e\":"
-		first = false
-		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Epoch))
+		out.String(string(in.Body))
 	}
-	{
-		const prefix string = ",\"n\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Uint64(uint64(in.N))
+	if in.OriginIndex != 0 {
+		const prefix string = ",\"o\":"
+		out.RawString(prefix)
+		out.Int(int(in.OriginIndex))
 	}
-	if in.Who != "" {
-		const prefix string = ",\"w\":"
+	if in.Sequence != 0 {
+		const prefix string = ",\"q\":"
 		out.RawString(prefix)
-		out.String(string(in.Who))
+		out.Uint64(uint64(in.Sequence))
 	}
 	out.RawByte('}')
 }
-func easyjson66c1e240DecodeSageleverInternalControlReplica3(in *jlexer.Lexer, out *Pull) {
+func easyjson66c1e240DecodeSageleverInternalControlReplica1(in *jlexer.Lexer, out *PullRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -663,7 +613,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Wire = int(in.Int())
+				out.ProtocolVersion = int(in.Int())
 			}
 		case "v":
 			if in.IsNull() {
@@ -671,20 +621,20 @@
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Vector = make(map[string]uint64)
+					out.LegacyVector = make(map[string]uint64)
 				} else {
-					out.Vector = nil
+					out.LegacyVector = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v14 uint64
+					var v15 uint64
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v14 = uint64(in.Uint64())
+						v15 = uint64(in.Uint64())
 					}
-					(out.Vector)[key] = v14
+					(out.LegacyVector)[key] = v15
 					in.WantComma()
 				}
 				in.Delim('}')
@@ -695,20 +645,20 @@
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Come = make(lore.Vector)
+					out.Progress = make(lore.Vector)
 				} else {
-					out.Come = nil
+					out.Progress = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v15 uint64
+					var v16 uint64
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v15 = uint64(in.Uint64())
+						v16 = uint64(in.Uint64())
 					}
-					(out.Come)[key] = v15
+					(out.Progress)[key] = v16
 					in.WantComma()
 				}
 				in.Delim('}')
@@ -723,13 +673,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Front = string(in.String())
+				out.ListenerAddr = string(in.String())
 			}
 		case "l":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Life = uint64(in.Uint64())
+				out.Incarnation = uint64(in.Uint64())
 			}
 		case "e":
 			if in.IsNull() {
@@ -741,19 +691,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Meet = bool(in.Bool())
+				out.MembersOnly = bool(in.Bool())
 			}
 		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = uint64(in.Uint64())
+				out.SurveyID = uint64(in.Uint64())
 			}
 		case "b":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Set = uint64(in.Uint64())
+				out.KnownEpoch = uint64(in.Uint64())
 			}
 		case "y":
 			if in.IsNull() {
@@ -765,19 +715,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Acting = uint64(in.Uint64())
+				out.PeerActiveEpoch = uint64(in.Uint64())
 			}
 		case "x":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Ending = bool(in.Bool())
+				out.Leaving = bool(in.Bool())
 			}
 		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Disk = uint64(in.Uint64())
+				out.DiskGeneration = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -789,7 +739,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlReplica3(out *jwriter.Writer, in Pull) {
+func easyjson66c1e240EncodeSageleverInternalControlReplica1(out *jwriter.Writer, in PullRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -803,45 +753,45 @@
 		out.RawString(prefix)
 		out.String(string(in.Role))
 	}
-	if in.Wire != 0 {
+	if in.ProtocolVersion != 0 {
 		const prefix string = ",\"g\":"
 		out.RawString(prefix)
-		out.Int(int(in.Wire))
+		out.Int(int(in.ProtocolVersion))
 	}
-	if len(in.Vector) != 0 {
+	if len(in.LegacyVector) != 0 {
 		const prefix string = ",\"v\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('{')
-			v16First := true
-			for v16Name, v16Value := range in.Vector {
-				if v16First {
-					v16First = false
+			v17First := true
+			for v17Name, v17Value := range in.LegacyVector {
+				if v17First {
+					v17First = false
 				} else {
 					out.RawByte(',')
 				}
-				out.String(string(v16Name))
+				out.String(string(v17Name))
 				out.RawByte(':')
-				out.Uint64(uint64(v16Value))
+				out.Uint64(uint64(v17Value))
 			}
 			out.RawByte('}')
 		}
 	}
-	if len(in.Come) != 0 {
+	if len(in.Progress) != 0 {
 		const prefix string = ",\"u\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('{')
-			v17First := true
-			for v17Name, v17Value := range in.Come {
-				if v17First {
-					v17First = false
+			v18First := true
+			for v18Name, v18Value := range in.Progress {
+				if v18First {
+					v18First = false
 				} else {
 					out.RawByte(',')
 				}
-				out.String(string(v17Name))
+				out.String(string(v18Name))
 				out.RawByte(':')
-				out.Uint64(uint64(v17Value))
+				out.Uint64(uint64(v18Value))
 			}
 			out.RawByte('}')
 		}
@@ -854,80 +804,80 @@
 	{
 		const prefix string = ",\"c\":"
 		out.RawString(prefix)
-		out.String(string(in.Front))
+		out.String(string(in.ListenerAddr))
 	}
 	{
 		const prefix string = ",\"l\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Life))
+		out.Uint64(uint64(in.Incarnation))
 	}
 	if in.Ended {
 		const prefix string = ",\"e\":"
 		out.RawString(prefix)
 		out.Bool(bool(in.Ended))
 	}
-	if in.Meet {
+	if in.MembersOnly {
 		const prefix string = ",\"m\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Meet))
+		out.Bool(bool(in.MembersOnly))
 	}
-	if in.Count != 0 {
+	if in.SurveyID != 0 {
 		const prefix string = ",\"k\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Count))
+		out.Uint64(uint64(in.SurveyID))
 	}
-	if in.Set != 0 {
+	if in.KnownEpoch != 0 {
 		const prefix string = ",\"b\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Set))
+		out.Uint64(uint64(in.KnownEpoch))
 	}
 	if in.Ready {
 		const prefix string = ",\"y\":"
 		out.RawString(prefix)
 		out.Bool(bool(in.Ready))
 	}
-	if in.Acting != 0 {
+	if in.PeerActiveEpoch != 0 {
 		const prefix string = ",\"o\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Acting))
+		out.Uint64(uint64(in.PeerActiveEpoch))
 	}
-	if in.Ending {
+	if in.Leaving {
 		const prefix string = ",\"x\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Ending))
+		out.Bool(bool(in.Leaving))
 	}
-	if in.Disk != 0 {
+	if in.DiskGeneration != 0 {
 		const prefix string = ",\"h\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Disk))
+		out.Uint64(uint64(in.DiskGeneration))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Pull) MarshalJSON() ([]byte, error) {
+func (v PullRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeSageleverInternalControlReplica3(&w, v)
+	easyjson66c1e240EncodeSageleverInternalControlReplica1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Pull) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeSageleverInternalControlReplica3(w, v)
+func (v PullRequest) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeSageleverInternalControlReplica1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Pull) UnmarshalJSON(data []byte) error {
+func (v *PullRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeSageleverInternalControlReplica3(&r, v)
+	easyjson66c1e240DecodeSageleverInternalControlReplica1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Pull) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeSageleverInternalControlReplica3(l, v)
+func (v *PullRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeSageleverInternalControlReplica1(l, v)
 }
-func easyjson66c1e240DecodeSageleverInternalControlReplica4(in *jlexer.Lexer, out *News) {
+func easyjson66c1e240DecodeSageleverInternalControlReplica2(in *jlexer.Lexer, out *PeerResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -941,215 +891,447 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Source = string(in.String())
-			}
-		case "g":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Wire = int(in.Int())
-			}
-		case "q":
+		case "o":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Seq = uint64(in.Uint64())
+				out.OK = bool(in.Bool())
 			}
-		case "i":
+		case "h":
 			if in.IsNull() {
 				in.Skip()
-				out.Items = nil
+				out.Entries = nil
 			} else {
 				in.Delim('[')
-				if out.Items == nil {
+				if out.Entries == nil {
 					if !in.IsDelim(']') {
-						out.Items = make([]lore.Item, 0, 1)
+						out.Entries = make([]quorum.Entry, 0, 0)
 					} else {
-						out.Items = []lore.Item{}
+						out.Entries = []quorum.Entry{}
 					}
 				} else {
-					out.Items = (out.Items)[:0]
+					out.Entries = (out.Entries)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v18 lore.Item
-					easyjson66c1e240DecodeSageleverLore(in, &v18)
-					out.Items = append(out.Items, v18)
+					var v19 quorum.Entry
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v19).UnmarshalEasyJSON(in)
+					}
+					out.Entries = append(out.Entries, v19)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "j":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
-				out.Origins = nil
+				out.Ranges = nil
 			} else {
-				in.Delim('[')
-				if out.Origins == nil {
-					if !in.IsDelim(']') {
-						out.Origins = make([]string, 0, 4)
-					} else {
-						out.Origins = []string{}
-					}
+				if out.Ranges == nil {
+					out.Ranges = new(rangesync.Response)
+				}
+				if in.IsNull() {
+					in.Skip()
 				} else {
-					out.Origins = (out.Origins)[:0]
+					(*out.Ranges).UnmarshalEasyJSON(in)
 				}
-				for !in.IsDelim(']') {
-					var v19 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v19 = string(in.String())
-					}
-					out.Origins = append(out.Origins, v19)
-					in.WantComma()
+			}
+		case "r":
+			easyjson66c1e240DecodeSageleverInternalControlQuorum(in, &out.PromisedProposal)
+		case "t":
+			if in.IsNull() {
+				in.Skip()
+				out.Configuration = nil
+			} else {
+				if out.Configuration == nil {
+					out.Configuration = new(quorum.Entry)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Configuration).UnmarshalEasyJSON(in)
 				}
-				in.Delim(']')
 			}
-		case "u":
+		case "e":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ActiveEpoch = uint64(in.Uint64())
+			}
+		case "d":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.DiskID = string(in.String())
+			}
+		case "x":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Come = make(lore.Vector)
+					out.DiskGenerations = make(map[string]DiskGeneration)
 				} else {
-					out.Come = nil
+					out.DiskGenerations = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v20 uint64
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v20 = uint64(in.Uint64())
-					}
-					(out.Come)[key] = v20
+					var v20 DiskGeneration
+					easyjson66c1e240DecodeSageleverInternalControlReplica3(in, &v20)
+					(out.DiskGenerations)[key] = v20
 					in.WantComma()
 				}
 				in.Delim('}')
 			}
-		case "x":
+		case "g":
 			if in.IsNull() {
 				in.Skip()
-				out.Drop = nil
 			} else {
-				in.Delim('[')
-				if out.Drop == nil {
-					if !in.IsDelim(']') {
-						out.Drop = make([]string, 0, 4)
-					} else {
-						out.Drop = []string{}
-					}
-				} else {
-					out.Drop = (out.Drop)[:0]
+				out.Generation = uint64(in.Uint64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeSageleverInternalControlReplica2(out *jwriter.Writer, in PeerResponse) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"o\":"
+		out.RawString(prefix[1:])
+		out.Bool(bool(in.OK))
+	}
+	if len(in.Entries) != 0 {
+		const prefix string = ",\"h\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v21, v22 := range in.Entries {
+				if v21 > 0 {
+					out.RawByte(',')
 				}
-				for !in.IsDelim(']') {
-					var v21 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v21 = string(in.String())
-					}
-					out.Drop = append(out.Drop, v21)
-					in.WantComma()
+				(v22).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if in.Ranges != nil {
+		const prefix string = ",\"s\":"
+		out.RawString(prefix)
+		(*in.Ranges).MarshalEasyJSON(out)
+	}
+	{
+		const prefix string = ",\"r\":"
+		out.RawString(prefix)
+		easyjson66c1e240EncodeSageleverInternalControlQuorum(out, in.PromisedProposal)
+	}
+	if in.Configuration != nil {
+		const prefix string = ",\"t\":"
+		out.RawString(prefix)
+		(*in.Configuration).MarshalEasyJSON(out)
+	}
+	if in.ActiveEpoch != 0 {
+		const prefix string = ",\"e\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.ActiveEpoch))
+	}
+	if in.DiskID != "" {
+		const prefix string = ",\"d\":"
+		out.RawString(prefix)
+		out.String(string(in.DiskID))
+	}
+	if len(in.DiskGenerations) != 0 {
+		const prefix string = ",\"x\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('{')
+			v23First := true
+			for v23Name, v23Value := range in.DiskGenerations {
+				if v23First {
+					v23First = false
+				} else {
+					out.RawByte(',')
 				}
-				in.Delim(']')
+				out.String(string(v23Name))
+				out.RawByte(':')
+				easyjson66c1e240EncodeSageleverInternalControlReplica3(out, v23Value)
 			}
-		case "w":
+			out.RawByte('}')
+		}
+	}
+	if in.Generation != 0 {
+		const prefix string = ",\"g\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Generation))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v PeerResponse) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeSageleverInternalControlReplica2(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v PeerResponse) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeSageleverInternalControlReplica2(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *PeerResponse) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeSageleverInternalControlReplica2(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *PeerResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeSageleverInternalControlReplica2(l, v)
+}
+func easyjson66c1e240DecodeSageleverInternalControlReplica3(in *jlexer.Lexer, out *DiskGeneration) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "d":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Whole = bool(in.Bool())
+				out.DiskID = string(in.String())
 			}
-		case "o":
+		case "n":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Number = uint64(in.Uint64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeSageleverInternalControlReplica3(out *jwriter.Writer, in DiskGeneration) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"d\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.DiskID))
+	}
+	{
+		const prefix string = ",\"n\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Number))
+	}
+	out.RawByte('}')
+}
+func easyjson66c1e240DecodeSageleverInternalControlQuorum(in *jlexer.Lexer, out *quorum.ProposalNumber) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "e":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Sound = bool(in.Bool())
+				out.Epoch = uint64(in.Uint64())
 			}
 		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Agents = int(in.Int())
+				out.Number = uint64(in.Uint64())
 			}
-		case "h":
+		case "w":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Here = int(in.Int())
+				out.Proposer = string(in.String())
 			}
-		case "m":
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeSageleverInternalControlQuorum(out *jwriter.Writer, in quorum.ProposalNumber) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	if in.Epoch != 0 {
+		const prefix string = ",\"e\":"
+		first = false
+		out.RawString(prefix[1:])
+		out.Uint64(uint64(in.Epoch))
+	}
+	{
+		const prefix string = ",\"n\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Uint64(uint64(in.Number))
+	}
+	if in.Proposer != "" {
+		const prefix string = ",\"w\":"
+		out.RawString(prefix)
+		out.String(string(in.Proposer))
+	}
+	out.RawByte('}')
+}
+func easyjson66c1e240DecodeSageleverInternalControlReplica4(in *jlexer.Lexer, out *PeerRequest) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "e":
 			if in.IsNull() {
 				in.Skip()
-				out.Members = nil
+			} else {
+				out.Epoch = uint64(in.Uint64())
+			}
+		case "b":
+			easyjson66c1e240DecodeSageleverInternalControlQuorum(in, &out.Proposal)
+		case "k":
+			if in.IsNull() {
+				in.Skip()
+				out.Keys = nil
 			} else {
 				in.Delim('[')
-				if out.Members == nil {
+				if out.Keys == nil {
 					if !in.IsDelim(']') {
-						out.Members = make([]membership.Member, 0, 1)
+						out.Keys = make([]string, 0, 4)
 					} else {
-						out.Members = []membership.Member{}
+						out.Keys = []string{}
 					}
 				} else {
-					out.Members = (out.Members)[:0]
+					out.Keys = (out.Keys)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v22 membership.Member
-					easyjson66c1e240DecodeSageleverInternalControlMembership(in, &v22)
-					out.Members = append(out.Members, v22)
+					var v24 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v24 = string(in.String())
+					}
+					out.Keys = append(out.Keys, v24)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "l":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Life = uint64(in.Uint64())
-			}
-		case "t":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Now = int64(in.Int64())
-			}
-		case "z":
+		case "v":
 			if in.IsNull() {
 				in.Skip()
+				out.Entries = nil
 			} else {
-				out.Disk = string(in.String())
+				in.Delim('[')
+				if out.Entries == nil {
+					if !in.IsDelim(']') {
+						out.Entries = make([]quorum.Entry, 0, 0)
+					} else {
+						out.Entries = []quorum.Entry{}
+					}
+				} else {
+					out.Entries = (out.Entries)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v25 quorum.Entry
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v25).UnmarshalEasyJSON(in)
+					}
+					out.Entries = append(out.Entries, v25)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "y":
+		case "d":
 			if in.IsNull() {
 				in.Skip()
+				out.Ranges = nil
 			} else {
-				out.Acting = uint64(in.Uint64())
+				if out.Ranges == nil {
+					out.Ranges = new(rangesync.Request)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Ranges).UnmarshalEasyJSON(in)
+				}
 			}
-		case "b":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
-				out.Set = nil
+				out.Configuration = nil
 			} else {
-				if out.Set == nil {
-					out.Set = new(quorum.Entry)
+				if out.Configuration == nil {
+					out.Configuration = new(quorum.Entry)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					(*out.Set).UnmarshalEasyJSON(in)
+					(*out.Configuration).UnmarshalEasyJSON(in)
 				}
 			}
-		case "k":
+		case "f":
+			easyjson66c1e240DecodeSageleverInternalControlMembership(in, &out.From)
+		case "g":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = uint64(in.Uint64())
+				out.Generation = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -1161,264 +1343,101 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlReplica4(out *jwriter.Writer, in News) {
+func easyjson66c1e240EncodeSageleverInternalControlReplica4(out *jwriter.Writer, in PeerRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"s\":"
+	if in.Epoch != 0 {
+		const prefix string = ",\"e\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Source))
-	}
-	if in.Wire != 0 {
-		const prefix string = ",\"g\":"
-		out.RawString(prefix)
-		out.Int(int(in.Wire))
-	}
-	{
-		const prefix string = ",\"q\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Seq))
-	}
-	{
-		const prefix string = ",\"i\":"
-		out.RawString(prefix)
-		if in.Items == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v23, v24 := range in.Items {
-				if v23 > 0 {
-					out.RawByte(',')
-				}
-				easyjson66c1e240EncodeSageleverLore(out, v24)
-			}
-			out.RawByte(']')
-		}
-	}
-	if len(in.Origins) != 0 {
-		const prefix string = ",\"j\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v25, v26 := range in.Origins {
-				if v25 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v26))
-			}
-			out.RawByte(']')
-		}
-	}
-	if len(in.Come) != 0 {
-		const prefix string = ",\"u\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('{')
-			v27First := true
-			for v27Name, v27Value := range in.Come {
-				if v27First {
-					v27First = false
-				} else {
-					out.RawByte(',')
-				}
-				out.String(string(v27Name))
-				out.RawByte(':')
-				out.Uint64(uint64(v27Value))
-			}
-			out.RawByte('}')
+		out.Uint64(uint64(in.Epoch))
+	}
+	{
+		const prefix string = ",\"b\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
 		}
+		easyjson66c1e240EncodeSageleverInternalControlQuorum(out, in.Proposal)
 	}
-	if len(in.Drop) != 0 {
-		const prefix string = ",\"x\":"
+	if len(in.Keys) != 0 {
+		const prefix string = ",\"k\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v28, v29 := range in.Drop {
-				if v28 > 0 {
+			for v26, v27 := range in.Keys {
+				if v26 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v29))
+				out.String(string(v27))
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.Whole {
-		const prefix string = ",\"w\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Whole))
-	}
-	{
-		const prefix string = ",\"o\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Sound))
-	}
-	{
-		const prefix string = ",\"n\":"
-		out.RawString(prefix)
-		out.Int(int(in.Agents))
-	}
-	{
-		const prefix string = ",\"h\":"
-		out.RawString(prefix)
-		out.Int(int(in.Here))
-	}
-	if len(in.Members) != 0 {
-		const prefix string = ",\"m\":"
+	if len(in.Entries) != 0 {
+		const prefix string = ",\"v\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v30, v31 := range in.Members {
-				if v30 > 0 {
+			for v28, v29 := range in.Entries {
+				if v28 > 0 {
 					out.RawByte(',')
 				}
-				easyjson66c1e240EncodeSageleverInternalControlMembership(out, v31)
+				(v29).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.Life != 0 {
-		const prefix string = ",\"l\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Life))
-	}
-	{
-		const prefix string = ",\"t\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.Now))
-	}
-	if in.Disk != "" {
-		const prefix string = ",\"z\":"
+	if in.Ranges != nil {
+		const prefix string = ",\"d\":"
 		out.RawString(prefix)
-		out.String(string(in.Disk))
+		(*in.Ranges).MarshalEasyJSON(out)
 	}
-	if in.Acting != 0 {
-		const prefix string = ",\"y\":"
+	if in.Configuration != nil {
+		const prefix string = ",\"s\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Acting))
+		(*in.Configuration).MarshalEasyJSON(out)
 	}
-	if in.Set != nil {
-		const prefix string = ",\"b\":"
+	if (in.From != membership.Member{}) {
+		const prefix string = ",\"f\":"
 		out.RawString(prefix)
-		(*in.Set).MarshalEasyJSON(out)
+		easyjson66c1e240EncodeSageleverInternalControlMembership(out, in.From)
 	}
-	if in.Count != 0 {
-		const prefix string = ",\"k\":"
+	if in.Generation != 0 {
+		const prefix string = ",\"g\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Count))
+		out.Uint64(uint64(in.Generation))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v News) MarshalJSON() ([]byte, error) {
+func (v PeerRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeSageleverInternalControlReplica4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v News) MarshalEasyJSON(w *jwriter.Writer) {
+func (v PeerRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeSageleverInternalControlReplica4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *News) UnmarshalJSON(data []byte) error {
+func (v *PeerRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeSageleverInternalControlReplica4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *News) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *PeerRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeSageleverInternalControlReplica4(l, v)
 }
-func easyjson66c1e240DecodeSageleverLore(in *jlexer.Lexer, out *lore.Item) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Key = string(in.String())
-			}
-		case "v":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Version = uint64(in.Uint64())
-			}
-		case "b":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Body = string(in.String())
-			}
-		case "o":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.From = int(in.Int())
-			}
-		case "q":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Seq = uint64(in.Uint64())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeSageleverLore(out *jwriter.Writer, in lore.Item) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"k\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
-	{
-		const prefix string = ",\"v\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Version))
-	}
-	{
-		const prefix string = ",\"b\":"
-		out.RawString(prefix)
-		out.String(string(in.Body))
-	}
-	if in.From != 0 {
-		const prefix string = ",\"o\":"
-		out.RawString(prefix)
-		out.Int(int(in.From))
-	}
-	if in.Seq != 0 {
-		const prefix string = ",\"q\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Seq))
-	}
-	out.RawByte('}')
-}
-func easyjson66c1e240DecodeSageleverInternalControlReplica5(in *jlexer.Lexer, out *Census) {
+func easyjson66c1e240DecodeSageleverInternalControlReplica5(in *jlexer.Lexer, out *InFlightSurvey) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1435,26 +1454,26 @@
 		case "w":
 			if in.IsNull() {
 				in.Skip()
-				out.Works = nil
+				out.Reports = nil
 			} else {
 				in.Delim('[')
-				if out.Works == nil {
+				if out.Reports == nil {
 					if !in.IsDelim(']') {
-						out.Works = make([]Work, 0, 0)
+						out.Reports = make([]InFlightReport, 0, 0)
 					} else {
-						out.Works = []Work{}
+						out.Reports = []InFlightReport{}
 					}
 				} else {
-					out.Works = (out.Works)[:0]
+					out.Reports = (out.Reports)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v32 Work
+					var v30 InFlightReport
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v32).UnmarshalEasyJSON(in)
+						(v30).UnmarshalEasyJSON(in)
 					}
-					out.Works = append(out.Works, v32)
+					out.Reports = append(out.Reports, v30)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1475,13 +1494,13 @@
 					out.Missing = (out.Missing)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v33 string
+					var v31 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v33 = string(in.String())
+						v31 = string(in.String())
 					}
-					out.Missing = append(out.Missing, v33)
+					out.Missing = append(out.Missing, v31)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1496,21 +1515,21 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlReplica5(out *jwriter.Writer, in Census) {
+func easyjson66c1e240EncodeSageleverInternalControlReplica5(out *jwriter.Writer, in InFlightSurvey) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.Works) != 0 {
+	if len(in.Reports) != 0 {
 		const prefix string = ",\"w\":"
 		first = false
 		out.RawString(prefix[1:])
 		{
 			out.RawByte('[')
-			for v34, v35 := range in.Works {
-				if v34 > 0 {
+			for v32, v33 := range in.Reports {
+				if v32 > 0 {
 					out.RawByte(',')
 				}
-				(v35).MarshalEasyJSON(out)
+				(v33).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -1525,11 +1544,11 @@
 		}
 		{
 			out.RawByte('[')
-			for v36, v37 := range in.Missing {
-				if v36 > 0 {
+			for v34, v35 := range in.Missing {
+				if v34 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v37))
+				out.String(string(v35))
 			}
 			out.RawByte(']')
 		}
@@ -1538,29 +1557,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Census) MarshalJSON() ([]byte, error) {
+func (v InFlightSurvey) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeSageleverInternalControlReplica5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Census) MarshalEasyJSON(w *jwriter.Writer) {
+func (v InFlightSurvey) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeSageleverInternalControlReplica5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Census) UnmarshalJSON(data []byte) error {
+func (v *InFlightSurvey) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeSageleverInternalControlReplica5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Census) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *InFlightSurvey) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeSageleverInternalControlReplica5(l, v)
 }
-func easyjson66c1e240DecodeSageleverInternalControlReplica6(in *jlexer.Lexer, out *Ask) {
+func easyjson66c1e240DecodeSageleverInternalControlReplica6(in *jlexer.Lexer, out *InFlightReport) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1574,103 +1593,91 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "e":
+		case "f":
+			easyjson66c1e240DecodeSageleverInternalControlMembership(in, &out.From)
+		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Epoch = uint64(in.Uint64())
+				out.SurveyID = uint64(in.Uint64())
 			}
-		case "b":
-			easyjson66c1e240DecodeSageleverInternalControlQuorum(in, &out.Ballot)
-		case "k":
+		case "d":
 			if in.IsNull() {
 				in.Skip()
-				out.Keys = nil
 			} else {
-				in.Delim('[')
-				if out.Keys == nil {
-					if !in.IsDelim(']') {
-						out.Keys = make([]string, 0, 4)
-					} else {
-						out.Keys = []string{}
-					}
+				in.Delim('{')
+				if !in.IsDelim('}') {
+					out.DrainVersions = make(map[string]uint64)
 				} else {
-					out.Keys = (out.Keys)[:0]
+					out.DrainVersions = nil
 				}
-				for !in.IsDelim(']') {
-					var v38 string
+				for !in.IsDelim('}') {
+					key := string(in.String())
+					in.WantColon()
+					var v36 uint64
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v38 = string(in.String())
+						v36 = uint64(in.Uint64())
 					}
-					out.Keys = append(out.Keys, v38)
+					(out.DrainVersions)[key] = v36
 					in.WantComma()
 				}
-				in.Delim(']')
+				in.Delim('}')
 			}
-		case "v":
+		case "o":
 			if in.IsNull() {
 				in.Skip()
-				out.Values = nil
+				out.Rows = nil
 			} else {
 				in.Delim('[')
-				if out.Values == nil {
+				if out.Rows == nil {
 					if !in.IsDelim(']') {
-						out.Values = make([]quorum.Entry, 0, 0)
+						out.Rows = make([]lore.BackendInFlight, 0, 2)
 					} else {
-						out.Values = []quorum.Entry{}
+						out.Rows = []lore.BackendInFlight{}
 					}
 				} else {
-					out.Values = (out.Values)[:0]
+					out.Rows = (out.Rows)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v39 quorum.Entry
+					var v37 lore.BackendInFlight
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v39).UnmarshalEasyJSON(in)
+						(v37).UnmarshalEasyJSON(in)
 					}
-					out.Values = append(out.Values, v39)
+					out.Rows = append(out.Rows, v37)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "d":
+		case "l":
 			if in.IsNull() {
 				in.Skip()
-				out.Ranges = nil
+				out.Loads = nil
 			} else {
-				if out.Ranges == nil {
-					out.Ranges = new(rangesync.Request)
-				}
-				if in.IsNull() {
-					in.Skip()
+				in.Delim('[')
+				if out.Loads == nil {
+					if !in.IsDelim(']') {
+						out.Loads = make([]ebb.ServiceLoad, 0, 1)
+					} else {
+						out.Loads = []ebb.ServiceLoad{}
+					}
 				} else {
-					(*out.Ranges).UnmarshalEasyJSON(in)
-				}
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-				out.Set = nil
-			} else {
-				if out.Set == nil {
-					out.Set = new(quorum.Entry)
+					out.Loads = (out.Loads)[:0]
 				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.Set).UnmarshalEasyJSON(in)
+				for !in.IsDelim(']') {
+					var v38 ebb.ServiceLoad
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v38).UnmarshalEasyJSON(in)
+					}
+					out.Loads = append(out.Loads, v38)
+					in.WantComma()
 				}
-			}
-		case "f":
-			easyjson66c1e240DecodeSageleverInternalControlMembership(in, &out.From)
-		case "g":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Generation = uint64(in.Uint64())
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -1682,46 +1689,59 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeSageleverInternalControlReplica6(out *jwriter.Writer, in Ask) {
+func easyjson66c1e240EncodeSageleverInternalControlReplica6(out *jwriter.Writer, in InFlightReport) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Epoch != 0 {
-		const prefix string = ",\"e\":"
-		first = false
+	{
+		const prefix string = ",\"f\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Epoch))
+		easyjson66c1e240EncodeSageleverInternalControlMembership(out, in.From)
 	}
 	{
-		const prefix string = ",\"b\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
+		const prefix string = ",\"k\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.SurveyID))
+	}
+	if len(in.DrainVersions) != 0 {
+		const prefix string = ",\"d\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('{')
+			v39First := true
+			for v39Name, v39Value := range in.DrainVersions {
+				if v39First {
+					v39First = false
+				} else {
+					out.RawByte(',')
+				}
+				out.String(string(v39Name))
+				out.RawByte(':')
+				out.Uint64(uint64(v39Value))
+			}
+			out.RawByte('}')
 		}
-		easyjson66c1e240EncodeSageleverInternalControlQuorum(out, in.Ballot)
 	}
-	if len(in.Keys) != 0 {
-		const prefix string = ",\"k\":"
+	if len(in.Rows) != 0 {
+		const prefix string = ",\"o\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v40, v41 := range in.Keys {
+			for v40, v41 := range in.Rows {
 				if v40 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v41))
+				(v41).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	if len(in.Values) != 0 {
-		const prefix string = ",\"v\":"
+	if len(in.Loads) != 0 {
+		const prefix string = ",\"l\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v42, v43 := range in.Values {
+			for v42, v43 := range in.Loads {
 				if v42 > 0 {
 					out.RawByte(',')
 				}
@@ -1730,49 +1750,29 @@
 			out.RawByte(']')
 		}
 	}
-	if in.Ranges != nil {
-		const prefix string = ",\"d\":"
-		out.RawString(prefix)
-		(*in.Ranges).MarshalEasyJSON(out)
-	}
-	if in.Set != nil {
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		(*in.Set).MarshalEasyJSON(out)
-	}
-	if (in.From != membership.Member{}) {
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		easyjson66c1e240EncodeSageleverInternalControlMembership(out, in.From)
-	}
-	if in.Generation != 0 {
-		const prefix string = ",\"g\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Generation))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Ask) MarshalJSON() ([]byte, error) {
+func (v InFlightReport) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeSageleverInternalControlReplica6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Ask) MarshalEasyJSON(w *jwriter.Writer) {
+func (v InFlightReport) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeSageleverInternalControlReplica6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Ask) UnmarshalJSON(data []byte) error {
+func (v *InFlightReport) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeSageleverInternalControlReplica6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Ask) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *InFlightReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeSageleverInternalControlReplica6(l, v)
 }
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -7,59 +7,59 @@
 	"sagelever/internal/control/quorum"
 )
 
-func (m *Replica) hearRead(now time.Time, t *task, from Member, r *Reply) {
-	if t.heard[from.Node] || !r.OK {
+func (r *Replica) handleReadResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+	if op.answered[from.Node] || !response.OK {
 		return
 	}
-	whole := func(now time.Time) {
-		t.heard[from.Node] = true
-		if len(t.heard) >= m.standing.set.Lose {
-			m.read(now, t)
+	onSaved := func(now time.Time) {
+		op.answered[from.Node] = true
+		if len(op.answered) >= r.local.configuration.MaxFailures {
+			r.finishRead(now, op)
 		}
 	}
-	if len(t.only) > 0 {
-		m.learnFor(now, t, r.Held, whole)
+	if len(op.readKeys) > 0 {
+		r.learnForOperation(now, op, response.Entries, onSaved)
 		return
 	}
-	m.compared(now, t, from, ReadPath, r, whole)
+	r.handleRanges(now, op, from, ReadPath, response, onSaved)
 }
 
-// read ends a read, once what it tells is chosen.
-func (m *Replica) read(now time.Time, t *task) {
-	if m.sealed() { // this member's own word does not count any more
-		m.pause(now, t)
+// finishRead ends a read, once what it tells is chosen.
+func (r *Replica) finishRead(now time.Time, op *operation) {
+	if r.epochClosed() { // this member's own word does not count any more
+		r.scheduleRetry(now, op)
 		return
 	}
-	t.kind, t.keys, t.decide, t.values = settling, nil, keep, map[string]quorum.Value{}
-	for _, e := range m.toRead(t) {
-		if e.Chosen {
-			t.values[e.Key] = e.Value
+	op.kind, op.keys, op.decide, op.chosenValues = completeRead, nil, keepValues, map[string]quorum.Value{}
+	for _, entry := range r.readEntries(op) {
+		if entry.Chosen {
+			op.chosenValues[entry.Key] = entry.Value
 		} else {
-			t.keys = append(t.keys, e.Key)
+			op.keys = append(op.keys, entry.Key)
 		}
 	}
-	slices.Sort(t.keys)
-	if len(t.keys) == 0 {
-		m.end(t, t.values, nil)
+	slices.Sort(op.keys)
+	if len(op.keys) == 0 {
+		r.finish(op, op.chosenValues, nil)
 		return
 	}
-	m.attempt(now, t)
+	r.startAttempt(now, op)
 }
 
-// toRead is what this member holds of what a read is about.
-func (m *Replica) toRead(t *task) []quorum.Entry {
-	if len(t.only) > 0 {
-		return m.named(t.only)
+// readEntries is what this member holds of what a read is about.
+func (r *Replica) readEntries(op *operation) []quorum.Entry {
+	if len(op.readKeys) > 0 {
+		return r.entriesByKey(op.readKeys)
 	}
-	return m.registers(t.prefix)
+	return r.entriesWithPrefix(op.prefix)
 }
 
-// named is what this member holds of some registers.
-func (m *Replica) named(keys []string) []quorum.Entry {
+// entriesByKey is what this member holds of some registers.
+func (r *Replica) entriesByKey(keys []string) []quorum.Entry {
 	var held []quorum.Entry
 	for _, key := range keys {
-		if e := m.acceptor.Get(key); e.Accepted != (quorum.Ballot{}) {
-			held = append(held, e)
+		if entry := r.acceptor.Get(key); entry.Accepted != (quorum.ProposalNumber{}) {
+			held = append(held, entry)
 		}
 	}
 	return held
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -20,349 +20,349 @@
 )
 
 const (
-	LeaseTerm = 2500 * time.Millisecond // an agent pulls again at once, and after ebb.Wait at the latest
-	CoreWait  = 2500 * time.Millisecond // the same between members; bytes between regions are dear
-	Heard     = 3500 * time.Millisecond // a member counts as heard for so long after its last answer: CoreWait and a second
-	memory    = 30 * time.Second        // an agent that is gone counts into n for so long: longer than a request lasts
-	bound     = 30 * time.Second        // for so long what a missing agent should have had is kept for it: half of tomb; beyond it pulls whole
-	tomb      = 60 * time.Second        // a life that has left is remembered for so long: longer than a late pulse takes
-
-	gather    = 15 * time.Millisecond  // news is held for so long, so that what comes together goes together
-	company   = 200 * time.Millisecond // the same for what is new and can wait: appliances that came, leases
-	unhurried = time.Second            // the same for counts of releases, which come all the time and change little
-
-	attempt = 800 * time.Millisecond // of one round; callers give an agent a second
-	head    = 150 * time.Millisecond // by which one member is asked before the others: a dial between regions and back
-	stuck   = 250 * time.Millisecond // a pull that has gone on for so long may hang on a member that was down when it began
-	between = 60 * time.Millisecond  // twice what a message takes between regions, about: the least pause after a refusal
-	settle  = 700 * time.Millisecond // after which a value without a known end is brought to one by whoever holds it
+	LeaseTerm             = 2500 * time.Millisecond // an agent pulls again at once, and after ebb.Wait at the latest
+	PeerPullWait          = 2500 * time.Millisecond // the same between members; bytes between regions are dear
+	PeerTimeout           = 3500 * time.Millisecond // a member counts as heard for so long after its last answer: PeerPullWait and a second
+	proxyRetention        = 30 * time.Second        // an agent that is gone counts into n for so long: longer than a request lasts
+	incrementalPullWindow = 30 * time.Second        // for so long what a missing agent should have had is kept for it: half of tomb; beyond it pulls whole
+	tombstoneRetention    = 60 * time.Second        // a life that has left is remembered for so long: longer than a late pulse takes
+
+	urgentNotifyDelay  = 15 * time.Millisecond  // news is held for so long, so that what comes together goes together
+	defaultNotifyDelay = 200 * time.Millisecond // the same for what is new and can wait: appliances that came, leases
+	tallyNotifyDelay   = time.Second            // the same for counts of releases, which come all the time and change little
+
+	attemptTimeout     = 800 * time.Millisecond // of one round; callers give an agent a second
+	firstPullHeadStart = 150 * time.Millisecond // by which one member is asked before the others: a dial between regions and back
+	stuckPullTimeout   = 250 * time.Millisecond // a pull that has gone on for so long may hang on a member that was down when it began
+	minRetryDelay      = 60 * time.Millisecond  // twice what a message takes between regions, about: the least pause after a refusal
+	repairDelay        = 700 * time.Millisecond // after which a value without a known end is brought to one by whoever holds it
 )
 
 // Reasons why something was not done; whoever asked may ask another member, or again.
 var (
-	ErrFew      = errors.New("too few members answer")
-	ErrCatching = errors.New("this member is catching up")
-	ErrUnsound  = errors.New("this agent does not hear most of the core")
-	ErrOutside  = errors.New("this agent is not a member of the core")
+	ErrTooFewResponses = errors.New("too few members answer")
+	ErrCatchingUp      = errors.New("this member is catching up")
+	ErrNoQuorum        = errors.New("this agent does not hear most of the core")
+	ErrNotMember       = errors.New("this agent is not a member of the core")
 )
 
 // Config is what a member is told.
 type Config struct {
-	Me       Member            // without its disk's identity, which the disk holds
-	Source   string            // this member and its life, as the version before names it
-	Target   membership.Target // the core that the operator asks for
-	Contacts []string          // where the first contacts' peers call them: they decide the first set
-	Fresh    bool              // the whole system starts for the first time
-	Zones    map[string]string // zone to region
-	Silence  time.Duration     // after which an appliance that pulsed here counts as silent
-	Luck     func() float64    // from [0, 1): spreads what several members would do at one moment
+	Self           Member            // without its disk's identity, which the disk holds
+	Source         string            // this member and its life, as the version before names it
+	Target         membership.Target // the core that the operator asks for
+	InitialPeers   []string          // where the first contacts' peers call them: they decide the first set
+	Bootstrap      bool              // the whole system starts for the first time
+	RegionByZone   map[string]string // zone to region
+	BackendTimeout time.Duration     // after which an appliance that pulsed here counts as silent
+	Random         func() float64    // from [0, 1): spreads what several members would do at one moment
 }
 
-// Memory is what a member's disk held.
-type Memory struct {
+// PersistedState is what a member's disk held.
+type PersistedState struct {
 	Entries     []quorum.Entry
-	Floor       quorum.Ballot
+	Floor       quorum.ProposalNumber
 	Identity    Identity // the zero one where the disk is empty
-	Earlier     bool     // the disk was written by the version without sets of members, and is whole
-	Generations map[string]Generation
-	Items       []Kept      // what was known
-	Come        lore.Vector // and how far that goes
-	Noted       time.Time   // when it was last so
+	LegacyDisk  bool     // the disk was written by the version without sets of members, and is whole
+	Generations map[string]DiskGeneration
+	Items       []PersistedItem // what was known
+	Progress    lore.Vector     // and how far that goes
+	ProgressAt  time.Time       // when it was last so
 }
 
-// Kept is an item with where it came from.
-type Kept struct {
+// PersistedItem is an item with where it came from.
+type PersistedItem struct {
 	Item   lore.Item
 	Origin string
 	Number uint64
 }
 
-// Out is what a step has brought. Saves are to be handed to the disk in their order, before the next step; all else has no
+// Output is what a step has brought. Saves are to be handed to the disk in their order, before the next step; all else has no
 // order.
-type Out struct {
-	Sends   []Send
-	Saves   []Save
-	Answers []Answer
-	Done    []Done
-	Lines   []Line        // changes of state, for the log
-	Gone    []string      // items that were forgotten
-	Call    []Member      // replicas that are up, though this one has not heard them: they are best pulled from, or asked who the members are, at once
-	News    time.Duration // whoever waits for news is to be woken after so long; below zero: there is none
+type Output struct {
+	Requests      []OutgoingRequest
+	Saves         []Save
+	Responses     []OutgoingResponse
+	Completions   []Completion
+	LogEntries    []LogEntry    // changes of state, for the log
+	ForgottenKeys []string      // items that were forgotten
+	PullNow       []Member      // replicas that are up, though this one has not heard them: they are best pulled from, or asked who the members are, at once
+	NotifyAfter   time.Duration // whoever waits for news is to be woken after so long; below zero: there is none
 }
 
-// Send is a message to another member; its reply goes to Replied, under the number.
-type Send struct {
-	Number uint64
-	To     Member
-	Path   string
-	Ask    *Ask
+// OutgoingRequest is a message to another member; its reply goes to Replied, under the number.
+type OutgoingRequest struct {
+	ID      uint64
+	To      Member
+	Path    string
+	Request *PeerRequest
 }
 
 // Save is to be on the disk, whole, before Saved is told so under its number.
 type Save struct {
-	Number   uint64
+	ID       uint64
 	Entries  []quorum.Entry
-	Floor    *quorum.Ballot
+	Floor    *quorum.ProposalNumber
 	Identity *Identity
 }
 
-// Answer goes to another member's call.
-type Answer struct {
-	Call  uint64
-	Reply *Reply
-	Err   error
+// OutgoingResponse goes to another member's call.
+type OutgoingResponse struct {
+	CallID   uint64
+	Response *PeerResponse
+	Err      error
 }
 
-// Done is the end of what was begun under a number.
-type Done struct {
-	Number uint64
-	Values map[string]quorum.Value // as chosen
-	Err    error
+// Completion is the end of what was begun under a number.
+type Completion struct {
+	OperationID uint64
+	Values      map[string]quorum.Value // as chosen
+	Err         error
 }
 
-// Line says that a state has changed.
-type Line struct {
-	Text string
-	With []string // names and values
+// LogEntry says that a state has changed.
+type LogEntry struct {
+	Message string
+	Fields  []string // names and values
 }
 
 // Replica is one member.
 type Replica struct {
-	c        Config
-	acceptor *quorum.Acceptor
-	standing standing
-	leaving  bool
-	was      bool // sound, when last looked
-	begun    time.Time
-	latest   time.Time            // when this replica was last told the time
-	open     map[string]time.Time // registers held without a known end, and when to bring them to one
-
-	number  uint64
-	tasks   map[uint64]*task
-	sent    map[uint64]sent
-	saving  map[uint64]func(now time.Time, err error)
-	unsaved bool // the disk has refused something
-
-	feed        *lore.Feed
-	known       bool      // the feed is as far as its vector says
-	told        time.Time // when anyone last told this member news
-	epoch       int       // how often what was known was given up for what another told
-	heardAny    bool      // in this life
-	roll        *lore.Roll
-	members     map[string]*member
-	candidates  map[string]*candidate // by node
-	generations map[string]Generation // by node: of other replicas' disks
-	calledBack  time.Time             // when one that knows a newer set was last called for it
-	homeless    map[string]time.Time  // by node: since when appliances are known whose home is no member
-	reach       map[string]reached    // how far each member has come that pulls here, by node
-	tombs       map[string]time.Time
-	apps        map[string]*lore.App // the newest of what pulses here have said
-	deciding    map[string]bool      // services whose release is being decided
-	census      census
-
-	out Out
+	config    Config
+	acceptor  *quorum.Acceptor
+	local     localMembership
+	leaving   bool
+	hadQuorum bool // sound, when last looked
+	startedAt time.Time
+	lastNow   time.Time            // when this replica was last told the time
+	undecided map[string]time.Time // registers held without a known end, and when to bring them to one
+
+	lastID          uint64
+	operations      map[uint64]*operation
+	pendingRequests map[uint64]pendingRequest
+	pendingSaves    map[uint64]func(now time.Time, err error)
+	saveFailed      bool // the disk has refused something
+
+	items            *lore.ItemStore
+	progressValid    bool      // the feed is as far as its vector says
+	lastPullAt       time.Time // when anyone last told this member news
+	resetCount       int       // how often what was known was given up for what another told
+	heardFromPeer    bool      // in this life
+	liveness         *lore.MemberTable
+	peers            map[string]*peerState
+	candidates       map[string]*candidate     // by node
+	diskGenerations  map[string]DiskGeneration // by node: of other replicas' disks
+	lastCallbackAt   time.Time                 // when one that knows a newer set was last called for it
+	lostOwners       map[string]time.Time      // by node: since when appliances are known whose home is no member
+	pullProgress     map[string]peerProgress   // how far each member has come that pulls here, by node
+	tombstones       map[string]time.Time
+	backends         map[string]*lore.Backend // the newest of what pulses here have said
+	decidingReleases map[string]bool          // services whose release is being decided
+	survey           surveyState
+
+	output Output
 }
 
-type member struct {
+type peerState struct {
 	Member
-	source  string // as the version before numbers
-	seq     uint64
-	heard   time.Time
-	origin  string    // of its life
-	asked   time.Time // when the last pull of it began
-	begun   bool      // heard since this member started
-	lost    time.Time // since when it is not heard any more; zero while it is
-	since   time.Time // when it became a member, as known here
-	leaving bool      // it has said that it ends
-	acting  uint64    // the epoch in which it acts, as it told last
+	legacySource string // as the version before numbers
+	legacySeq    uint64
+	lastHeard    time.Time
+	origin       string    // of its life
+	lastPull     time.Time // when the last pull of it began
+	heardOnce    bool      // heard since this member started
+	lostSince    time.Time // since when it is not heard any more; zero while it is
+	memberSince  time.Time // when it became a member, as known here
+	leaving      bool      // it has said that it ends
+	activeEpoch  uint64    // the epoch in which it acts, as it told last
 }
 
 // New takes up what a disk held.
-func New(c Config, was Memory, now time.Time) *Replica {
-	m := &Replica{c: c, acceptor: quorum.NewAcceptor(was.Entries, was.Floor), begun: now, open: map[string]time.Time{},
-		tasks: map[uint64]*task{}, sent: map[uint64]sent{}, saving: map[uint64]func(time.Time, error){},
-		members: map[string]*member{}, candidates: map[string]*candidate{}, homeless: map[string]time.Time{}, reach: map[string]reached{}, tombs: map[string]time.Time{},
-		apps: map[string]*lore.App{}, deciding: map[string]bool{}, out: Out{News: -1}}
-	m.feed = lore.NewFeed(c.Source, originOf(c.Me.Node, now, c.Luck()))
-	m.roll = lore.NewRoll(LeaseTerm, memory)
-	m.takePlace(now, was)
-	m.recall(was, now)
-	all := m.acceptor.All()
-	slices.SortFunc(all, func(a, b quorum.Entry) int { return strings.Compare(a.Key, b.Key) })
-	for _, e := range all {
-		if e.Chosen {
-			m.publish(e)
+func New(cfg Config, persisted PersistedState, now time.Time) *Replica {
+	r := &Replica{config: cfg, acceptor: quorum.NewAcceptor(persisted.Entries, persisted.Floor), startedAt: now, undecided: map[string]time.Time{},
+		operations: map[uint64]*operation{}, pendingRequests: map[uint64]pendingRequest{}, pendingSaves: map[uint64]func(time.Time, error){},
+		peers: map[string]*peerState{}, candidates: map[string]*candidate{}, lostOwners: map[string]time.Time{}, pullProgress: map[string]peerProgress{}, tombstones: map[string]time.Time{},
+		backends: map[string]*lore.Backend{}, decidingReleases: map[string]bool{}, output: Output{NotifyAfter: -1}}
+	r.items = lore.NewItemStore(cfg.Source, newOrigin(cfg.Self.Node, now, cfg.Random()))
+	r.liveness = lore.NewMemberTable(LeaseTerm, proxyRetention)
+	r.loadMembership(now, persisted)
+	r.restoreItems(persisted, now)
+	entries := r.acceptor.AcceptedEntries()
+	slices.SortFunc(entries, func(first, second quorum.Entry) int { return strings.Compare(first.Key, second.Key) })
+	for _, entry := range entries {
+		if entry.Chosen {
+			r.publishEntry(entry)
 		} else {
-			m.open[e.Key] = now.Add(settle)
+			r.undecided[entry.Key] = now.Add(repairDelay)
 		}
 	}
-	m.beginStanding(now)
-	return m
+	r.saveIdentity(now)
+	return r
 }
 
-// originOf names a member and its life in the numbers of what it tells: short, as it goes with every pull.
-func originOf(node string, now time.Time, luck float64) string {
-	h := fnv.New64a()
-	h.Write([]byte(node))
-	life := uint64(now.UnixMilli())<<5 | uint64(luck*32)
-	return strconv.FormatUint(h.Sum64()>>24, 36) + "." + strconv.FormatUint(life, 36)
+// newOrigin names a member and its life in the numbers of what it tells: short, as it goes with every pull.
+func newOrigin(node string, now time.Time, random float64) string {
+	hash := fnv.New64a()
+	hash.Write([]byte(node))
+	incarnation := uint64(now.UnixMilli())<<5 | uint64(random*32)
+	return strconv.FormatUint(hash.Sum64()>>24, 36) + "." + strconv.FormatUint(incarnation, 36)
 }
 
-// Take hands over what the steps since the last call have brought.
-func (m *Replica) Take() Out {
-	out := m.out
-	m.out = Out{News: -1}
+// TakeOutput hands over what the steps since the last call have brought.
+func (r *Replica) TakeOutput() Output {
+	out := r.output
+	r.output = Output{NotifyAfter: -1}
 	return out
 }
 
-func (m *Replica) say(text string, with ...string) {
-	m.out.Lines = append(m.out.Lines, Line{text, with})
+func (r *Replica) logEvent(message string, fields ...string) {
+	r.output.LogEntries = append(r.output.LogEntries, LogEntry{message, fields})
 }
 
 // save has entries brought to the disk, and then goes on. Where nothing has changed it goes on at once.
-func (m *Replica) save(now time.Time, s Save, then func(now time.Time, err error)) {
-	if len(s.Entries) == 0 && s.Floor == nil && s.Identity == nil {
-		if then != nil {
-			then(now, nil)
+func (r *Replica) save(now time.Time, save Save, done func(now time.Time, err error)) {
+	if len(save.Entries) == 0 && save.Floor == nil && save.Identity == nil {
+		if done != nil {
+			done(now, nil)
 		}
 		return
 	}
-	m.number++
-	s.Number = m.number
-	m.saving[s.Number] = then
-	m.out.Saves = append(m.out.Saves, s)
+	r.lastID++
+	save.ID = r.lastID
+	r.pendingSaves[save.ID] = done
+	r.output.Saves = append(r.output.Saves, save)
 }
 
-// Saved takes the disk's word on a save.
-func (m *Replica) Saved(now time.Time, number uint64, err error) {
-	then, known := m.saving[number]
+// HandleSaved takes the disk's word on a save.
+func (r *Replica) HandleSaved(now time.Time, number uint64, err error) {
+	done, known := r.pendingSaves[number]
 	if !known {
 		return
 	}
-	delete(m.saving, number)
+	delete(r.pendingSaves, number)
 	if err != nil {
-		m.unsaved = true
+		r.saveFailed = true
 	}
-	if then != nil {
-		then(now, err)
+	if done != nil {
+		done(now, err)
 	}
 }
 
-// resave brings all to the disk again after it has refused something: what was learned meanwhile is told by nobody again.
-func (m *Replica) resave(now time.Time) {
-	if !m.unsaved || len(m.saving) > 0 {
+// retrySave brings all to the disk again after it has refused something: what was learned meanwhile is told by nobody again.
+func (r *Replica) retrySave(now time.Time) {
+	if !r.saveFailed || len(r.pendingSaves) > 0 {
 		return
 	}
-	m.unsaved = false // a failure sets it again
-	floor := m.acceptor.Floor()
-	identity := m.standing.handed
-	m.save(now, Save{Entries: m.acceptor.All(), Floor: &floor, Identity: &identity}, nil)
+	r.saveFailed = false // a failure sets it again
+	floor := r.acceptor.MinProposal()
+	identity := r.local.submittedIdentity
+	r.save(now, Save{Entries: r.acceptor.AcceptedEntries(), Floor: &floor, Identity: &identity}, nil)
 }
 
-// Asked takes another member's message, or this one's own; the answer comes under the call's number. What it says is on the
+// HandleRequest takes another member's message, or this one's own; the answer comes under the call's number. What it says is on the
 // disk by then.
-func (m *Replica) Asked(now time.Time, call uint64, path string, a *Ask) {
-	m.serve(now, path, a, func(_ time.Time, r *Reply, err error) {
-		m.out.Answers = append(m.out.Answers, Answer{call, r, err})
+func (r *Replica) HandleRequest(now time.Time, call uint64, path string, request *PeerRequest) {
+	r.serveRequest(now, path, request, func(_ time.Time, response *PeerResponse, err error) {
+		r.output.Responses = append(r.output.Responses, OutgoingResponse{call, response, err})
 	})
 }
 
-func (m *Replica) serve(now time.Time, path string, a *Ask, then func(now time.Time, r *Reply, err error)) {
+func (r *Replica) serveRequest(now time.Time, path string, request *PeerRequest, respond func(now time.Time, response *PeerResponse, err error)) {
 	switch path {
 	case GenerationPath:
-		then(now, m.serveGeneration(a), nil)
+		respond(now, r.serveGeneration(request), nil)
 		return
 	case StatePath:
-		m.serveState(now, a, then)
+		r.serveState(now, request, respond)
 		return
 	}
-	if a.Epoch < m.standing.set.Epoch { // it is told which set is in force
-		then(now, &Reply{Set: m.standing.entry()}, nil)
+	if request.Epoch < r.local.configuration.Epoch { // it is told which set is in force
+		respond(now, &PeerResponse{Configuration: r.local.entry()}, nil)
 		return
 	}
-	if a.Epoch > m.standing.set.Epoch || !m.Acting() {
-		then(now, nil, ErrCatching)
+	if request.Epoch > r.local.configuration.Epoch || !r.Active() {
+		respond(now, nil, ErrCatchingUp)
 		return
 	}
-	r := &Reply{OK: true}
+	response := &PeerResponse{OK: true}
 	var changed []quorum.Entry
 	switch path {
 	case PreparePath, AcceptPath:
-		if m.sealed() && !onlyMembers(a) {
-			then(now, &Reply{}, nil)
+		if r.epochClosed() && !concernsOnlyConfiguration(request) {
+			respond(now, &PeerResponse{}, nil)
 			return
 		}
 		if path == PreparePath {
-			r.Held, changed, r.Refused = m.acceptor.Prepare(a.Ballot, a.Keys)
+			response.Entries, changed, response.PromisedProposal = r.acceptor.Prepare(request.Proposal, request.Keys)
 		} else {
-			changed, r.Refused = m.acceptor.Accept(a.Ballot, a.Values)
+			changed, response.PromisedProposal = r.acceptor.Accept(request.Proposal, request.Entries)
 		}
-		if r.Refused != (quorum.Ballot{}) {
-			r.OK, r.Held = false, nil
-			then(now, r, nil)
+		if response.PromisedProposal != (quorum.ProposalNumber{}) {
+			response.OK, response.Entries = false, nil
+			respond(now, response, nil)
 			return
 		}
 	case ReadPath:
 		// The next set may be in force already, and have decided what this member does not know of.
-		if m.sealed() {
-			then(now, &Reply{}, nil)
+		if r.epochClosed() {
+			respond(now, &PeerResponse{}, nil)
 			return
 		}
-		if len(a.Keys) > 0 {
-			r.Held = m.named(a.Keys)
+		if len(request.Keys) > 0 {
+			response.Entries = r.entriesByKey(request.Keys)
 		} else {
-			m.compare(a, r)
+			r.serveRanges(request, response)
 		}
 	}
-	for _, e := range changed { // whether or not the disk takes it
-		m.unsettled(now, e)
+	for _, entry := range changed { // whether or not the disk takes it
+		r.trackUndecided(now, entry)
 	}
-	m.save(now, Save{Entries: changed}, func(now time.Time, err error) {
+	r.save(now, Save{Entries: changed}, func(now time.Time, err error) {
 		if err != nil { // what is not on the disk is not said
-			r = nil
+			response = nil
 		}
-		then(now, r, err)
+		respond(now, response, err)
 	})
 }
 
-// unsettled notes a register whose newest value this member holds without knowing that it is chosen.
-func (m *Replica) unsettled(now time.Time, e quorum.Entry) {
-	if held := m.acceptor.Get(e.Key); held.Chosen || held.Accepted == (quorum.Ballot{}) {
+// trackUndecided notes a register whose newest value this member holds without knowing that it is chosen.
+func (r *Replica) trackUndecided(now time.Time, entry quorum.Entry) {
+	if held := r.acceptor.Get(entry.Key); held.Chosen || held.Accepted == (quorum.ProposalNumber{}) {
 		return
 	}
-	if _, noted := m.open[e.Key]; !noted {
-		wait := settle
-		if e.Key == membership.Key { // nothing else is decided until it has an end
-			wait = settleMembers
+	if _, noted := r.undecided[entry.Key]; !noted {
+		delay := repairDelay
+		if entry.Key == membership.RegisterKey { // nothing else is decided until it has an end
+			delay = configurationRepairDelay
 		}
-		m.open[e.Key] = now.Add(wait + time.Duration(m.c.Luck()*float64(wait)))
+		r.undecided[entry.Key] = now.Add(delay + time.Duration(r.config.Random()*float64(delay)))
 	}
 }
 
-// learn takes up what is known to be chosen, or was accepted elsewhere, and tells on what is chosen.
-func (m *Replica) learn(now time.Time, entries []quorum.Entry) []quorum.Entry {
-	changed := m.acceptor.Learn(entries)
-	for _, e := range changed {
-		if e.Chosen {
-			delete(m.open, e.Key)
-			m.publish(e)
-			m.adopt(now, e)
+// learnEntries takes up what is known to be chosen, or was accepted elsewhere, and tells on what is chosen.
+func (r *Replica) learnEntries(now time.Time, entries []quorum.Entry) []quorum.Entry {
+	changed := r.acceptor.Learn(entries)
+	for _, entry := range changed {
+		if entry.Chosen {
+			delete(r.undecided, entry.Key)
+			r.publishEntry(entry)
+			r.adoptConfiguration(now, entry)
 		} else {
-			m.unsettled(now, e)
+			r.trackUndecided(now, entry)
 		}
 	}
 	return changed
 }
 
-// publish tells a chosen value.
-func (m *Replica) publish(e quorum.Entry) {
-	m.tell(lore.Item{Key: lore.RegKey + e.Key, Version: e.Value.Version, Body: regBody(e)})
+// publishEntry tells a chosen value.
+func (r *Replica) publishEntry(entry quorum.Entry) {
+	r.mergeLocal(lore.Item{Key: lore.RegisterKey + entry.Key, Version: entry.Value.Version, Body: entryBody(entry)})
 }
 
-func regBody(e quorum.Entry) string {
-	b, _ := easyjson.Marshal(quorum.Entry{Key: e.Key, Accepted: e.Accepted, Value: e.Value, Chosen: true})
-	return string(b)
+func entryBody(entry quorum.Entry) string {
+	body, _ := easyjson.Marshal(quorum.Entry{Key: entry.Key, Accepted: entry.Accepted, Value: entry.Value, Chosen: true})
+	return string(body)
 }
 
-// Held is a register as this member holds it.
-func (m *Replica) Held(key string) quorum.Entry { return m.acceptor.Get(key) }
+// Register is a register as this member holds it.
+func (r *Replica) Register(key string) quorum.Entry { return r.acceptor.Get(key) }
--- a/internal/control/replica/spots.go
+++ b/internal/control/replica/spots.go
@@ -12,40 +12,42 @@
 	"sagelever/plan"
 )
 
-// Spots are the appliances as room is reckoned with them: what is leaving for any reason, a build on trial and one that is
+// BackendCapacities are the appliances as room is reckoned with them: what is leaving for any reason, a build on trial and one that is
 // out of service carry nothing.
-func Spots(t *plan.Table, apps map[string]*lore.App, zones map[string]string, now time.Time) (out []ebb.Spot) {
-	for _, id := range slices.Sorted(maps.Keys(apps)) {
-		a := apps[id]
-		s := ebb.Spot{ID: id, Service: a.Service, Zone: a.Zone, Region: zones[a.Zone], Slots: a.Capacity,
-			Serves: a.Phase == lore.Ready && !t.Cleared[a.Zone] && !t.Drained(a.Service, id, a.Zone)}
-		if r := t.Releases[a.Service]; r != nil && (a.Build == r.Target) != (r.Phase == plan.Finished) {
-			s.Serves = false
+func BackendCapacities(table *plan.Table, backends map[string]*lore.Backend, regionByZone map[string]string, now time.Time) (capacities []ebb.BackendCapacity) {
+	for _, id := range slices.Sorted(maps.Keys(backends)) {
+		backend := backends[id]
+		capacity := ebb.BackendCapacity{ID: id, Service: backend.Service, Zone: backend.Zone, Region: regionByZone[backend.Zone], Slots: backend.Capacity,
+			Serving: backend.Phase == lore.PhaseReady && !table.Evacuated[backend.Zone] && !table.IsDrained(backend.Service, id, backend.Zone)}
+		if rel := table.Releases[backend.Service]; rel != nil && (backend.Version == rel.Target) != (rel.Phase == plan.PhaseFinished) {
+			capacity.Serving = false
 		}
-		if b := t.Services[a.Service]; b != nil && a.Warm > now.UnixMilli() {
-			s.ColdRate = b.WarmRate
+		if service := table.Services[backend.Service]; service != nil && backend.WarmAtMs > now.UnixMilli() {
+			capacity.WarmUpRate = service.WarmUpRate
 		}
-		out = append(out, s)
+		capacities = append(capacities, capacity)
 	}
-	return out
+	return capacities
 }
 
-// Orders are the drains that stand, by the registers as chosen.
-func Orders(held map[string]quorum.Value) (out []ebb.Order) {
-	for _, key := range slices.Sorted(maps.Keys(held)) {
-		zone, ok := strings.CutPrefix(key, plan.DrainKey(""))
+// DrainOrders are the drains that stand, by the registers as chosen.
+func DrainOrders(registers map[string]quorum.Value) (orders []ebb.ActiveDrain) {
+	for _, key := range slices.Sorted(maps.Keys(registers)) {
+		zone, ok := strings.CutPrefix(key, plan.ListKey(""))
 		if !ok {
 			continue
 		}
-		for _, d := range plan.ReadDrains(held[key]) {
-			out = append(out, Order(zone, d, held[key].Version))
+		for _, zoneDrain := range plan.ReadList(registers[key]) {
+			orders = append(orders, NewDrainOrder(zone, zoneDrain, registers[key].Version))
 		}
 	}
-	return out
+	return orders
 }
 
-// Order is a drain in a zone, of a version of its register.
-func Order(zone string, d plan.Drain, version uint64) ebb.Order {
-	return ebb.Order{Target: d.Names(zone), Zone: zone, Version: version, Began: time.UnixMilli(d.Began),
-		Covers: func(s ebb.Spot) bool { return s.Zone == zone && d.Covers(s.Service, s.ID) }}
+// NewDrainOrder is a drain in a zone, of a version of its register.
+func NewDrainOrder(zone string, zoneDrain plan.Drain, version uint64) ebb.ActiveDrain {
+	return ebb.ActiveDrain{Target: zoneDrain.TargetName(zone), Zone: zone, Version: version, StartedAt: time.UnixMilli(zoneDrain.BeganMs),
+		Covers: func(capacity ebb.BackendCapacity) bool {
+			return capacity.Zone == zone && zoneDrain.Covers(capacity.Service, capacity.ID)
+		}}
 }
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -10,216 +10,216 @@
 	"sagelever/internal/control/rangesync"
 )
 
-// attemptConfirm asks the other members which generation of this disk they know.
-func (m *Replica) attemptConfirm(now time.Time, t *task) {
-	s := &m.standing
-	others := m.peers()
-	if !s.member() {
-		others = m.sources()
-	}
-	m.ask(now, t, others, GenerationPath, &Ask{Epoch: s.set.Epoch, From: s.me, Generation: s.identity.Generation})
+// requestDiskConfirmation asks the other members which generation of this disk they know.
+func (r *Replica) requestDiskConfirmation(now time.Time, op *operation) {
+	local := &r.local
+	others := r.votingPeers()
+	if !local.isMember() {
+		others = r.takeoverSources()
+	}
+	r.requestFrom(now, op, others, GenerationPath, &PeerRequest{Epoch: local.configuration.Epoch, From: local.self, Generation: local.identity.Generation})
 }
 
 // serveGeneration says which generation of a disk was known here, and notes the one that is told. It says so whether or not
 // this replica acts itself: after a loss of all power none does yet.
-func (m *Replica) serveGeneration(a *Ask) *Reply {
-	r := &Reply{OK: true, Disk: m.standing.me.Disk}
-	if known := m.generations[a.From.Node]; known.Disk == a.From.Disk {
-		r.Generation = known.Number
+func (r *Replica) serveGeneration(request *PeerRequest) *PeerResponse {
+	response := &PeerResponse{OK: true, DiskID: r.local.self.DiskID}
+	if known := r.diskGenerations[request.From.Node]; known.DiskID == request.From.DiskID {
+		response.Generation = known.Number
 	}
-	m.noteGeneration(a.From, a.Generation)
-	return r
+	r.recordGeneration(request.From, request.Generation)
+	return response
 }
 
-func (m *Replica) noteGeneration(of Member, number uint64) {
-	if of.Disk == "" || number == 0 {
+func (r *Replica) recordGeneration(owner Member, number uint64) {
+	if owner.DiskID == "" || number == 0 {
 		return
 	}
-	known := m.generations[of.Node]
-	if known.Disk == of.Disk && known.Number >= number {
+	known := r.diskGenerations[owner.Node]
+	if known.DiskID == owner.DiskID && known.Number >= number {
 		return
 	}
-	if member, ok := m.standing.set.Find(of.Node); ok && member.Disk != of.Disk && known.Disk == member.Disk {
+	if member, ok := r.local.configuration.Find(owner.Node); ok && member.DiskID != owner.DiskID && known.DiskID == member.DiskID {
 		return // a candidate takes no member's place
 	}
-	m.generations[of.Node] = Generation{Disk: of.Disk, Number: number}
+	r.diskGenerations[owner.Node] = DiskGeneration{DiskID: owner.DiskID, Number: number}
 }
 
-// hearGeneration takes another's word on this disk.
-func (m *Replica) hearGeneration(now time.Time, t *task, from Member, r *Reply) {
-	s := &m.standing
-	if !r.OK || t.heard[from.Node] || r.Disk != from.Disk { // a member that lost its disk knows nothing
+// handleGenerationResponse takes another's word on this disk.
+func (r *Replica) handleGenerationResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+	local := &r.local
+	if !response.OK || op.answered[from.Node] || response.DiskID != from.DiskID { // a member that lost its disk knows nothing
 		return
 	}
-	if r.Generation > s.identity.Generation {
-		m.end(t, nil, nil)
-		m.renewDisk(now)
+	if response.Generation > local.identity.Generation {
+		r.finish(op, nil, nil)
+		r.replaceIdentity(now)
 		return
 	}
-	t.heard[from.Node] = true
-	if len(t.heard) < s.set.Witnesses() {
+	op.answered[from.Node] = true
+	if len(op.answered) < local.configuration.GenerationQuorum() {
 		return
 	}
-	s.confirmed = true
-	m.end(t, nil, nil)
-	m.count(now)
-	m.takeOver(now)
-	m.look(now)
+	local.diskConfirmed = true
+	r.finish(op, nil, nil)
+	r.advanceGeneration(now)
+	r.startTakeover(now)
+	r.noteQuorumChange(now)
 }
 
-// attemptJoin asks the members of the epoch before, and of this one, for all that they hold.
-func (m *Replica) attemptJoin(now time.Time, t *task) {
-	s := &m.standing
-	if m.own() && s.set.Takeover() <= 1 {
-		m.finishJoin(now, t)
+// requestTakeoverState asks the members of the epoch before, and of this one, for all that they hold.
+func (r *Replica) requestTakeoverState(now time.Time, op *operation) {
+	local := &r.local
+	if r.activeInPreviousEpoch() && local.configuration.TakeoverQuorum() <= 1 {
+		r.finishTakeover(now, op)
 		return
 	}
-	from := m.sources()
-	m.ask(now, t, from, StatePath, m.rangesAsk(StatePath, m.compareWith(t, from, rangesync.Range{})))
+	sources := r.takeoverSources()
+	r.requestFrom(now, op, sources, StatePath, r.rangesRequest(StatePath, r.startSessions(op, sources, rangesync.Range{})))
 }
 
-// sources are the other members of the epoch before and of this one.
-func (m *Replica) sources() (from []Member) {
-	s := &m.standing
-	for _, x := range append(slices.Clone(s.set.Previous), s.set.Members...) {
-		if x.Is(s.me) || slices.ContainsFunc(from, x.Is) {
+// takeoverSources are the other members of the epoch before and of this one.
+func (r *Replica) takeoverSources() (sources []Member) {
+	local := &r.local
+	for _, peer := range append(slices.Clone(local.configuration.Previous), local.configuration.Members...) {
+		if peer.SameReplica(local.self) || slices.ContainsFunc(sources, peer.SameReplica) {
 			continue
 		}
-		if known := m.members[x.Node]; known != nil && known.Is(x) {
-			x = known.Member
+		if known := r.peers[peer.Node]; known != nil && known.SameReplica(peer) {
+			peer = known.Member
 		}
-		from = append(from, x)
+		sources = append(sources, peer)
 	}
-	return from
+	return sources
 }
 
-// own tells whether this replica's own state is one of the epoch before.
-func (m *Replica) own() bool {
-	s := &m.standing
-	return s.identity.Acting && s.identity.Active+1 == s.set.Epoch && slices.ContainsFunc(s.set.Previous, s.me.Is)
+// activeInPreviousEpoch tells whether this replica's own state is one of the epoch before.
+func (r *Replica) activeInPreviousEpoch() bool {
+	local := &r.local
+	return local.identity.Acting && local.identity.Active+1 == local.configuration.Epoch && slices.ContainsFunc(local.configuration.Previous, local.self.SameReplica)
 }
 
-// attemptLearn asks one acting member after the other.
-func (m *Replica) attemptLearn(now time.Time, t *task) {
-	peers := m.Members()
+// requestCatchUpState asks one acting member after the other.
+func (r *Replica) requestCatchUpState(now time.Time, op *operation) {
+	peers := r.OtherMembers()
 	if len(peers) == 0 {
-		m.pause(now, t)
+		r.scheduleRetry(now, op)
 		return
 	}
-	from := []Member{peers[t.try%len(peers)]}
-	m.ask(now, t, from, StatePath, m.rangesAsk(StatePath, m.compareWith(t, from, rangesync.Range{})))
+	source := []Member{peers[op.attempt%len(peers)]}
+	r.requestFrom(now, op, source, StatePath, r.rangesRequest(StatePath, r.startSessions(op, source, rangesync.Range{})))
 }
 
 // serveState tells what this replica holds. One that is asked about an epoch that it did not know of adopts it first, and
 // has that on its disk before it answers: from then on what it holds of the epoch before does not change any more.
-func (m *Replica) serveState(now time.Time, a *Ask, then func(now time.Time, r *Reply, err error)) {
+func (r *Replica) serveState(now time.Time, request *PeerRequest, respond func(now time.Time, response *PeerResponse, err error)) {
 	var changed []quorum.Entry
-	if a.Set != nil {
-		changed = m.learn(now, []quorum.Entry{*a.Set})
+	if request.Configuration != nil {
+		changed = r.learnEntries(now, []quorum.Entry{*request.Configuration})
 	}
-	s := &m.standing
-	if a.Epoch < s.set.Epoch {
-		m.save(now, Save{Entries: changed}, func(now time.Time, _ error) { then(now, &Reply{Set: s.entry()}, nil) })
+	local := &r.local
+	if request.Epoch < local.configuration.Epoch {
+		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, &PeerResponse{Configuration: local.entry()}, nil) })
 		return
 	}
-	if !s.confirmed || !s.identity.Acting || a.Epoch != s.set.Epoch {
-		m.save(now, Save{Entries: changed}, func(now time.Time, _ error) { then(now, nil, ErrCatching) })
+	if !local.diskConfirmed || !local.identity.Acting || request.Epoch != local.configuration.Epoch {
+		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, nil, ErrCatchingUp) })
 		return
 	}
-	r := &Reply{OK: true, Disk: s.me.Disk, Acting: s.identity.Active, Others: maps.Clone(m.generations)}
-	m.compare(a, r)
-	m.save(now, Save{Entries: changed}, func(now time.Time, err error) {
+	response := &PeerResponse{OK: true, DiskID: local.self.DiskID, ActiveEpoch: local.identity.Active, DiskGenerations: maps.Clone(r.diskGenerations)}
+	r.serveRanges(request, response)
+	r.save(now, Save{Entries: changed}, func(now time.Time, err error) {
 		if err != nil {
-			r = nil
+			response = nil
 		}
-		then(now, r, err)
+		respond(now, response, err)
 	})
 }
 
-// hearState takes what another replica holds.
-func (m *Replica) hearState(now time.Time, t *task, from Member, r *Reply) {
-	if !r.OK || t.heard[from.Node+from.Disk] || r.Disk != from.Disk {
+// handleStateResponse takes what another replica holds.
+func (r *Replica) handleStateResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+	if !response.OK || op.answered[from.Node+from.DiskID] || response.DiskID != from.DiskID {
 		return
 	}
 	// Who comes new into the set is asked for its word on disks like those whose place it takes.
-	for node, g := range r.Others {
-		m.noteGeneration(Member{Node: node, Disk: g.Disk}, g.Number)
+	for node, generation := range response.DiskGenerations {
+		r.recordGeneration(Member{Node: node, DiskID: generation.DiskID}, generation.Number)
 	}
-	m.compared(now, t, from, StatePath, r, func(now time.Time) {
-		if t.kind == learning {
-			m.finishLearn(now, t, r)
+	r.handleRanges(now, op, from, StatePath, response, func(now time.Time) {
+		if op.kind == catchUp {
+			r.finishCatchUp(now, op, response)
 			return
 		}
-		s := &m.standing
-		if r.Acting == s.set.Epoch { // it holds all that was chosen before this epoch
-			m.finishJoin(now, t)
+		local := &r.local
+		if response.ActiveEpoch == local.configuration.Epoch { // it holds all that was chosen before this epoch
+			r.finishTakeover(now, op)
 			return
 		}
-		if r.Acting+1 != s.set.Epoch || !slices.ContainsFunc(s.set.Previous, from.Is) {
+		if response.ActiveEpoch+1 != local.configuration.Epoch || !slices.ContainsFunc(local.configuration.Previous, from.SameReplica) {
 			return
 		}
-		t.heard[from.Node+from.Disk] = true
-		words := len(t.heard)
-		if slices.ContainsFunc(s.set.Previous, s.me.Is) { // one that did not act there has accepted nothing there, and now holds what was chosen before
-			words++
+		op.answered[from.Node+from.DiskID] = true
+		answers := len(op.answered)
+		if slices.ContainsFunc(local.configuration.Previous, local.self.SameReplica) { // one that did not act there has accepted nothing there, and now holds what was chosen before
+			answers++
 		}
-		if words >= s.set.Takeover() {
-			m.finishJoin(now, t)
+		if answers >= local.configuration.TakeoverQuorum() {
+			r.finishTakeover(now, op)
 		}
 	})
 }
 
-// finishJoin has this replica act in the epoch in force, once its disk says so.
-func (m *Replica) finishJoin(now time.Time, t *task) {
-	s := &m.standing
-	if t.taking {
+// finishTakeover has this replica act in the epoch in force, once its disk says so.
+func (r *Replica) finishTakeover(now time.Time, op *operation) {
+	local := &r.local
+	if op.accepting {
 		return
 	}
-	t.taking, t.deadline = true, time.Time{} // it takes as long as the disk does
-	epoch, try := s.set.Epoch, t.try
-	m.acceptor.Refuse(quorum.Ballot{Epoch: epoch})
-	floor := m.acceptor.Floor()
-	next := s.handed
+	op.accepting, op.attemptDeadline = true, time.Time{} // it takes as long as the disk does
+	epoch, attempt := local.configuration.Epoch, op.attempt
+	r.acceptor.RaiseMinProposal(quorum.ProposalNumber{Epoch: epoch})
+	floor := r.acceptor.MinProposal()
+	next := local.submittedIdentity
 	next.Acting, next.Active = true, epoch
-	s.handed = next
-	t.unsaved++
-	number := m.number + 1 // of this save
-	m.save(now, Save{Floor: &floor, Identity: &next}, func(now time.Time, err error) {
-		if m.tasks[t.number] != t || t.try != try {
+	local.submittedIdentity = next
+	op.pendingSaves++
+	number := r.lastID + 1 // of this save
+	r.save(now, Save{Floor: &floor, Identity: &next}, func(now time.Time, err error) {
+		if r.operations[op.id] != op || op.attempt != attempt {
 			return
 		}
-		t.unsaved--
-		if err != nil || t.failed || next.Disk != s.identity.Disk || m.unsavedBefore(number) {
-			m.pause(now, t)
+		op.pendingSaves--
+		if err != nil || op.saveFailed || next.Disk != local.identity.Disk || r.hasUnsavedBefore(number) {
+			r.scheduleRetry(now, op)
 			return
 		}
-		s.identity.Acting, s.identity.Active = true, epoch
-		m.end(t, nil, nil)
-		m.say("acts as a member", "epoch", strconv.FormatUint(epoch, 10), "registers", strconv.Itoa(len(m.acceptor.All())),
-			"afterMs", strconv.FormatInt(now.Sub(s.adopted).Milliseconds(), 10))
-		m.look(now)
-		m.wake(0)
+		local.identity.Acting, local.identity.Active = true, epoch
+		r.finish(op, nil, nil)
+		r.logEvent("acts as a member", "epoch", strconv.FormatUint(epoch, 10), "registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())),
+			"afterMs", strconv.FormatInt(now.Sub(local.adoptedAt).Milliseconds(), 10))
+		r.noteQuorumChange(now)
+		r.notifyAfter(0)
 	})
 }
 
-// unsavedBefore tells whether something that was handed to the disk before a save is not known to be there.
-func (m *Replica) unsavedBefore(save uint64) bool {
-	for number := range m.saving {
+// hasUnsavedBefore tells whether something that was handed to the disk before a save is not known to be there.
+func (r *Replica) hasUnsavedBefore(save uint64) bool {
+	for number := range r.pendingSaves {
 		if number < save {
 			return true
 		}
 	}
-	return m.unsaved
+	return r.saveFailed
 }
 
-// finishLearn makes a candidate ready to be voted in.
-func (m *Replica) finishLearn(now time.Time, t *task, r *Reply) {
-	if r.Acting != m.standing.set.Epoch {
-		m.pause(now, t)
+// finishCatchUp makes a candidate ready to be voted in.
+func (r *Replica) finishCatchUp(now time.Time, op *operation, response *PeerResponse) {
+	if response.ActiveEpoch != r.local.configuration.Epoch {
+		r.scheduleRetry(now, op)
 		return
 	}
-	m.standing.learned = true
-	m.end(t, nil, nil)
-	m.say("holds what the members hold, and waits to be voted in", "registers", strconv.Itoa(len(m.acceptor.All())))
-	m.wake(0)
+	r.local.caughtUp = true
+	r.finish(op, nil, nil)
+	r.logEvent("holds what the members hold, and waits to be voted in", "registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())))
+	r.notifyAfter(0)
 }
