--- a/internal/testbed/hollow/meter.go
+++ b/internal/testbed/hollow/meter.go
@@ -9,8 +9,8 @@
 	"sagelever/strand"
 )
 
-// connectPatience is for how long a silent peer is waited for, as between the agents of the system.
-const connectPatience = strand.Patience(1500 * time.Millisecond)
+// connectTimeout is for how long a silent peer is waited for, as between the agents of the system.
+const connectTimeout = strand.UserTimeout(1500 * time.Millisecond)
 
 // Traffic is what went over connections that one side opened: payload bytes of TCP, HTTP's own lines included.
 type Traffic struct {
@@ -19,13 +19,13 @@
 	Calls    int64 `json:"calls"` // requests: writes that follow upon an answer, or open a connection
 }
 
-// Minus is the traffic since an earlier reading.
-func (t Traffic) Minus(earlier Traffic) Traffic {
+// Sub is the traffic since an earlier reading.
+func (t Traffic) Sub(earlier Traffic) Traffic {
 	return Traffic{Sent: t.Sent - earlier.Sent, Received: t.Received - earlier.Received, Calls: t.Calls - earlier.Calls}
 }
 
-// Plus is the traffic of both.
-func (t Traffic) Plus(other Traffic) Traffic {
+// Add is the traffic of both.
+func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{Sent: t.Sent + other.Sent, Received: t.Received + other.Received, Calls: t.Calls + other.Calls}
 }
 
@@ -41,7 +41,7 @@
 
 // Dial opens a counted connection.
 func (m *Meter) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	conn, err := connectPatience.Dialer(time.Second).DialContext(ctx, network, address)
+	conn, err := connectTimeout.Dialer(time.Second).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
@@ -51,12 +51,12 @@
 // meteredConn counts into its meter. HTTP/1.1 without pipelining alternates: a write behind a read is a new request.
 type meteredConn struct {
 	net.Conn
-	meter  *Meter
-	asking atomic.Bool // written to since the last read
+	meter      *Meter
+	requesting atomic.Bool // written to since the last read
 }
 
 func (c *meteredConn) Write(data []byte) (int, error) {
-	if !c.asking.Swap(true) {
+	if !c.requesting.Swap(true) {
 		c.meter.calls.Add(1)
 	}
 	n, err := c.Conn.Write(data)
@@ -67,7 +67,7 @@
 func (c *meteredConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.asking.Store(false)
+		c.requesting.Store(false)
 		c.meter.received.Add(int64(n))
 	}
 	return n, err
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -19,22 +19,22 @@
 
 // Roles of real processes.
 const (
-	RoleMember = "member" // a steward: one member of the core
-	RoleRelay  = "relay"
+	RoleController = "member" // a steward: one member of the core
+	RoleProxy      = "relay"
 )
 
-// endTime is for how long a process is waited for that was told to end.
-const endTime = 10 * time.Second
+// stopTimeout is for how long a process is waited for that was told to end.
+const stopTimeout = 10 * time.Second
 
 // Serve is a real process of a testbed: it runs the role that its settings file is for until its input ends, and answers
 // each line of input with a line that has the traffic of the connections that it opened.
 func Serve(role, settingsFile string, in io.Reader, out io.Writer) error {
-	settings, err := boot.Read(settingsFile)
+	nodeSettings, err := boot.Read(settingsFile)
 	if err != nil {
 		return err
 	}
 	meter := &Meter{}
-	run, err := open(role, settings, meter)
+	run, err := newRole(role, nodeSettings, meter)
 	if err != nil {
 		return err
 	}
@@ -52,16 +52,16 @@
 	return run(ctx)
 }
 
-func open(role string, settings *boot.Settings, meter *Meter) (run func(context.Context) error, err error) {
+func newRole(role string, nodeSettings *boot.Settings, meter *Meter) (run func(context.Context) error, err error) {
 	switch role {
-	case RoleMember:
-		member, err := steward.New(steward.Options{Settings: settings, PerZone: 1, Log: zap.NewNop(), Dial: meter.Dial})
+	case RoleController:
+		member, err := steward.New(steward.Options{Settings: nodeSettings, MembersPerZone: 1, Log: zap.NewNop(), Dial: meter.Dial})
 		if err != nil {
 			return nil, err
 		}
 		return member.Run, nil
-	case RoleRelay:
-		return relay.New(relay.Options{Settings: settings, Log: zap.NewNop(), Dial: meter.Dial}).Run, nil
+	case RoleProxy:
+		return relay.New(relay.Options{Settings: nodeSettings, Log: zap.NewNop(), Dial: meter.Dial}).Run, nil
 	}
 	return nil, errors.Errorf("%q is no role", role)
 }
@@ -75,11 +75,11 @@
 	kill  func()
 }
 
-// Launch starts a process that runs Serve for a role and a settings file.
-type Launch func(role, settingsFile string) (*Process, error)
+// LaunchFunc starts a process that runs Serve for a role and a settings file.
+type LaunchFunc func(role, settingsFile string) (*Process, error)
 
 // Executable launches processes of a program that is given the role and the settings file as its last two arguments.
-func Executable(path string, args ...string) Launch {
+func Executable(path string, args ...string) LaunchFunc {
 	return func(role, settingsFile string) (*Process, error) {
 		command := exec.Command(path, append(args, role, settingsFile)...)
 		command.Stderr = os.Stderr
@@ -121,10 +121,10 @@
 	return t, json.Unmarshal(line, &t)
 }
 
-// End has the process end, and waits for it; one that does not is killed.
-func (p *Process) End() error {
+// Stop has the process end, and waits for it; one that does not is killed.
+func (p *Process) Stop() error {
 	p.in.Close()
-	timer := time.NewTimer(endTime)
+	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-p.ended:
--- a/internal/testbed/hollow/report.go
+++ b/internal/testbed/hollow/report.go
@@ -13,26 +13,26 @@
 func (r *Result) String() string {
 	var out strings.Builder
 	o := r.Options
-	fmt.Fprintf(&out, "size members=%d relays=%d agents=%d appliances=%d routes=%d tenants=%d\n", o.Members, o.Relays, o.Agents, o.Appliances, o.Routes, o.Tenants)
-	fmt.Fprintf(&out, "load items=%d calls=%d took=%s first_call=%s last_call=%s slowest_call=%s\n", r.Loaded.Items, r.Loaded.Calls,
-		milli(r.Loaded.Took), milli(r.Loaded.First), milli(r.Loaded.Last), milli(r.Loaded.Slowest))
-	fmt.Fprintf(&out, "load member_cpu_s=%.2f member_rss_kb=%d to %d peak=%d\n", seconds(r.LoadedUse)-seconds(r.Idle),
-		memory(r.Idle), memory(r.LoadedUse), peak(r.LoadedUse))
-	if agents := float64(o.Agents); agents > 0 && r.Start > 0 {
-		fmt.Fprintf(&out, "start took=%s member_cpu_s=%.2f peak_kb=%d agent_items=%.0f agent_unpacked_b=%d agent_received_b=%.0f\n", milli(r.Start),
-			seconds(r.StartedUse)-seconds(r.LoadedUse), peak(r.StartedUse), float64(r.WholeItems)/agents, r.WholeBytes, float64(r.Whole.Received)/agents)
+	fmt.Fprintf(&out, "size members=%d relays=%d agents=%d appliances=%d routes=%d tenants=%d\n", o.Controllers, o.RealProxies, o.Proxies, o.Backends, o.Routes, o.Tenants)
+	fmt.Fprintf(&out, "load items=%d calls=%d took=%s first_call=%s last_call=%s slowest_call=%s\n", r.Load.Items, r.Load.Calls,
+		formatDuration(r.Load.Duration), formatDuration(r.Load.FirstCall), formatDuration(r.Load.LastCall), formatDuration(r.Load.SlowestCall))
+	fmt.Fprintf(&out, "load member_cpu_s=%.2f member_rss_kb=%d to %d peak=%d\n", meanCPUSeconds(r.LoadedUsage)-meanCPUSeconds(r.IdleUsage),
+		meanMemoryKB(r.IdleUsage), meanMemoryKB(r.LoadedUsage), peakMemoryKB(r.LoadedUsage))
+	if agents := float64(o.Proxies); agents > 0 && r.StartDuration > 0 {
+		fmt.Fprintf(&out, "start took=%s member_cpu_s=%.2f peak_kb=%d agent_items=%.0f agent_unpacked_b=%d agent_received_b=%.0f\n", formatDuration(r.StartDuration),
+			meanCPUSeconds(r.StartedUsage)-meanCPUSeconds(r.LoadedUsage), peakMemoryKB(r.StartedUsage), float64(r.InitialItems)/agents, r.InitialBytes, float64(r.InitialTraffic.Received)/agents)
 	}
-	r.writePart(&out, "calm", r.Calm, 0)
-	r.writePart(&out, "change", r.Changing, len(r.Spreads))
-	for i, s := range r.Spreads {
-		fmt.Fprintf(&out, "spread n=%d acknowledged=%s half=%s of_99=%s all=%s\n", i+1, milli(s.Acknowledged), milli(s.Half), milli(s.Most), milli(s.All))
+	r.writePhase(&out, "calm", r.Steady, 0)
+	r.writePhase(&out, "change", r.Changing, len(r.Propagations))
+	for i, s := range r.Propagations {
+		fmt.Fprintf(&out, "spread n=%d acknowledged=%s half=%s of_99=%s all=%s\n", i+1, formatDuration(s.Acknowledged), formatDuration(s.Half), formatDuration(s.P99), formatDuration(s.All))
 	}
-	fmt.Fprintf(&out, "state member_disk_b=%d agent_vector=%d hollow_heap_kb=%d", r.Disk, r.Vector, r.HollowMemory/kilobyte)
+	fmt.Fprintf(&out, "state member_disk_b=%d agent_vector=%d hollow_heap_kb=%d", r.DiskBytes, r.VersionVectorEntries, r.HollowBytes/kilobyte)
 	return out.String()
 }
 
-// writePart tells what each role used between two readings: a second, or for each change where there are some.
-func (r *Result) writePart(out *strings.Builder, name string, part [2]Reading, changes int) {
+// writePhase tells what each role used between two readings: a second, or for each change where there are some.
+func (r *Result) writePhase(out *strings.Builder, name string, part [2]Sample, changes int) {
 	before, after := part[0], part[1]
 	if before.At.IsZero() || after.At.IsZero() {
 		return
@@ -43,33 +43,33 @@
 		per, unit = float64(changes), "change"
 	}
 	each := func(total int64, of int) float64 { return float64(total) / float64(max(1, of)) / per }
-	core := after.Core.Minus(before.Core)
+	core := after.ControllerTraffic.Sub(before.ControllerTraffic)
 	fmt.Fprintf(out, "%s took_s=%.2f\n", name, took)
 	fmt.Fprintf(out, "%s role=member cpu_ms_per_%s=%.2f busiest=%.2f core_calls=%.2f core_sent_b=%.0f rss_kb=%d peak_kb=%d\n", name, unit,
-		1000*(seconds(after.Members)-seconds(before.Members))/per, 1000*busiest(before.Members, after.Members)/per,
-		each(core.Calls, r.Options.Members), each(core.Sent+core.Received, r.Options.Members), memory(after.Members), peak(after.Members))
-	agents := after.Agents.Minus(before.Agents)
-	served := agents.Plus(after.Appliances.Minus(before.Appliances)).Plus(after.RealAgents.Minus(before.RealAgents))
-	fmt.Fprintf(out, "%s role=member served_calls=%.2f served_sent_b=%.0f served_received_b=%.0f\n", name, each(served.Calls, r.Options.Members),
-		each(served.Received, r.Options.Members), each(served.Sent, r.Options.Members))
+		1000*(meanCPUSeconds(after.Controllers)-meanCPUSeconds(before.Controllers))/per, 1000*maxCPUSeconds(before.Controllers, after.Controllers)/per,
+		each(core.Calls, r.Options.Controllers), each(core.Sent+core.Received, r.Options.Controllers), meanMemoryKB(after.Controllers), peakMemoryKB(after.Controllers))
+	agents := after.ProxyTraffic.Sub(before.ProxyTraffic)
+	served := agents.Add(after.BackendTraffic.Sub(before.BackendTraffic)).Add(after.RealProxyTraffic.Sub(before.RealProxyTraffic))
+	fmt.Fprintf(out, "%s role=member served_calls=%.2f served_sent_b=%.0f served_received_b=%.0f\n", name, each(served.Calls, r.Options.Controllers),
+		each(served.Received, r.Options.Controllers), each(served.Sent, r.Options.Controllers))
 	fmt.Fprintf(out, "%s role=hollow_process cpu_ms_per_%s=%.2f rss_kb=%d\n", name, unit, 1000*(after.Hollow.CPU-before.Hollow.CPU).Seconds()/per, after.Hollow.Memory/kilobyte)
-	fmt.Fprintf(out, "%s role=agent pulls=%.3f sent_b=%.1f received_b=%.1f items=%.3f failures=%d\n", name, each(after.Pulls-before.Pulls, r.Options.Agents),
-		each(agents.Sent, r.Options.Agents), each(agents.Received, r.Options.Agents), each(after.Items-before.Items, r.Options.Agents), after.Failures-before.Failures)
-	appliances := after.Appliances.Minus(before.Appliances)
-	fmt.Fprintf(out, "%s role=appliance pulses=%.3f sent_b=%.1f received_b=%.1f missed=%d\n", name, each(after.Pulses-before.Pulses, r.Options.Appliances),
-		each(appliances.Sent, r.Options.Appliances), each(appliances.Received, r.Options.Appliances), after.Missed-before.Missed)
-	if len(after.Relays) > 0 {
-		relays := after.RealAgents.Minus(before.RealAgents)
+	fmt.Fprintf(out, "%s role=agent pulls=%.3f sent_b=%.1f received_b=%.1f items=%.3f failures=%d\n", name, each(after.Pulls-before.Pulls, r.Options.Proxies),
+		each(agents.Sent, r.Options.Proxies), each(agents.Received, r.Options.Proxies), each(after.Items-before.Items, r.Options.Proxies), after.FailedPulls-before.FailedPulls)
+	appliances := after.BackendTraffic.Sub(before.BackendTraffic)
+	fmt.Fprintf(out, "%s role=appliance pulses=%.3f sent_b=%.1f received_b=%.1f missed=%d\n", name, each(after.Heartbeats-before.Heartbeats, r.Options.Backends),
+		each(appliances.Sent, r.Options.Backends), each(appliances.Received, r.Options.Backends), after.FailedHeartbeats-before.FailedHeartbeats)
+	if len(after.RealProxies) > 0 {
+		relays := after.RealProxyTraffic.Sub(before.RealProxyTraffic)
 		fmt.Fprintf(out, "%s role=relay cpu_ms_per_%s=%.2f sent_b=%.1f received_b=%.1f rss_kb=%d peak_kb=%d\n", name, unit,
-			1000*(seconds(after.Relays)-seconds(before.Relays))/per, each(relays.Sent, r.Options.Relays), each(relays.Received, r.Options.Relays),
-			memory(after.Relays), peak(after.Relays))
+			1000*(meanCPUSeconds(after.RealProxies)-meanCPUSeconds(before.RealProxies))/per, each(relays.Sent, r.Options.RealProxies), each(relays.Received, r.Options.RealProxies),
+			meanMemoryKB(after.RealProxies), peakMemoryKB(after.RealProxies))
 	}
 }
 
-func milli(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
 
-// seconds is the mean processor time of some processes.
-func seconds(usages []Usage) float64 {
+// meanCPUSeconds is the mean processor time of some processes.
+func meanCPUSeconds(usages []Usage) float64 {
 	sum := 0.0
 	for _, u := range usages {
 		sum += u.CPU.Seconds()
@@ -77,8 +77,8 @@
 	return sum / float64(max(1, len(usages)))
 }
 
-// busiest is the processor time of the process that used the most between two readings.
-func busiest(before, after []Usage) (most float64) {
+// maxCPUSeconds is the processor time of the process that used the most between two readings.
+func maxCPUSeconds(before, after []Usage) (most float64) {
 	for i := range after {
 		if i < len(before) {
 			most = max(most, (after[i].CPU - before[i].CPU).Seconds())
@@ -87,8 +87,8 @@
 	return most
 }
 
-// memory is the mean of what processes hold, in kilobytes.
-func memory(usages []Usage) int64 {
+// meanMemoryKB is the mean of what processes hold, in kilobytes.
+func meanMemoryKB(usages []Usage) int64 {
 	sum := int64(0)
 	for _, u := range usages {
 		sum += u.Memory
@@ -96,8 +96,8 @@
 	return sum / int64(max(1, len(usages))) / kilobyte
 }
 
-// peak is the most that one of the processes held, in kilobytes.
-func peak(usages []Usage) (most int64) {
+// peakMemoryKB is the most that one of the processes held, in kilobytes.
+func peakMemoryKB(usages []Usage) (most int64) {
 	for _, u := range usages {
 		most = max(most, u.Peak)
 	}
--- a/internal/testbed/hollow/usage.go
+++ b/internal/testbed/hollow/usage.go
@@ -36,14 +36,14 @@
 	if err != nil {
 		return u, err
 	}
-	if u.CPU, err = cpuTime(string(stat)); err != nil {
+	if u.CPU, err = parseCPUTime(string(stat)); err != nil {
 		return u, err
 	}
-	u.Memory, u.Peak = memoryLine(string(status), "VmRSS:"), memoryLine(string(status), "VmHWM:")
+	u.Memory, u.Peak = parseMemoryField(string(status), "VmRSS:"), parseMemoryField(string(status), "VmHWM:")
 	return u, nil
 }
 
-func cpuTime(stat string) (time.Duration, error) {
+func parseCPUTime(stat string) (time.Duration, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= systemTimeField {
 		return 0, errors.New("stat: too few fields")
@@ -59,8 +59,8 @@
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// memoryLine reads a line such as "VmRSS:   123 kB"; zero where it is missing.
-func memoryLine(status, name string) int64 {
+// parseMemoryField reads a line such as "VmRSS:   123 kB"; zero where it is missing.
+func parseMemoryField(status, name string) int64 {
 	for line := range strings.Lines(status) {
 		rest, ok := strings.CutPrefix(line, name)
 		if !ok {
--- a/lore/known_easyjson.go
+++ b/lore/records_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonEfc548dfDecodeSageleverLore(in *jlexer.Lexer, out *Tally) {
+func easyjsonAf922c28DecodeSageleverLore(in *jlexer.Lexer, out *ReleaseTally) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -35,13 +35,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Agent = string(in.String())
+				out.Reporter = string(in.String())
 			}
 		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Number = uint64(in.Uint64())
+				out.ReleaseNumber = uint64(in.Uint64())
 			}
 		case "t":
 			if in.IsNull() {
@@ -54,7 +54,7 @@
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(out.Tried)[v1] = float64(in.Float64())
+							(out.Attempts)[v1] = float64(in.Float64())
 						}
 						v1++
 					} else {
@@ -75,7 +75,7 @@
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(out.Paid)[v2] = float64(in.Float64())
+							(out.Payoffs)[v2] = float64(in.Float64())
 						}
 						v2++
 					} else {
@@ -96,7 +96,7 @@
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(out.Faults)[v3] = float64(in.Float64())
+							(out.Failures)[v3] = float64(in.Float64())
 						}
 						v3++
 					} else {
@@ -110,13 +110,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Sent = float64(in.Float64())
+				out.NewBuildRequests = float64(in.Float64())
 			}
 		case "d":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Reached = float64(in.Float64())
+				out.ServiceRequests = float64(in.Float64())
 			}
 		case "u":
 			if in.IsNull() {
@@ -129,7 +129,7 @@
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(out.Busy)[v4] = float64(in.Float64())
+							(out.SingleBackend)[v4] = float64(in.Float64())
 						}
 						v4++
 					} else {
@@ -155,29 +155,29 @@
 		in.Consumed()
 	}
 }
-func easyjsonEfc548dfEncodeSageleverLore(out *jwriter.Writer, in Tally) {
+func easyjsonAf922c28EncodeSageleverLore(out *jwriter.Writer, in ReleaseTally) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"n\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Agent))
+		out.String(string(in.Reporter))
 	}
 	{
 		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Number))
+		out.Uint64(uint64(in.ReleaseNumber))
 	}
 	{
 		const prefix string = ",\"t\":"
 		out.RawString(prefix)
 		out.RawByte('[')
-		for v5 := range in.Tried {
+		for v5 := range in.Attempts {
 			if v5 > 0 {
 				out.RawByte(',')
 			}
-			out.Float64(float64((in.Tried)[v5]))
+			out.Float64(float64((in.Attempts)[v5]))
 		}
 		out.RawByte(']')
 	}
@@ -185,11 +185,11 @@
 		const prefix string = ",\"p\":"
 		out.RawString(prefix)
 		out.RawByte('[')
-		for v6 := range in.Paid {
+		for v6 := range in.Payoffs {
 			if v6 > 0 {
 				out.RawByte(',')
 			}
-			out.Float64(float64((in.Paid)[v6]))
+			out.Float64(float64((in.Payoffs)[v6]))
 		}
 		out.RawByte(']')
 	}
@@ -197,33 +197,33 @@
 		const prefix string = ",\"f\":"
 		out.RawString(prefix)
 		out.RawByte('[')
-		for v7 := range in.Faults {
+		for v7 := range in.Failures {
 			if v7 > 0 {
 				out.RawByte(',')
 			}
-			out.Float64(float64((in.Faults)[v7]))
+			out.Float64(float64((in.Failures)[v7]))
 		}
 		out.RawByte(']')
 	}
 	{
 		const prefix string = ",\"s\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Sent))
+		out.Float64(float64(in.NewBuildRequests))
 	}
 	{
 		const prefix string = ",\"d\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Reached))
+		out.Float64(float64(in.ServiceRequests))
 	}
 	{
 		const prefix string = ",\"u\":"
 		out.RawString(prefix)
 		out.RawByte('[')
-		for v8 := range in.Busy {
+		for v8 := range in.SingleBackend {
 			if v8 > 0 {
 				out.RawByte(',')
 			}
-			out.Float64(float64((in.Busy)[v8]))
+			out.Float64(float64((in.SingleBackend)[v8]))
 		}
 		out.RawByte(']')
 	}
@@ -236,29 +236,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Tally) MarshalJSON() ([]byte, error) {
+func (v ReleaseTally) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonEfc548dfEncodeSageleverLore(&w, v)
+	easyjsonAf922c28EncodeSageleverLore(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Tally) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonEfc548dfEncodeSageleverLore(w, v)
+func (v ReleaseTally) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeSageleverLore(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Tally) UnmarshalJSON(data []byte) error {
+func (v *ReleaseTally) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonEfc548dfDecodeSageleverLore(&r, v)
+	easyjsonAf922c28DecodeSageleverLore(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Tally) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonEfc548dfDecodeSageleverLore(l, v)
+func (v *ReleaseTally) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeSageleverLore(l, v)
 }
-func easyjsonEfc548dfDecodeSageleverLore1(in *jlexer.Lexer, out *Row) {
+func easyjsonAf922c28DecodeSageleverLore1(in *jlexer.Lexer, out *Lease) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -272,23 +272,41 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "i":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ID = string(in.String())
+				out.Node = string(in.String())
+			}
+		case "r":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Role = string(in.String())
+			}
+		case "z":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Zone = string(in.String())
+			}
+		case "f":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ListenAddress = string(in.String())
 			}
 		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Harmless = int(in.Int())
+				out.Grantor = string(in.String())
 			}
-		case "r":
+		case "e":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Risky = int(in.Int())
+				out.Ended = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -300,52 +318,67 @@
 		in.Consumed()
 	}
 }
-func easyjsonEfc548dfEncodeSageleverLore1(out *jwriter.Writer, in Row) {
+func easyjsonAf922c28EncodeSageleverLore1(out *jwriter.Writer, in Lease) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"i\":"
+		const prefix string = ",\"n\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.ID))
+		out.String(string(in.Node))
 	}
 	{
-		const prefix string = ",\"h\":"
+		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		out.Int(int(in.Harmless))
+		out.String(string(in.Role))
 	}
 	{
-		const prefix string = ",\"r\":"
+		const prefix string = ",\"z\":"
 		out.RawString(prefix)
-		out.Int(int(in.Risky))
+		out.String(string(in.Zone))
+	}
+	{
+		const prefix string = ",\"f\":"
+		out.RawString(prefix)
+		out.String(string(in.ListenAddress))
+	}
+	{
+		const prefix string = ",\"h\":"
+		out.RawString(prefix)
+		out.String(string(in.Grantor))
+	}
+	if in.Ended {
+		const prefix string = ",\"e\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Ended))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Row) MarshalJSON() ([]byte, error) {
+func (v Lease) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonEfc548dfEncodeSageleverLore1(&w, v)
+	easyjsonAf922c28EncodeSageleverLore1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Row) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonEfc548dfEncodeSageleverLore1(w, v)
+func (v Lease) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeSageleverLore1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Row) UnmarshalJSON(data []byte) error {
+func (v *Lease) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonEfc548dfDecodeSageleverLore1(&r, v)
+	easyjsonAf922c28DecodeSageleverLore1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Row) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonEfc548dfDecodeSageleverLore1(l, v)
+func (v *Lease) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeSageleverLore1(l, v)
 }
-func easyjsonEfc548dfDecodeSageleverLore2(in *jlexer.Lexer, out *Pulse) {
+func easyjsonAf922c28DecodeSageleverLore2(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -399,7 +432,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WarmLeft = string(in.String())
+				out.WarmUpLeft = string(in.String())
 			}
 		case "callCount":
 			if in.IsNull() {
@@ -417,7 +450,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonEfc548dfEncodeSageleverLore2(out *jwriter.Writer, in Pulse) {
+func easyjsonAf922c28EncodeSageleverLore2(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -454,7 +487,7 @@
 	{
 		const prefix string = ",\"warmLeft\":"
 		out.RawString(prefix)
-		out.String(string(in.WarmLeft))
+		out.String(string(in.WarmUpLeft))
 	}
 	{
 		const prefix string = ",\"callCount\":"
@@ -465,29 +498,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Pulse) MarshalJSON() ([]byte, error) {
+func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonEfc548dfEncodeSageleverLore2(&w, v)
+	easyjsonAf922c28EncodeSageleverLore2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Pulse) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonEfc548dfEncodeSageleverLore2(w, v)
+func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeSageleverLore2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Pulse) UnmarshalJSON(data []byte) error {
+func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonEfc548dfDecodeSageleverLore2(&r, v)
+	easyjsonAf922c28DecodeSageleverLore2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Pulse) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonEfc548dfDecodeSageleverLore2(l, v)
+func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeSageleverLore2(l, v)
 }
-func easyjsonEfc548dfDecodeSageleverLore3(in *jlexer.Lexer, out *Lease) {
+func easyjsonAf922c28DecodeSageleverLore3(in *jlexer.Lexer, out *BackendInFlight) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -501,41 +534,23 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Node = string(in.String())
-			}
-		case "r":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Role = string(in.String())
-			}
-		case "z":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Zone = string(in.String())
-			}
-		case "f":
+		case "i":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Front = string(in.String())
+				out.BackendID = string(in.String())
 			}
 		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Home = string(in.String())
+				out.Idempotent = int(in.Int())
 			}
-		case "e":
+		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Ended = bool(in.Bool())
+				out.NonIdempotent = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -547,67 +562,52 @@
 		in.Consumed()
 	}
 }
-func easyjsonEfc548dfEncodeSageleverLore3(out *jwriter.Writer, in Lease) {
+func easyjsonAf922c28EncodeSageleverLore3(out *jwriter.Writer, in BackendInFlight) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"i\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Node))
-	}
-	{
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		out.String(string(in.Role))
-	}
-	{
-		const prefix string = ",\"z\":"
-		out.RawString(prefix)
-		out.String(string(in.Zone))
-	}
-	{
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		out.String(string(in.Front))
+		out.String(string(in.BackendID))
 	}
 	{
 		const prefix string = ",\"h\":"
 		out.RawString(prefix)
-		out.String(string(in.Home))
+		out.Int(int(in.Idempotent))
 	}
-	if in.Ended {
-		const prefix string = ",\"e\":"
+	{
+		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Ended))
+		out.Int(int(in.NonIdempotent))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Lease) MarshalJSON() ([]byte, error) {
+func (v BackendInFlight) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonEfc548dfEncodeSageleverLore3(&w, v)
+	easyjsonAf922c28EncodeSageleverLore3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Lease) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonEfc548dfEncodeSageleverLore3(w, v)
+func (v BackendInFlight) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeSageleverLore3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Lease) UnmarshalJSON(data []byte) error {
+func (v *BackendInFlight) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonEfc548dfDecodeSageleverLore3(&r, v)
+	easyjsonAf922c28DecodeSageleverLore3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Lease) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonEfc548dfDecodeSageleverLore3(l, v)
+func (v *BackendInFlight) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeSageleverLore3(l, v)
 }
-func easyjsonEfc548dfDecodeSageleverLore4(in *jlexer.Lexer, out *App) {
+func easyjsonAf922c28DecodeSageleverLore4(in *jlexer.Lexer, out *Backend) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -643,7 +643,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Build = string(in.String())
+				out.Version = string(in.String())
 			}
 		case "c":
 			if in.IsNull() {
@@ -661,19 +661,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Warm = int64(in.Int64())
+				out.WarmAtMs = int64(in.Int64())
 			}
 		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Home = string(in.String())
+				out.Owner = string(in.String())
 			}
 		case "t":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Heard = int64(in.Int64())
+				out.HeartbeatMs = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -685,7 +685,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonEfc548dfEncodeSageleverLore4(out *jwriter.Writer, in App) {
+func easyjsonAf922c28EncodeSageleverLore4(out *jwriter.Writer, in Backend) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -707,7 +707,7 @@
 	{
 		const prefix string = ",\"v\":"
 		out.RawString(prefix)
-		out.String(string(in.Build))
+		out.String(string(in.Version))
 	}
 	{
 		const prefix string = ",\"c\":"
@@ -722,41 +722,41 @@
 	{
 		const prefix string = ",\"w\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Warm))
+		out.Int64(int64(in.WarmAtMs))
 	}
 	{
 		const prefix string = ",\"h\":"
 		out.RawString(prefix)
-		out.String(string(in.Home))
+		out.String(string(in.Owner))
 	}
 	{
 		const prefix string = ",\"t\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Heard))
+		out.Int64(int64(in.HeartbeatMs))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v App) MarshalJSON() ([]byte, error) {
+func (v Backend) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonEfc548dfEncodeSageleverLore4(&w, v)
+	easyjsonAf922c28EncodeSageleverLore4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v App) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonEfc548dfEncodeSageleverLore4(w, v)
+func (v Backend) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeSageleverLore4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *App) UnmarshalJSON(data []byte) error {
+func (v *Backend) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonEfc548dfDecodeSageleverLore4(&r, v)
+	easyjsonAf922c28DecodeSageleverLore4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *App) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonEfc548dfDecodeSageleverLore4(l, v)
+func (v *Backend) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeSageleverLore4(l, v)
 }
--- a/match/rules/language.go
+++ b/match/rules/expression.go
@@ -22,9 +22,9 @@
 
 // What cannot be a rule for its sheer size is refused before it is parsed far.
 const (
-	mostLetters = 4096 // of one expression; the longest worked rule has 300
-	mostDepth   = 48   // of nesting
-	mostNodes   = 1500 // of the checked tree
+	maxExpressionSize = 4096 // of one expression; the longest worked rule has 300
+	maxNesting        = 48   // of nesting
+	maxNodes          = 1500 // of the checked tree
 )
 
 // language is the environment of all expressions: made when first asked for, as an agent without rules needs none.
@@ -34,7 +34,7 @@
 		cel.Variable("method", text), cel.Variable("path", text), cel.Variable("peer", text),
 		cel.Variable("segments", list), cel.Variable("size", cel.IntType), cel.Variable("hint", cel.DurationType),
 		cel.OptionalTypes(), cel.HomogeneousAggregateLiterals(),
-		cel.ParserExpressionSizeLimit(mostLetters), cel.ParserRecursionLimit(mostDepth), cel.ExpressionNodeLimit(mostNodes),
+		cel.ParserExpressionSizeLimit(maxExpressionSize), cel.ParserRecursionLimit(maxNesting), cel.ExpressionNodeLimit(maxNodes),
 		cel.ASTValidators(cel.ValidateRegexLiterals(), cel.ValidateDurationLiterals(), cel.ValidateTimestampLiterals()),
 	}
 	for _, t := range tables {
@@ -58,18 +58,18 @@
 	unary("lower", text, func(s string) ref.Val { return types.String(strings.ToLower(s)) })
 	unary("whole", cel.OptionalType(cel.IntType), func(s string) ref.Val {
 		n, err := strconv.ParseInt(s, 10, 64)
-		return optional(types.Int(n), err)
+		return optionalOf(types.Int(n), err)
 	})
 	unary("number", cel.OptionalType(cel.DoubleType), func(s string) ref.Val {
 		n, err := strconv.ParseFloat(s, 64)
 		if math.IsNaN(n) || math.IsInf(n, 0) {
 			err = strconv.ErrRange
 		}
-		return optional(types.Double(n), err)
+		return optionalOf(types.Double(n), err)
 	})
 	unary("span", cel.OptionalType(cel.DurationType), func(s string) ref.Val {
 		d, err := time.ParseDuration(s)
-		return optional(types.Duration{Duration: d}, err)
+		return optionalOf(types.Duration{Duration: d}, err)
 	})
 	binary("before", text, text, func(s string, mark ref.Val) ref.Val {
 		head, _, _ := strings.Cut(s, string(mark.(types.String)))
@@ -99,15 +99,15 @@
 	return cel.NewEnv(o...)
 })
 
-func optional(v ref.Val, err error) ref.Val {
+func optionalOf(v ref.Val, err error) ref.Val {
 	if err != nil {
 		return types.OptionalNone
 	}
 	return types.OptionalOf(v)
 }
 
-// literal gives the text of an expression that is one.
-func literal(e celast.Expr) (string, bool) {
+// stringLiteral gives the text of an expression that is one.
+func stringLiteral(e celast.Expr) (string, bool) {
 	if e.Kind() != celast.LiteralKind {
 		return "", false
 	}
@@ -115,97 +115,99 @@
 	return string(s), ok
 }
 
-// Fault is what is wrong with an expression: where, from 1 on, and what. Lines and columns count within the expression.
-type Fault struct {
+// ExpressionError is what is wrong with an expression: where, from 1 on, and what. Lines and columns count within the expression.
+type ExpressionError struct {
 	Line, Column int
-	Text         string
+	Message      string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Text) }
+func (f *ExpressionError) Error() string {
+	return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Message)
+}
 
-// formula is one expression, compiled.
-type formula struct {
-	text  string
-	ast   *cel.Ast
-	run   cel.Program
-	units uint64 // the most it can cost, as CEL counts
-	turns uint64 // the most rounds its loops can make
+// expression is one expression, compiled.
+type expression struct {
+	text      string
+	ast       *cel.Ast
+	program   cel.Program
+	maxCost   uint64 // the most it can cost, as CEL counts
+	maxRounds uint64 // the most rounds its loops can make
 }
 
-// compile checks an expression against the type that is wanted, bounds its cost, and makes it ready to run.
-func compile(text string, wants *cel.Type) (*formula, *Fault) {
+// compileExpression checks an expression against the type that is wanted, bounds its cost, and makes it ready to run.
+func compileExpression(text string, wanted *cel.Type) (*expression, *ExpressionError) {
 	env, err := language()
 	if err != nil {
-		return nil, &Fault{1, 1, err.Error()}
+		return nil, &ExpressionError{1, 1, err.Error()}
 	}
-	if len(text) > mostLetters { // before the parser sees it: it reads all of what is too long
-		return nil, &Fault{1, 1, fmt.Sprintf("the expression has %d bytes, at most %d are taken", len(text), mostLetters)}
+	if len(text) > maxExpressionSize { // before the parser sees it: it reads all of what is too long
+		return nil, &ExpressionError{1, 1, fmt.Sprintf("the expression has %d bytes, at most %d are taken", len(text), maxExpressionSize)}
 	}
 	ast, issues := env.Compile(text)
 	if issues.Err() != nil {
 		first := issues.Errors()[0]
-		return nil, &Fault{max(first.Location.Line(), 1), max(first.Location.Column(), 0) + 1, first.Message}
+		return nil, &ExpressionError{max(first.Location.Line(), 1), max(first.Location.Column(), 0) + 1, first.Message}
 	}
-	if got := ast.OutputType(); !got.IsExactType(wants) {
-		return nil, &Fault{1, 1, fmt.Sprintf("it gives %s, where %s is wanted", got, wants)}
+	if got := ast.OutputType(); !got.IsExactType(wanted) {
+		return nil, &ExpressionError{1, 1, fmt.Sprintf("it gives %s, where %s is wanted", got, wanted)}
 	}
-	f := &formula{text: text, ast: ast}
-	patterns, at := patternsOf(ast)
+	compiled := &expression{text: text, ast: ast}
+	patterns, at := patternsIn(ast)
 	if at != nil {
 		return nil, at
 	}
-	most, err := env.EstimateCost(ast, sizes{})
+	estimate, err := env.EstimateCost(ast, costEstimator{})
 	if err != nil {
-		return nil, &Fault{1, 1, err.Error()}
+		return nil, &ExpressionError{1, 1, err.Error()}
 	}
-	if f.units = most.Max; f.units == math.MaxUint64 {
-		return nil, &Fault{1, 1, "its cost has no bound"}
+	if compiled.maxCost = estimate.Max; compiled.maxCost == math.MaxUint64 {
+		return nil, &ExpressionError{1, 1, "its cost has no bound"}
 	}
-	o := []cel.ProgramOption{cel.EvalOptions(cel.OptOptimize)}
-	if f.turns = rounds(ast.NativeRep().Expr()); f.turns > 0 {
-		o = append(o, cel.CostLimit(f.units), cel.CostTracking(patterns))
+	options := []cel.ProgramOption{cel.EvalOptions(cel.OptOptimize)}
+	if compiled.maxRounds = maxRounds(ast.NativeRep().Expr()); compiled.maxRounds > 0 {
+		options = append(options, cel.CostLimit(compiled.maxCost), cel.CostTracking(patterns))
 	}
-	f.run, err = env.Program(ast, o...)
+	compiled.program, err = env.Program(ast, options...)
 	if err != nil {
-		return nil, &Fault{1, 1, err.Error()}
+		return nil, &ExpressionError{1, 1, err.Error()}
 	}
-	return f, nil
+	return compiled, nil
 }
 
-// patternsOf gives the shapes of the patterns in an expression, or where one is not written out: its cost would be
+// patternsIn gives the shapes of the patterns in an expression, or where one is not written out: its cost would be
 // known only when it is too late.
-func patternsOf(ast *cel.Ast) (of spent, stray *Fault) {
+func patternsIn(ast *cel.Ast) (patterns patternCosts, computed *ExpressionError) {
 	tree := ast.NativeRep()
-	of = spent{}
+	patterns = patternCosts{}
 	celast.PostOrderVisit(tree.Expr(), celast.NewExprVisitor(func(e celast.Expr) {
 		if e.Kind() != celast.CallKind || e.AsCall().FunctionName() != "matches" {
 			return
 		}
 		args := e.AsCall().Args()
-		if text, ok := literal(args[len(args)-1]); ok {
-			of[text] = shapeOf(text)
-		} else if stray == nil {
-			at := place(tree.SourceInfo().GetStartLocation(args[len(args)-1].ID()))
-			stray = &Fault{at.Line, at.Column, "a pattern must be written out"}
+		if text, ok := stringLiteral(args[len(args)-1]); ok {
+			patterns[text] = patternCostOf(text)
+		} else if computed == nil {
+			at := expressionErrorAt(tree.SourceInfo().GetStartLocation(args[len(args)-1].ID()))
+			computed = &ExpressionError{at.Line, at.Column, "a pattern must be written out"}
 		}
 	}))
-	return of, stray
+	return patterns, computed
 }
 
-func place(l common.Location) Fault {
-	return Fault{Line: max(l.Line(), 1), Column: max(l.Column(), 0) + 1}
+func expressionErrorAt(l common.Location) ExpressionError {
+	return ExpressionError{Line: max(l.Line(), 1), Column: max(l.Column(), 0) + 1}
 }
 
-// constant gives the value of a formula that asks for nothing, nil if it asks or cannot be computed.
-func (f *formula) constant() ref.Val {
-	asks := false
+// constantValue gives the value of a formula that asks for nothing, nil if it asks or cannot be computed.
+func (f *expression) constantValue() ref.Val {
+	hasVariables := false
 	celast.PostOrderVisit(f.ast.NativeRep().Expr(), celast.NewExprVisitor(func(e celast.Expr) {
-		asks = asks || e.Kind() == celast.IdentKind
+		hasVariables = hasVariables || e.Kind() == celast.IdentKind
 	}))
-	if asks {
+	if hasVariables {
 		return nil
 	}
-	v, err := f.eval(&view{of: nobody{}})
+	v, err := f.eval(&activationView{subject: emptySubject{}})
 	if err != nil {
 		return nil
 	}
@@ -213,8 +215,8 @@
 }
 
 // eval runs a formula. What it cannot compute, or what would cost more than its bound, is an error.
-func (f *formula) eval(v *view) (ref.Val, error) {
-	got, _, err := f.run.Eval(v)
+func (f *expression) eval(v *activationView) (ref.Val, error) {
+	got, _, err := f.program.Eval(v)
 	if err != nil {
 		return nil, err
 	}
--- a/match/rules/view.go
+++ b/match/rules/view.go
@@ -21,56 +21,56 @@
 	MostKey      = 256 // bytes of a key or customer that a rule computes
 )
 
-// view is a subject as expressions see it. Each part is asked for at most once, and only if a rule asks. A part that is
+// activationView is a subject as expressions see it. Each part is asked for at most once, and only if a rule asks. A part that is
 // larger than the bounds on cost were computed with is seen as empty, and the message is refused in the end (over).
-type view struct {
-	of            match.Subject
-	over          string
-	segs          []string
-	table         [len(tables)]match.Table
-	had           [1 + len(tables)]bool
-	list          ref.Val
-	single, whole [len(tables)]ref.Val
+type activationView struct {
+	subject       match.Subject
+	tooLarge      string
+	segmentValues []string
+	tableValues   [len(tables)]match.Table
+	loaded        [1 + len(tables)]bool
+	segmentList   ref.Val
+	single, multi [len(tables)]ref.Val
 }
 
 // text gives the method, the path or the peer.
-func (v *view) text(name string) string {
-	t := v.of.Text(name)
+func (v *activationView) text(name string) string {
+	t := v.subject.Text(name)
 	if len(t) > MostText {
-		v.over = name + " is too long"
+		v.tooLarge = name + " is too long"
 		return ""
 	}
 	return t
 }
 
-func (v *view) segments() []string {
-	if !v.had[len(tables)] {
-		v.had[len(tables)] = true
-		if v.segs = v.of.Segments(); len(v.segs) > MostSegments {
-			v.over, v.segs = "path has too many segments", nil
+func (v *activationView) segments() []string {
+	if !v.loaded[len(tables)] {
+		v.loaded[len(tables)] = true
+		if v.segmentValues = v.subject.Segments(); len(v.segmentValues) > MostSegments {
+			v.tooLarge, v.segmentValues = "path has too many segments", nil
 		}
-		for _, s := range v.segs {
+		for _, s := range v.segmentValues {
 			if len(s) > MostText {
-				v.over, v.segs = "path has too long a segment", nil
+				v.tooLarge, v.segmentValues = "path has too long a segment", nil
 			}
 		}
 	}
-	return v.segs
+	return v.segmentValues
 }
 
-// tableNo gives a table that keeps the sizes, empty if it does not.
-func (v *view) tableNo(i int) match.Table {
-	if !v.had[i] {
-		v.had[i] = true
-		v.table[i] = v.of.Table(tables[i].single)
-		if what := tooLarge(v.table[i].Of); what != "" {
-			v.over, v.table[i] = tables[i].single+what, match.Table{}
+// table gives a table that keeps the sizes, empty if it does not.
+func (v *activationView) table(i int) match.Table {
+	if !v.loaded[i] {
+		v.loaded[i] = true
+		v.tableValues[i] = v.subject.Table(tables[i].single)
+		if what := tableSizeError(v.tableValues[i].Of); what != "" {
+			v.tooLarge, v.tableValues[i] = tables[i].single+what, match.Table{}
 		}
 	}
-	return v.table[i]
+	return v.tableValues[i]
 }
 
-func tooLarge(t map[string][]string) string {
+func tableSizeError(t map[string][]string) string {
 	if len(t) > MostNames {
 		return " has too many names"
 	}
@@ -91,95 +91,97 @@
 var tables = [...]struct{ single, whole string }{{"header", "headers"}, {"query", "queries"}, {"cookie", "cookies"}}
 
 // Parent makes a view an activation of its own.
-func (v *view) Parent() activation { return nil }
+func (v *activationView) Parent() activation { return nil }
 
 // ResolveName gives the value of a variable.
-func (v *view) ResolveName(name string) (any, bool) {
+func (v *activationView) ResolveName(name string) (any, bool) {
 	switch name {
 	case "method", "path", "peer":
 		return types.String(v.text(name)), true
 	case "size":
-		return types.Int(v.of.Size()), true
+		return types.Int(v.subject.Size()), true
 	case "hint":
-		return types.Duration{Duration: v.of.Hint()}, true
+		return types.Duration{Duration: v.subject.Hint()}, true
 	case "segments":
-		if v.list == nil {
-			v.list = types.NewStringList(types.DefaultTypeAdapter, v.segments())
+		if v.segmentList == nil {
+			v.segmentList = types.NewStringList(types.DefaultTypeAdapter, v.segments())
 		}
-		return v.list, true
+		return v.segmentList, true
 	}
-	i := tableOf(name, name)
+	i := tableIndex(name, name)
 	switch {
 	case i < 0:
 		return nil, false
 	case name == tables[i].single:
 		if v.single[i] == nil {
-			v.single[i] = &once{of: v.tableNo(i)}
+			v.single[i] = &singleValueMap{table: v.table(i)}
 		}
 		return v.single[i], true
 	}
-	if v.whole[i] == nil {
-		v.whole[i] = types.DefaultTypeAdapter.NativeToValue(v.tableNo(i).All())
+	if v.multi[i] == nil {
+		v.multi[i] = types.DefaultTypeAdapter.NativeToValue(v.table(i).All())
 	}
-	return v.whole[i], true
+	return v.multi[i], true
 }
 
-// once is a table as a map of what comes exactly once: a name that comes twice has no one value, and somebody behind
+// singleValueMap is a table as a map of what comes exactly once: a name that comes twice has no one value, and somebody behind
 // might read the other one. It is looked up without being copied; only a walk over it makes the map.
-type once struct {
-	of  match.Table
-	all traits.Mapper
+type singleValueMap struct {
+	table  match.Table
+	copied traits.Mapper
 }
 
-func (o *once) text(name string) (string, bool) {
-	if v := o.of.Values(name); len(v) == 1 {
+func (o *singleValueMap) lookup(name string) (string, bool) {
+	if v := o.table.Values(name); len(v) == 1 {
 		return v[0], true
 	}
 	return "", false
 }
 
-func (o *once) walk() traits.Mapper {
-	if o.all == nil {
-		all := o.of.All()
+func (o *singleValueMap) materialize() traits.Mapper {
+	if o.copied == nil {
+		all := o.table.All()
 		single := make(map[string]string, len(all))
 		for k, v := range all {
 			if len(v) == 1 {
 				single[k] = v[0]
 			}
 		}
-		o.all = types.NewStringStringMap(types.DefaultTypeAdapter, single)
+		o.copied = types.NewStringStringMap(types.DefaultTypeAdapter, single)
 	}
-	return o.all
+	return o.copied
 }
 
-func (o *once) Find(key ref.Val) (ref.Val, bool) {
+func (o *singleValueMap) Find(key ref.Val) (ref.Val, bool) {
 	name, ok := key.(types.String)
 	if !ok {
 		return types.MaybeNoSuchOverloadErr(key), false
 	}
-	v, ok := o.text(string(name))
+	v, ok := o.lookup(string(name))
 	if !ok {
 		return nil, false
 	}
 	return types.String(v), true
 }
 
-func (o *once) Get(key ref.Val) ref.Val {
+func (o *singleValueMap) Get(key ref.Val) ref.Val {
 	if v, ok := o.Find(key); ok || v != nil {
 		return v
 	}
 	return types.NewErr("no such key: %v", key.Value())
 }
 
-func (o *once) Contains(key ref.Val) ref.Val {
+func (o *singleValueMap) Contains(key ref.Val) ref.Val {
 	_, ok := o.Find(key)
 	return types.Bool(ok)
 }
 
-func (o *once) ConvertToNative(t reflect.Type) (any, error) { return o.walk().ConvertToNative(t) }
-func (o *once) ConvertToType(t ref.Type) ref.Val            { return o.walk().ConvertToType(t) }
-func (o *once) Equal(other ref.Val) ref.Val                 { return o.walk().Equal(other) }
-func (o *once) Type() ref.Type                              { return types.MapType }
-func (o *once) Value() any                                  { return o.walk().Value() }
-func (o *once) Iterator() traits.Iterator                   { return o.walk().Iterator() }
-func (o *once) Size() ref.Val                               { return o.walk().Size() }
+func (o *singleValueMap) ConvertToNative(t reflect.Type) (any, error) {
+	return o.materialize().ConvertToNative(t)
+}
+func (o *singleValueMap) ConvertToType(t ref.Type) ref.Val { return o.materialize().ConvertToType(t) }
+func (o *singleValueMap) Equal(other ref.Val) ref.Val      { return o.materialize().Equal(other) }
+func (o *singleValueMap) Type() ref.Type                   { return types.MapType }
+func (o *singleValueMap) Value() any                       { return o.materialize().Value() }
+func (o *singleValueMap) Iterator() traits.Iterator        { return o.materialize().Iterator() }
+func (o *singleValueMap) Size() ref.Val                    { return o.materialize().Size() }
--- a/plan/once_easyjson.go
+++ b/plan/dedup_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson3fa1d93bDecodeSageleverPlan(in *jlexer.Lexer, out *takenList) {
+func easyjsonA673d106DecodeSageleverPlan(in *jlexer.Lexer, out *AppliedOrders) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -39,16 +39,16 @@
 				in.Delim('[')
 				if out.Orders == nil {
 					if !in.IsDelim(']') {
-						out.Orders = make([]Taken, 0, 2)
+						out.Orders = make([]AppliedOrder, 0, 2)
 					} else {
-						out.Orders = []Taken{}
+						out.Orders = []AppliedOrder{}
 					}
 				} else {
 					out.Orders = (out.Orders)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Taken
-					easyjson3fa1d93bDecodeSageleverPlan1(in, &v1)
+					var v1 AppliedOrder
+					easyjsonA673d106DecodeSageleverPlan1(in, &v1)
 					out.Orders = append(out.Orders, v1)
 					in.WantComma()
 				}
@@ -64,7 +64,7 @@
 		in.Consumed()
 	}
 }
-func easyjson3fa1d93bEncodeSageleverPlan(out *jwriter.Writer, in takenList) {
+func easyjsonA673d106EncodeSageleverPlan(out *jwriter.Writer, in AppliedOrders) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -79,7 +79,7 @@
 				if v2 > 0 {
 					out.RawByte(',')
 				}
-				easyjson3fa1d93bEncodeSageleverPlan1(out, v3)
+				easyjsonA673d106EncodeSageleverPlan1(out, v3)
 			}
 			out.RawByte(']')
 		}
@@ -88,29 +88,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v takenList) MarshalJSON() ([]byte, error) {
+func (v AppliedOrders) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson3fa1d93bEncodeSageleverPlan(&w, v)
+	easyjsonA673d106EncodeSageleverPlan(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v takenList) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson3fa1d93bEncodeSageleverPlan(w, v)
+func (v AppliedOrders) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonA673d106EncodeSageleverPlan(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *takenList) UnmarshalJSON(data []byte) error {
+func (v *AppliedOrders) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson3fa1d93bDecodeSageleverPlan(&r, v)
+	easyjsonA673d106DecodeSageleverPlan(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *takenList) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson3fa1d93bDecodeSageleverPlan(l, v)
+func (v *AppliedOrders) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonA673d106DecodeSageleverPlan(l, v)
 }
-func easyjson3fa1d93bDecodeSageleverPlan1(in *jlexer.Lexer, out *Taken) {
+func easyjsonA673d106DecodeSageleverPlan1(in *jlexer.Lexer, out *AppliedOrder) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -134,7 +134,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.At = int64(in.Int64())
+				out.AppliedMs = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -146,7 +146,7 @@
 		in.Consumed()
 	}
 }
-func easyjson3fa1d93bEncodeSageleverPlan1(out *jwriter.Writer, in Taken) {
+func easyjsonA673d106EncodeSageleverPlan1(out *jwriter.Writer, in AppliedOrder) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -158,7 +158,7 @@
 	{
 		const prefix string = ",\"t\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.At))
+		out.Int64(int64(in.AppliedMs))
 	}
 	out.RawByte('}')
 }
--- a/plan/drains_easyjson.go
+++ b/plan/drain_easyjson.go
@@ -17,83 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson9ef4f17dDecodeSageleverPlan(in *jlexer.Lexer, out *DrainWord) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "target":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Target = string(in.String())
-			}
-		case "force":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Force = bool(in.Bool())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson9ef4f17dEncodeSageleverPlan(out *jwriter.Writer, in DrainWord) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"target\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Target))
-	}
-	{
-		const prefix string = ",\"force\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Force))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v DrainWord) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson9ef4f17dEncodeSageleverPlan(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v DrainWord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9ef4f17dEncodeSageleverPlan(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *DrainWord) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson9ef4f17dDecodeSageleverPlan(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *DrainWord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9ef4f17dDecodeSageleverPlan(l, v)
-}
-func easyjson9ef4f17dDecodeSageleverPlan1(in *jlexer.Lexer, out *DrainList) {
+func easyjson3795ee0DecodeSageleverPlan(in *jlexer.Lexer, out *List) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -144,7 +68,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9ef4f17dEncodeSageleverPlan1(out *jwriter.Writer, in DrainList) {
+func easyjson3795ee0EncodeSageleverPlan(out *jwriter.Writer, in List) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -168,29 +92,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v DrainList) MarshalJSON() ([]byte, error) {
+func (v List) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson9ef4f17dEncodeSageleverPlan1(&w, v)
+	easyjson3795ee0EncodeSageleverPlan(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v DrainList) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9ef4f17dEncodeSageleverPlan1(w, v)
+func (v List) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson3795ee0EncodeSageleverPlan(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *DrainList) UnmarshalJSON(data []byte) error {
+func (v *List) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson9ef4f17dDecodeSageleverPlan1(&r, v)
+	easyjson3795ee0DecodeSageleverPlan(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *DrainList) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9ef4f17dDecodeSageleverPlan1(l, v)
+func (v *List) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson3795ee0DecodeSageleverPlan(l, v)
 }
-func easyjson9ef4f17dDecodeSageleverPlan2(in *jlexer.Lexer, out *Drain) {
+func easyjson3795ee0DecodeSageleverPlan1(in *jlexer.Lexer, out *Drain) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -220,7 +144,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Began = int64(in.Int64())
+				out.BeganMs = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -232,7 +156,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9ef4f17dEncodeSageleverPlan2(out *jwriter.Writer, in Drain) {
+func easyjson3795ee0EncodeSageleverPlan1(out *jwriter.Writer, in Drain) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -260,7 +184,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.Began))
+		out.Int64(int64(in.BeganMs))
 	}
 	out.RawByte('}')
 }
@@ -268,23 +192,99 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Drain) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson9ef4f17dEncodeSageleverPlan2(&w, v)
+	easyjson3795ee0EncodeSageleverPlan1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Drain) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9ef4f17dEncodeSageleverPlan2(w, v)
+	easyjson3795ee0EncodeSageleverPlan1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Drain) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson9ef4f17dDecodeSageleverPlan2(&r, v)
+	easyjson3795ee0DecodeSageleverPlan1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Drain) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9ef4f17dDecodeSageleverPlan2(l, v)
+	easyjson3795ee0DecodeSageleverPlan1(l, v)
+}
+func easyjson3795ee0DecodeSageleverPlan2(in *jlexer.Lexer, out *BeginRequest) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "target":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Target = string(in.String())
+			}
+		case "force":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Force = bool(in.Bool())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson3795ee0EncodeSageleverPlan2(out *jwriter.Writer, in BeginRequest) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"target\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Target))
+	}
+	{
+		const prefix string = ",\"force\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Force))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v BeginRequest) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson3795ee0EncodeSageleverPlan2(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v BeginRequest) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson3795ee0EncodeSageleverPlan2(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *BeginRequest) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson3795ee0DecodeSageleverPlan2(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *BeginRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson3795ee0DecodeSageleverPlan2(l, v)
 }
--- a/plan/index.go
+++ b/plan/index.go
@@ -11,96 +11,96 @@
 // Index is what is in force, laid out for the check of calls: a check costs by the size of the call. It follows the
 // configuration and reads only the routes that have changed.
 type Index struct {
-	held   map[string]quorum.Value
-	routes map[string]indexedRoute    // by name
-	places map[string]map[string]bool // by host and prefix: the routes there
-	users  map[string]map[string]bool // by service: the routes that name it
+	current          map[string]quorum.Value
+	routes           map[string]indexedRoute    // by name
+	routesByMatchKey map[string]map[string]bool // by host and prefix: the routes there
+	routesByService  map[string]map[string]bool // by service: the routes that name it
 }
 
 type indexedRoute struct {
-	value    quorum.Value
-	place    string
-	services []string
+	value        quorum.Value
+	matchKey     string
+	serviceNames []string
 }
 
 // NewIndex is an index of nothing.
 func NewIndex() *Index {
-	return &Index{routes: map[string]indexedRoute{}, places: map[string]map[string]bool{}, users: map[string]map[string]bool{}}
+	return &Index{routes: map[string]indexedRoute{}, routesByMatchKey: map[string]map[string]bool{}, routesByService: map[string]map[string]bool{}}
 }
 
-// Follow takes up what is in force, by register.
-func (x *Index) Follow(held map[string]quorum.Value) {
-	x.held = held
+// Update takes up what is in force, by register.
+func (x *Index) Update(current map[string]quorum.Value) {
+	x.current = current
 	for name := range x.routes {
-		if v := held[Key(Routes, name)]; v.Version == 0 || v.Gone {
-			x.drop(name)
+		if value := current[Key(KindRoutes, name)]; value.Version == 0 || value.Deleted {
+			x.remove(name)
 		}
 	}
-	for key, v := range held {
+	for key, value := range current {
 		kind, name, ok := SplitKey(key)
-		if !ok || kind != Routes || v.Gone {
+		if !ok || kind != KindRoutes || value.Deleted {
 			continue
 		}
-		if was, known := x.routes[name]; known && was.value.Version == v.Version && was.value.Body == v.Body {
+		if indexed, known := x.routes[name]; known && indexed.value.Version == value.Version && indexed.value.Body == value.Body {
 			continue
 		}
-		x.drop(name)
-		if r, err := readRoute(name, v); err == nil { // it was checked when it was taken
-			x.add(name, indexedRoute{v, r.place(), r.services()})
+		x.remove(name)
+		if route, err := decodeRoute(name, value); err == nil { // it was checked when it was taken
+			x.add(name, indexedRoute{value, route.matchKey(), route.serviceNames()})
 		}
 	}
 }
 
-func (x *Index) add(name string, r indexedRoute) {
-	x.routes[name] = r
-	note(x.places, r.place, name)
-	for _, s := range r.services {
-		note(x.users, s, name)
+func (x *Index) add(name string, route indexedRoute) {
+	x.routes[name] = route
+	addToSet(x.routesByMatchKey, route.matchKey, name)
+	for _, service := range route.serviceNames {
+		addToSet(x.routesByService, service, name)
 	}
 }
 
-func (x *Index) drop(name string) {
-	r, known := x.routes[name]
+func (x *Index) remove(name string) {
+	route, known := x.routes[name]
 	if !known {
 		return
 	}
 	delete(x.routes, name)
-	strike(x.places, r.place, name)
-	for _, s := range r.services {
-		strike(x.users, s, name)
+	removeFromSet(x.routesByMatchKey, route.matchKey, name)
+	for _, service := range route.serviceNames {
+		removeFromSet(x.routesByService, service, name)
 	}
 }
 
-func note(of map[string]map[string]bool, at, name string) {
-	if of[at] == nil {
-		of[at] = map[string]bool{}
+func addToSet(sets map[string]map[string]bool, key, name string) {
+	if sets[key] == nil {
+		sets[key] = map[string]bool{}
 	}
-	of[at][name] = true
+	sets[key][name] = true
 }
 
-func strike(of map[string]map[string]bool, at, name string) {
-	if delete(of[at], name); len(of[at]) == 0 {
-		delete(of, at)
+func removeFromSet(sets map[string]map[string]bool, key, name string) {
+	if delete(sets[key], name); len(sets[key]) == 0 {
+		delete(sets, key)
 	}
 }
 
-func readRoute(name string, v quorum.Value) (*Route, error) {
-	got, err := readItem(Routes, name, v.Body)
+func decodeRoute(name string, value quorum.Value) (*RouteBody, error) {
+	body, err := ReadBody(KindRoutes, name, value.Body)
 	if err != nil {
-		return nil, errors.Wrapf(err, "%s %s", Routes, name)
+		return nil, errors.Wrapf(err, "%s %s", KindRoutes, name)
 	}
-	return got.(*Route), nil
+	return body.(*RouteBody), nil
 }
 
-// place is what no two routes may share.
-func (r *Route) place() string { return strings.ToLower(r.Host) + " " + r.PathStart }
+// matchKey is what no two routes may share.
+func (r *RouteBody) matchKey() string { return strings.ToLower(r.Host) + " " + r.PathPrefix }
 
-// DependsOnOthers tells whether a call's validity depends on items that it doesn't set: routes name services, and a service
+// DependsOnOtherItems tells whether a call's validity depends on items that it doesn't set: routes name services, and a service
 // that is dropped may be named. Any other call is valid by itself.
-func DependsOnOthers(sent map[string]quorum.Value) bool {
-	for key, v := range sent {
+func DependsOnOtherItems(changes map[string]quorum.Value) bool {
+	for key, value := range changes {
 		kind, _, _ := SplitKey(key)
-		if kind == Routes && !v.Gone || kind == Services && v.Gone {
+		if kind == KindRoutes && !value.Deleted || kind == KindServices && value.Deleted {
 			return true
 		}
 	}
@@ -110,22 +110,22 @@
 // Check says whether a call may come into force over what is: every route of it names services that there are afterwards,
 // no route is left without its service, and no two share host and prefix. What was confirmed before is not judged again by
 // what is in force now: it is confirmed again, whatever came after it.
-func (x *Index) Check(sent map[string]quorum.Value) error {
-	places := map[string]string{}
-	for key, v := range sent {
+func (x *Index) Check(changes map[string]quorum.Value) error {
+	matchKeys := map[string]string{}
+	for key, value := range changes {
 		kind, name, _ := SplitKey(key)
 		var err error
 		switch {
-		case kind == Routes && !v.Gone:
-			err = x.checkRoute(sent, places, key, name, v)
-		case kind == Services && v.Gone && standingOf(x.held[key], v) == fresh:
-			err = x.checkDropped(sent, name)
+		case kind == KindRoutes && !value.Deleted:
+			err = x.checkRoute(changes, matchKeys, key, name, value)
+		case kind == KindServices && value.Deleted && statusOf(x.current[key], value) == statusNewer:
+			err = x.checkRemovedService(changes, name)
 		}
-		if err != nil && partlyInForce(x.held, sent) {
-			return &Unclear{partOfCall + err.Error()}
+		if err != nil && partlyCommitted(x.current, changes) {
+			return &IndeterminateError{partlyCommittedReason + err.Error()}
 		}
 		if err != nil {
-			return &Invalid{err}
+			return &InvalidError{err}
 		}
 	}
 	return nil
@@ -133,64 +133,64 @@
 
 // checkRoute checks a route that is sent. One that has no effect is still invalid where it names a service that never was:
 // it can't have been taken at any time. Where nothing is known of its version any more, that is all that can be said.
-func (x *Index) checkRoute(sent map[string]quorum.Value, places map[string]string, key, name string, v quorum.Value) error {
-	stands := standingOf(x.held[key], v)
-	if stands == taken {
+func (x *Index) checkRoute(changes map[string]quorum.Value, matchKeys map[string]string, key, name string, value quorum.Value) error {
+	status := statusOf(x.current[key], value)
+	if status == statusConfirmed {
 		return nil
 	}
-	r, err := readRoute(name, v)
+	route, err := decodeRoute(name, value)
 	if err != nil {
 		return err
 	}
-	for _, s := range r.services() {
-		if !x.hasService(sent, s, stands) {
-			return errors.Errorf("routes %s: names the unknown service %q", name, s)
+	for _, service := range route.serviceNames() {
+		if !x.serviceAvailable(changes, service, status) {
+			return errors.Errorf("routes %s: names the unknown service %q", name, service)
 		}
 	}
-	if stands != fresh {
+	if status != statusNewer {
 		return nil
 	}
-	place := r.place()
-	if other, shared := places[place]; shared {
+	matchKey := route.matchKey()
+	if other, shared := matchKeys[matchKey]; shared {
 		return errors.Errorf("routes %s and %s share host and prefix", other, name)
 	}
-	places[place] = name
-	for other := range x.places[place] {
-		if other != name && !x.replaced(sent, other) {
+	matchKeys[matchKey] = name
+	for other := range x.routesByMatchKey[matchKey] {
+		if other != name && !x.isReplaced(changes, other) {
 			return errors.Errorf("routes %s and %s share host and prefix", other, name)
 		}
 	}
 	return nil
 }
 
-// hasService tells whether a route that stands so may name a service.
-func (x *Index) hasService(sent map[string]quorum.Value, service string, stands standing) bool {
-	key := Key(Services, service)
-	v, inCall := sent[key]
-	held := x.held[key]
-	switch stands {
-	case fresh:
-		if inCall && v.Version > held.Version {
-			held = v
+// serviceAvailable tells whether a route that stands so may name a service.
+func (x *Index) serviceAvailable(changes map[string]quorum.Value, service string, status itemStatus) bool {
+	key := Key(KindServices, service)
+	incoming, changed := changes[key]
+	current := x.current[key]
+	switch status {
+	case statusNewer:
+		if changed && incoming.Version > current.Version {
+			current = incoming
 		}
-		return held.Version > 0 && !held.Gone
-	case late:
-		return held.Version > 0 && !held.Gone || inCall && !v.Gone
+		return current.Version > 0 && !current.Deleted
+	case statusSuperseded:
+		return current.Version > 0 && !current.Deleted || changed && !incoming.Deleted
 	}
-	return held.Version > 0 || inCall && !v.Gone
+	return current.Version > 0 || changed && !incoming.Deleted
 }
 
-// replaced tells whether the call sets a route anew that is in force.
-func (x *Index) replaced(sent map[string]quorum.Value, route string) bool {
-	key := Key(Routes, route)
-	v, inCall := sent[key]
-	return inCall && standingOf(x.held[key], v) == fresh
+// isReplaced tells whether the call sets a route anew that is in force.
+func (x *Index) isReplaced(changes map[string]quorum.Value, route string) bool {
+	key := Key(KindRoutes, route)
+	incoming, changed := changes[key]
+	return changed && statusOf(x.current[key], incoming) == statusNewer
 }
 
-// checkDropped checks that no route stays without a service that is dropped; those of the call are checked by themselves.
-func (x *Index) checkDropped(sent map[string]quorum.Value, service string) error {
-	for route := range x.users[service] {
-		if !x.replaced(sent, route) {
+// checkRemovedService checks that no route stays without a service that is dropped; those of the call are checked by themselves.
+func (x *Index) checkRemovedService(changes map[string]quorum.Value, service string) error {
+	for route := range x.routesByService[service] {
+		if !x.isReplaced(changes, route) {
 			return errors.Errorf("routes %s: is left without its service %q", route, service)
 		}
 	}
