--- a/plan/release.go
+++ b/plan/release.go
@@ -8,77 +8,77 @@
 	"sagelever/internal/control/quorum"
 )
 
-const releaseKey = "release/"
+const RegisterKeyPrefix = "release/"
 
-// ReleaseKey is the register of a service's release.
-func ReleaseKey(service string) string { return releaseKey + service }
+// RegisterKey is the register of a service's release.
+func RegisterKey(service string) string { return RegisterKeyPrefix + service }
 
 // Phases of a release, in the protocol's words.
 const (
-	InService = "in_service"
-	Finished  = "finished"
-	Reverted  = "reverted"
+	PhaseInService = "in_service"
+	PhaseFinished  = "finished"
+	PhaseReverted  = "reverted"
 )
 
 // Release is the state of a service's release.
 //
 //easyjson:json
 type Release struct {
-	Target string `json:"target"`
-	Phase  string `json:"phase"`
-	OverMs int64  `json:"over"`
-	Began  int64  `json:"began"` // Unix milliseconds at the agent that took the order
-	Number uint64 `json:"number"`
+	Target     string `json:"target"`
+	Phase      string `json:"phase"`
+	DurationMs int64  `json:"over"`
+	StartedMs  int64  `json:"began"` // Unix milliseconds at the agent that took the order
+	Number     uint64 `json:"number"`
 }
 
-// Order is a releases.begin call.
+// StartRequest is a releases.begin call.
 //
 //easyjson:json
-type Order struct {
-	Service string `json:"service"`
-	Target  string `json:"target"`
-	Over    string `json:"over"`
+type StartRequest struct {
+	Service  string `json:"service"`
+	Target   string `json:"target"`
+	Duration string `json:"over"`
 }
 
-// Begin orders a release. One to the same target in the same time that is under way goes on; in the place of any other a new
+// Start orders a release. One to the same target in the same time that is under way goes on; in the place of any other a new
 // one begins.
-func Begin(target string, over time.Duration, now time.Time) quorum.Change {
-	return func(held quorum.Value) quorum.Value {
-		r, any := ReadRelease(held)
-		if any && r.Phase == InService && r.Target == target && r.OverMs == over.Milliseconds() {
-			return held
+func Start(target string, duration time.Duration, now time.Time) quorum.UpdateFunc {
+	return func(current quorum.Value) quorum.Value {
+		release, exists := Read(current)
+		if exists && release.Phase == PhaseInService && release.Target == target && release.DurationMs == duration.Milliseconds() {
+			return current
 		}
-		next := &Release{Target: target, Phase: InService, OverMs: over.Milliseconds(), Began: now.UnixMilli(), Number: r.Number + 1}
-		return quorum.Value{Version: held.Version + 1, Body: next.text(), Note: held.Note}
+		next := &Release{Target: target, Phase: PhaseInService, DurationMs: duration.Milliseconds(), StartedMs: now.UnixMilli(), Number: release.Number + 1}
+		return quorum.Value{Version: current.Version + 1, Body: next.encode(), Annotation: current.Annotation}
 	}
 }
 
-// BeginOnce is Begin for an order that may be one sent again: the same target in the same time, within the term.
-func BeginOnce(target string, over time.Duration, now time.Time, term time.Duration) quorum.Change {
-	order := over.String() + " " + target
-	return Once(order, now, term, Begin(target, over, now))
+// StartOnce is Begin for an order that may be one sent again: the same target in the same time, within the term.
+func StartOnce(target string, duration time.Duration, now time.Time, window time.Duration) quorum.UpdateFunc {
+	order := duration.String() + " " + target
+	return ApplyOnce(order, now, window, Start(target, duration, now))
 }
 
-// Decide ends a release that is under way. One that is decided stays as it is, so that of two decisions that race the
+// End ends a release that is under way. One that is decided stays as it is, so that of two decisions that race the
 // register keeps one.
-func Decide(number uint64, phase string) quorum.Change {
-	return func(held quorum.Value) quorum.Value {
-		r := &Release{}
-		if held.Body == "" || easyjson.Unmarshal([]byte(held.Body), r) != nil || r.Number != number || r.Phase != InService {
-			return held
+func End(number uint64, phase string) quorum.UpdateFunc {
+	return func(current quorum.Value) quorum.Value {
+		release := &Release{}
+		if current.Body == "" || easyjson.Unmarshal([]byte(current.Body), release) != nil || release.Number != number || release.Phase != PhaseInService {
+			return current
 		}
-		r.Phase = phase
-		return quorum.Value{Version: held.Version + 1, Body: r.text(), Note: held.Note}
+		release.Phase = phase
+		return quorum.Value{Version: current.Version + 1, Body: release.encode(), Annotation: current.Annotation}
 	}
 }
 
-func (r *Release) text() string {
-	b, _ := easyjson.Marshal(r) // texts and whole numbers only: it cannot fail
-	return string(b)
+func (r *Release) encode() string {
+	body, _ := easyjson.Marshal(r) // texts and whole numbers only: it cannot fail
+	return string(body)
 }
 
-// ReadRelease reads a release's register.
-func ReadRelease(v quorum.Value) (*Release, bool) {
-	r := &Release{}
-	return r, v.Body != "" && easyjson.Unmarshal([]byte(v.Body), r) == nil
+// Read reads a release's register.
+func Read(value quorum.Value) (*Release, bool) {
+	release := &Release{}
+	return release, value.Body != "" && easyjson.Unmarshal([]byte(value.Body), release) == nil
 }
--- a/plan/release_easyjson.go
+++ b/plan/release_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson36579cc5DecodeSageleverPlan(in *jlexer.Lexer, out *Release) {
+func easyjson36579cc5DecodeSageleverPlan(in *jlexer.Lexer, out *StartRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -31,35 +31,23 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "target":
+		case "service":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Target = string(in.String())
+				out.Service = string(in.String())
 			}
-		case "phase":
+		case "target":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Phase = string(in.String())
+				out.Target = string(in.String())
 			}
 		case "over":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.OverMs = int64(in.Int64())
-			}
-		case "began":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Began = int64(in.Int64())
-			}
-		case "number":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Number = uint64(in.Uint64())
+				out.Duration = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -71,62 +59,52 @@
 		in.Consumed()
 	}
 }
-func easyjson36579cc5EncodeSageleverPlan(out *jwriter.Writer, in Release) {
+func easyjson36579cc5EncodeSageleverPlan(out *jwriter.Writer, in StartRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"target\":"
+		const prefix string = ",\"service\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Target))
+		out.String(string(in.Service))
 	}
 	{
-		const prefix string = ",\"phase\":"
+		const prefix string = ",\"target\":"
 		out.RawString(prefix)
-		out.String(string(in.Phase))
+		out.String(string(in.Target))
 	}
 	{
 		const prefix string = ",\"over\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.OverMs))
-	}
-	{
-		const prefix string = ",\"began\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.Began))
-	}
-	{
-		const prefix string = ",\"number\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Number))
+		out.String(string(in.Duration))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Release) MarshalJSON() ([]byte, error) {
+func (v StartRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson36579cc5EncodeSageleverPlan(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Release) MarshalEasyJSON(w *jwriter.Writer) {
+func (v StartRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson36579cc5EncodeSageleverPlan(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Release) UnmarshalJSON(data []byte) error {
+func (v *StartRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson36579cc5DecodeSageleverPlan(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Release) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *StartRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson36579cc5DecodeSageleverPlan(l, v)
 }
-func easyjson36579cc5DecodeSageleverPlan1(in *jlexer.Lexer, out *Order) {
+func easyjson36579cc5DecodeSageleverPlan1(in *jlexer.Lexer, out *Release) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -140,23 +118,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "service":
+		case "target":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Service = string(in.String())
+				out.Target = string(in.String())
 			}
-		case "target":
+		case "phase":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Target = string(in.String())
+				out.Phase = string(in.String())
 			}
 		case "over":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Over = string(in.String())
+				out.DurationMs = int64(in.Int64())
+			}
+		case "began":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.StartedMs = int64(in.Int64())
+			}
+		case "number":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Number = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -168,48 +158,58 @@
 		in.Consumed()
 	}
 }
-func easyjson36579cc5EncodeSageleverPlan1(out *jwriter.Writer, in Order) {
+func easyjson36579cc5EncodeSageleverPlan1(out *jwriter.Writer, in Release) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"service\":"
+		const prefix string = ",\"target\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Service))
+		out.String(string(in.Target))
 	}
 	{
-		const prefix string = ",\"target\":"
+		const prefix string = ",\"phase\":"
 		out.RawString(prefix)
-		out.String(string(in.Target))
+		out.String(string(in.Phase))
 	}
 	{
 		const prefix string = ",\"over\":"
 		out.RawString(prefix)
-		out.String(string(in.Over))
+		out.Int64(int64(in.DurationMs))
+	}
+	{
+		const prefix string = ",\"began\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.StartedMs))
+	}
+	{
+		const prefix string = ",\"number\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Number))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Order) MarshalJSON() ([]byte, error) {
+func (v Release) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson36579cc5EncodeSageleverPlan1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Order) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Release) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson36579cc5EncodeSageleverPlan1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Order) UnmarshalJSON(data []byte) error {
+func (v *Release) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson36579cc5DecodeSageleverPlan1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Order) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Release) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson36579cc5DecodeSageleverPlan1(l, v)
 }
--- a/plan/table.go
+++ b/plan/table.go
@@ -15,85 +15,85 @@
 
 // Table is the configuration as a relay uses it: immutable, swapped whole.
 type Table struct {
-	hosts    map[string]map[string]*Way
-	lengths  map[string][]int // of each host's prefixes, the longest first
-	Services map[string]*Backend
-	Cleared  map[string]bool     // zones to which nothing may be sent
-	Drains   map[string][]Drain  // what operators drain, by zone
-	Orders   map[string]uint64   // the versions of these registers, by zone, where there is one
-	Releases map[string]*Release // by service
-	Limits   Bound
-	Items    int
+	routes        map[string]map[string]*Route
+	prefixLengths map[string][]int // of each host's prefixes, the longest first
+	Services      map[string]*Service
+	Evacuated     map[string]bool     // zones to which nothing may be sent
+	Drains        map[string][]Drain  // what operators drain, by zone
+	DrainVersions map[string]uint64   // the versions of these registers, by zone, where there is one
+	Releases      map[string]*Release // by service
+	Limits        RequestLimits
+	ItemCount     int
 }
 
-// Way is a route, read.
-type Way struct {
-	Name           string
-	Harmless       bool
-	GiveUp, Target time.Duration
-	Rank, Tries    int
-	Shares         []Share
-	Homes          map[string]bool // nil: anywhere
-	HomeList       string          // the same: sorted, with commas
-	total          float64
-	tenant         string
+// Route is a route, read.
+type Route struct {
+	Name                   string
+	Idempotent             bool
+	Timeout, LatencyTarget time.Duration
+	Priority, MaxAttempts  int
+	WeightedServices       []WeightedService
+	HomeRegions            map[string]bool // nil: anywhere
+	HomeRegionList         string          // the same: sorted, with commas
+	totalWeight            float64
+	tenant                 string
 }
 
-// Pick picks the service by a number drawn from [0, 1).
-func (w *Way) Pick(luck float64) string {
-	at := luck * w.total
-	for _, s := range w.Shares {
-		if at -= s.Weight; at < 0 {
-			return s.Service
+// PickService picks the service by a number drawn from [0, 1).
+func (w *Route) PickService(random float64) string {
+	remaining := random * w.totalWeight
+	for _, share := range w.WeightedServices {
+		if remaining -= share.Weight; remaining < 0 {
+			return share.Service
 		}
 	}
-	return w.Shares[0].Service
+	return w.WeightedServices[0].Service
 }
 
-// Backend is a service, read.
-type Backend struct {
-	CheckPath string
-	MaxLinks  int
-	WarmUp    time.Duration
-	WarmRate  float64 // requests a second that a cold appliance bears
+// Service is a service, read.
+type Service struct {
+	HealthCheckPath string
+	MaxConnections  int
+	WarmUp          time.Duration
+	WarmUpRate      float64 // requests a second that a cold appliance bears
 }
 
-// Bound is what a client may send.
-type Bound struct {
-	Head, Body      int64
-	HeadWait, Quiet time.Duration
+// RequestLimits is what a client may send.
+type RequestLimits struct {
+	MaxHeaderBytes, MaxBodyBytes int64
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // NewTable reads the registers into a table. What can't be read is passed over: it was checked when it was taken.
 func NewTable(values map[string]quorum.Value) *Table {
-	t := &Table{hosts: map[string]map[string]*Way{}, lengths: map[string][]int{}, Services: map[string]*Backend{},
-		Cleared: map[string]bool{}, Drains: map[string][]Drain{}, Orders: map[string]uint64{}, Releases: map[string]*Release{}}
-	homes := map[string]map[string]bool{}
-	names := make([]string, 0, len(values))
+	table := &Table{routes: map[string]map[string]*Route{}, prefixLengths: map[string][]int{}, Services: map[string]*Service{},
+		Evacuated: map[string]bool{}, Drains: map[string][]Drain{}, DrainVersions: map[string]uint64{}, Releases: map[string]*Release{}}
+	tenantRegions := map[string]map[string]bool{}
+	keys := make([]string, 0, len(values))
 	for key := range values {
-		names = append(names, key)
+		keys = append(keys, key)
 	}
-	sort.Strings(names) // where two routes stood in one place, all agents would serve the same
-	for _, key := range names {
-		v := values[key]
-		if v.Gone {
+	sort.Strings(keys) // where two routes stood in one place, all agents would serve the same
+	for _, key := range keys {
+		value := values[key]
+		if value.Deleted {
 			continue
 		}
-		if zone, ok := strings.CutPrefix(key, clearedKey); ok {
-			t.Cleared[zone] = readCleared(v.Body).orders > 0
+		if zone, ok := strings.CutPrefix(key, EvacuationKeyPrefix); ok {
+			table.Evacuated[zone] = ReadEvacuation(value.Body).Orders > 0
 			continue
 		}
-		if zone, ok := strings.CutPrefix(key, drainKey); ok {
-			t.Orders[zone] = v.Version
-			if list := ReadDrains(v); len(list) > 0 {
-				t.Drains[zone] = list
+		if zone, ok := strings.CutPrefix(key, ListKeyPrefix); ok {
+			table.DrainVersions[zone] = value.Version
+			if drainList := ReadList(value); len(drainList) > 0 {
+				table.Drains[zone] = drainList
 			}
 			continue
 		}
-		if service, ok := strings.CutPrefix(key, releaseKey); ok {
-			r := &Release{}
-			if easyjson.Unmarshal([]byte(v.Body), r) == nil {
-				t.Releases[service] = r
+		if service, ok := strings.CutPrefix(key, RegisterKeyPrefix); ok {
+			serviceRelease := &Release{}
+			if easyjson.Unmarshal([]byte(value.Body), serviceRelease) == nil {
+				table.Releases[service] = serviceRelease
 			}
 			continue
 		}
@@ -101,114 +101,114 @@
 		if !ok {
 			continue
 		}
-		t.Items++
-		got, err := readItem(kind, name, v.Body)
+		table.ItemCount++
+		decoded, err := ReadBody(kind, name, value.Body)
 		if err != nil {
 			continue
 		}
-		switch x := got.(type) {
-		case *Service:
-			warm, _ := boot.Span(orZero(x.WarmUp))
-			t.Services[name] = &Backend{x.CheckPath, x.MaxLinks, warm, x.WarmingRateS}
-		case *Limits:
-			t.Limits = Bound{Head: x.HeadSizeBytes, Body: x.BodySizeBytes}
-			t.Limits.HeadWait, _ = boot.Span(x.HeadWait)
-			t.Limits.Quiet, _ = boot.Span(x.Quiet)
-		case *Tenant:
-			homes[name] = set(x.HomeRegions)
-		case *Route:
-			t.add(name, x)
+		switch body := decoded.(type) {
+		case *ServiceBody:
+			warmUp, _ := boot.ParseDuration(SpanOrZero(body.WarmUp))
+			table.Services[name] = &Service{body.HealthCheckPath, body.MaxConnections, warmUp, body.WarmUpRatePerSecond}
+		case *LimitsBody:
+			table.Limits = RequestLimits{MaxHeaderBytes: body.MaxHeaderBytes, MaxBodyBytes: body.MaxBodyBytes}
+			table.Limits.HeaderTimeout, _ = boot.ParseDuration(body.HeaderTimeout)
+			table.Limits.IdleTimeout, _ = boot.ParseDuration(body.IdleTimeout)
+		case *TenantBody:
+			tenantRegions[name] = newSet(body.HomeRegions)
+		case *RouteBody:
+			table.addRoute(name, body)
 		}
 	}
-	for host, ways := range t.hosts {
-		seen := map[int]bool{}
-		for p, w := range ways {
-			if h := homes[w.tenant]; w.tenant != "" && h != nil { // where route and tenant have homes, both bind
-				w.Homes = both(w.Homes, h)
+	for host, routes := range table.routes {
+		seenLengths := map[int]bool{}
+		for prefix, route := range routes {
+			if regions := tenantRegions[route.tenant]; route.tenant != "" && regions != nil { // where route and tenant have homes, both bind
+				route.HomeRegions = intersect(route.HomeRegions, regions)
 			}
-			w.HomeList = strings.Join(slices.Sorted(maps.Keys(w.Homes)), ",")
-			if !seen[len(p)] {
-				seen[len(p)] = true
-				t.lengths[host] = append(t.lengths[host], len(p))
+			route.HomeRegionList = strings.Join(slices.Sorted(maps.Keys(route.HomeRegions)), ",")
+			if !seenLengths[len(prefix)] {
+				seenLengths[len(prefix)] = true
+				table.prefixLengths[host] = append(table.prefixLengths[host], len(prefix))
 			}
 		}
-		sort.Sort(sort.Reverse(sort.IntSlice(t.lengths[host])))
+		sort.Sort(sort.Reverse(sort.IntSlice(table.prefixLengths[host])))
 	}
-	return t
+	return table
 }
 
-// Drained tells whether an operator drains an appliance.
-func (t *Table) Drained(service, id, zone string) bool {
-	for _, d := range t.Drains[zone] {
-		if d.Covers(service, id) {
+// IsDrained tells whether an operator drains an appliance.
+func (t *Table) IsDrained(service, id, zone string) bool {
+	for _, active := range t.Drains[zone] {
+		if active.Covers(service, id) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Table) add(name string, r *Route) {
-	host := strings.ToLower(r.Host)
-	if t.hosts[host] == nil {
-		t.hosts[host] = map[string]*Way{}
+func (t *Table) addRoute(name string, body *RouteBody) {
+	host := strings.ToLower(body.Host)
+	if t.routes[host] == nil {
+		t.routes[host] = map[string]*Route{}
 	}
-	if t.hosts[host][r.PathStart] != nil {
+	if t.routes[host][body.PathPrefix] != nil {
 		return
 	}
-	w := &Way{Name: name, Harmless: r.Kind == "harmless", Rank: r.Rank, Tries: max(1, r.Tries), Shares: r.Shares,
-		Homes: set(r.HomeRegions), tenant: r.Tenant}
-	w.GiveUp, _ = boot.Span(r.GiveUp)
-	w.Target, _ = boot.Span(orZero(r.TargetTime))
-	if r.Service != "" {
-		w.Shares = []Share{{r.Service, 1}}
+	route := &Route{Name: name, Idempotent: body.Kind == "harmless", Priority: body.Priority, MaxAttempts: max(1, body.MaxAttempts), WeightedServices: body.WeightedServices,
+		HomeRegions: newSet(body.HomeRegions), tenant: body.Tenant}
+	route.Timeout, _ = boot.ParseDuration(body.Timeout)
+	route.LatencyTarget, _ = boot.ParseDuration(SpanOrZero(body.LatencyTarget))
+	if body.Service != "" {
+		route.WeightedServices = []WeightedService{{body.Service, 1}}
 	}
-	for _, s := range w.Shares {
-		w.total += s.Weight
+	for _, share := range route.WeightedServices {
+		route.totalWeight += share.Weight
 	}
-	t.hosts[host][r.PathStart] = w
+	t.routes[host][body.PathPrefix] = route
 }
 
-// Find is the route of a request: of the host's, the one with the longest prefix that begins the path; nil for none.
+// FindRoute is the route of a request: of the host's, the one with the longest prefix that begins the path; nil for none.
 // It costs one look-up for each length that the host's prefixes have, however many routes there are.
-func (t *Table) Find(host, path string) *Way {
+func (t *Table) FindRoute(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host, ']') < i {
 		host = host[:i]
 	}
 	host = strings.ToLower(host)
-	ways := t.hosts[host]
-	for _, n := range t.lengths[host] {
-		if n <= len(path) {
-			if w := ways[path[:n]]; w != nil {
-				return w
+	routes := t.routes[host]
+	for _, length := range t.prefixLengths[host] {
+		if length <= len(path) {
+			if route := routes[path[:length]]; route != nil {
+				return route
 			}
 		}
 	}
 	return nil
 }
 
-func set(list []string) map[string]bool {
-	if len(list) == 0 {
+func newSet(names []string) map[string]bool {
+	if len(names) == 0 {
 		return nil
 	}
-	out := make(map[string]bool, len(list))
-	for _, s := range list {
-		out[s] = true
+	members := make(map[string]bool, len(names))
+	for _, name := range names {
+		members[name] = true
 	}
-	return out
+	return members
 }
 
-func both(a, b map[string]bool) map[string]bool {
+func intersect(a, b map[string]bool) map[string]bool {
 	if a == nil || b == nil {
 		if a == nil {
 			return b
 		}
 		return a
 	}
-	out := map[string]bool{}
-	for k := range a {
-		if b[k] {
-			out[k] = true
+	common := map[string]bool{}
+	for member := range a {
+		if b[member] {
+			common[member] = true
 		}
 	}
-	return out
+	return common
 }
--- a/plan/votes.go
+++ b/plan/votes.go
@@ -4,28 +4,28 @@
 
 // Votes of an agent on a release.
 const (
-	VoteBack = "back"
-	VoteOn   = "on"
+	VoteRevert = "back"
+	VoteFinish = "on"
 )
 
-// Count adds the agents' votes up to a phase, or to none. One vote back ends the trial: it is cast on the evidence of all,
+// CountVotes adds the agents' votes up to a phase, or to none. One vote back ends the trial: it is cast on the evidence of all,
 // and the sooner it counts the fewer bad answers come. All who see requests of the service have to vote on.
-func Count(number uint64, tallies []*lore.Tally) string {
-	on, voters := 0, 0
-	for _, t := range tallies {
-		if t.Number != number {
+func CountVotes(number uint64, tallies []*lore.ReleaseTally) string {
+	finishVotes, voters := 0, 0
+	for _, tally := range tallies {
+		if tally.ReleaseNumber != number {
 			continue
 		}
 		voters++
-		switch t.Vote {
-		case VoteBack:
-			return Reverted
-		case VoteOn:
-			on++
+		switch tally.Vote {
+		case VoteRevert:
+			return PhaseReverted
+		case VoteFinish:
+			finishVotes++
 		}
 	}
-	if voters > 0 && 2*on > voters {
-		return Finished
+	if voters > 0 && 2*finishVotes > voters {
+		return PhaseFinished
 	}
 	return ""
 }
--- a/plan/wire_easyjson.go
+++ b/plan/wire_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonF4688553DecodeSageleverPlan(in *jlexer.Lexer, out *Tenant) {
+func easyjsonF4688553DecodeSageleverPlan(in *jlexer.Lexer, out *TenantBody) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -68,7 +68,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan(out *jwriter.Writer, in Tenant) {
+func easyjsonF4688553EncodeSageleverPlan(out *jwriter.Writer, in TenantBody) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -92,29 +92,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Tenant) MarshalJSON() ([]byte, error) {
+func (v TenantBody) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeSageleverPlan(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Tenant) MarshalEasyJSON(w *jwriter.Writer) {
+func (v TenantBody) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeSageleverPlan(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Tenant) UnmarshalJSON(data []byte) error {
+func (v *TenantBody) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeSageleverPlan(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Tenant) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *TenantBody) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeSageleverPlan(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan1(in *jlexer.Lexer, out *Service) {
+func easyjsonF4688553DecodeSageleverPlan1(in *jlexer.Lexer, out *ServiceBody) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -132,13 +132,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.CheckPath = string(in.String())
+				out.HealthCheckPath = string(in.String())
 			}
 		case "maxLinks":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.MaxLinks = int(in.Int())
+				out.MaxConnections = int(in.Int())
 			}
 		case "warmUp":
 			if in.IsNull() {
@@ -150,7 +150,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WarmingRateS = float64(in.Float64())
+				out.WarmUpRatePerSecond = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -162,19 +162,19 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan1(out *jwriter.Writer, in Service) {
+func easyjsonF4688553EncodeSageleverPlan1(out *jwriter.Writer, in ServiceBody) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"checkPath\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.CheckPath))
+		out.String(string(in.HealthCheckPath))
 	}
 	{
 		const prefix string = ",\"maxLinks\":"
 		out.RawString(prefix)
-		out.Int(int(in.MaxLinks))
+		out.Int(int(in.MaxConnections))
 	}
 	{
 		const prefix string = ",\"warmUp\":"
@@ -184,35 +184,35 @@
 	{
 		const prefix string = ",\"warmingRateS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.WarmingRateS))
+		out.Float64(float64(in.WarmUpRatePerSecond))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Service) MarshalJSON() ([]byte, error) {
+func (v ServiceBody) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeSageleverPlan1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ServiceBody) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeSageleverPlan1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Service) UnmarshalJSON(data []byte) error {
+func (v *ServiceBody) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeSageleverPlan1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ServiceBody) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeSageleverPlan1(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan2(in *jlexer.Lexer, out *Route) {
+func easyjsonF4688553DecodeSageleverPlan2(in *jlexer.Lexer, out *RouteBody) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -236,7 +236,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.PathStart = string(in.String())
+				out.PathPrefix = string(in.String())
 			}
 		case "kind":
 			if in.IsNull() {
@@ -248,19 +248,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.GiveUp = string(in.String())
+				out.Timeout = string(in.String())
 			}
 		case "target_time":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.TargetTime = string(in.String())
+				out.LatencyTarget = string(in.String())
 			}
 		case "rank":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rank = int(in.Int())
+				out.Priority = int(in.Int())
 			}
 		case "service":
 			if in.IsNull() {
@@ -271,22 +271,22 @@
 		case "shares":
 			if in.IsNull() {
 				in.Skip()
-				out.Shares = nil
+				out.WeightedServices = nil
 			} else {
 				in.Delim('[')
-				if out.Shares == nil {
+				if out.WeightedServices == nil {
 					if !in.IsDelim(']') {
-						out.Shares = make([]Share, 0, 2)
+						out.WeightedServices = make([]WeightedService, 0, 2)
 					} else {
-						out.Shares = []Share{}
+						out.WeightedServices = []WeightedService{}
 					}
 				} else {
-					out.Shares = (out.Shares)[:0]
+					out.WeightedServices = (out.WeightedServices)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v4 Share
+					var v4 WeightedService
 					easyjsonF4688553DecodeSageleverPlan3(in, &v4)
-					out.Shares = append(out.Shares, v4)
+					out.WeightedServices = append(out.WeightedServices, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -295,7 +295,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Tries = int(in.Int())
+				out.MaxAttempts = int(in.Int())
 			}
 		case "homeRegions":
 			if in.IsNull() {
@@ -340,7 +340,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan2(out *jwriter.Writer, in Route) {
+func easyjsonF4688553EncodeSageleverPlan2(out *jwriter.Writer, in RouteBody) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -352,7 +352,7 @@
 	{
 		const prefix string = ",\"pathStart\":"
 		out.RawString(prefix)
-		out.String(string(in.PathStart))
+		out.String(string(in.PathPrefix))
 	}
 	{
 		const prefix string = ",\"kind\":"
@@ -362,17 +362,17 @@
 	{
 		const prefix string = ",\"giveUp\":"
 		out.RawString(prefix)
-		out.String(string(in.GiveUp))
+		out.String(string(in.Timeout))
 	}
 	{
 		const prefix string = ",\"target_time\":"
 		out.RawString(prefix)
-		out.String(string(in.TargetTime))
+		out.String(string(in.LatencyTarget))
 	}
 	{
 		const prefix string = ",\"rank\":"
 		out.RawString(prefix)
-		out.Int(int(in.Rank))
+		out.Int(int(in.Priority))
 	}
 	{
 		const prefix string = ",\"service\":"
@@ -382,11 +382,11 @@
 	{
 		const prefix string = ",\"shares\":"
 		out.RawString(prefix)
-		if in.Shares == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.WeightedServices == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v6, v7 := range in.Shares {
+			for v6, v7 := range in.WeightedServices {
 				if v6 > 0 {
 					out.RawByte(',')
 				}
@@ -398,7 +398,7 @@
 	{
 		const prefix string = ",\"tries\":"
 		out.RawString(prefix)
-		out.Int(int(in.Tries))
+		out.Int(int(in.MaxAttempts))
 	}
 	{
 		const prefix string = ",\"homeRegions\":"
@@ -425,29 +425,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Route) MarshalJSON() ([]byte, error) {
+func (v RouteBody) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeSageleverPlan2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
+func (v RouteBody) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeSageleverPlan2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Route) UnmarshalJSON(data []byte) error {
+func (v *RouteBody) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeSageleverPlan2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *RouteBody) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeSageleverPlan2(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan3(in *jlexer.Lexer, out *Share) {
+func easyjsonF4688553DecodeSageleverPlan3(in *jlexer.Lexer, out *WeightedService) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -483,7 +483,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan3(out *jwriter.Writer, in Share) {
+func easyjsonF4688553EncodeSageleverPlan3(out *jwriter.Writer, in WeightedService) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -499,7 +499,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeSageleverPlan4(in *jlexer.Lexer, out *Limits) {
+func easyjsonF4688553DecodeSageleverPlan4(in *jlexer.Lexer, out *LimitsBody) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -517,25 +517,25 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HeadSizeBytes = int64(in.Int64())
+				out.MaxHeaderBytes = int64(in.Int64())
 			}
 		case "bodySizeBytes":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.BodySizeBytes = int64(in.Int64())
+				out.MaxBodyBytes = int64(in.Int64())
 			}
 		case "headWait":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HeadWait = string(in.String())
+				out.HeaderTimeout = string(in.String())
 			}
 		case "quiet":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Quiet = string(in.String())
+				out.IdleTimeout = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -547,57 +547,57 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan4(out *jwriter.Writer, in Limits) {
+func easyjsonF4688553EncodeSageleverPlan4(out *jwriter.Writer, in LimitsBody) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"headSizeBytes\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.HeadSizeBytes))
+		out.Int64(int64(in.MaxHeaderBytes))
 	}
 	{
 		const prefix string = ",\"bodySizeBytes\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.BodySizeBytes))
+		out.Int64(int64(in.MaxBodyBytes))
 	}
 	{
 		const prefix string = ",\"headWait\":"
 		out.RawString(prefix)
-		out.String(string(in.HeadWait))
+		out.String(string(in.HeaderTimeout))
 	}
 	{
 		const prefix string = ",\"quiet\":"
 		out.RawString(prefix)
-		out.String(string(in.Quiet))
+		out.String(string(in.IdleTimeout))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Limits) MarshalJSON() ([]byte, error) {
+func (v LimitsBody) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeSageleverPlan4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
+func (v LimitsBody) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeSageleverPlan4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Limits) UnmarshalJSON(data []byte) error {
+func (v *LimitsBody) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeSageleverPlan4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *LimitsBody) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeSageleverPlan4(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan5(in *jlexer.Lexer, out *Items) {
+func easyjsonF4688553DecodeSageleverPlan5(in *jlexer.Lexer, out *ItemList) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -644,7 +644,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan5(out *jwriter.Writer, in Items) {
+func easyjsonF4688553EncodeSageleverPlan5(out *jwriter.Writer, in ItemList) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -668,26 +668,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Items) MarshalJSON() ([]byte, error) {
+func (v ItemList) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeSageleverPlan5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Items) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ItemList) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeSageleverPlan5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Items) UnmarshalJSON(data []byte) error {
+func (v *ItemList) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeSageleverPlan5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Items) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ItemList) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeSageleverPlan5(l, v)
 }
 func easyjsonF4688553DecodeSageleverPlan6(in *jlexer.Lexer, out *Item) {
@@ -751,7 +751,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeSageleverPlan7(in *jlexer.Lexer, out *Meta) {
+func easyjsonF4688553DecodeSageleverPlan7(in *jlexer.Lexer, out *Metadata) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -787,7 +787,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan7(out *jwriter.Writer, in Meta) {
+func easyjsonF4688553EncodeSageleverPlan7(out *jwriter.Writer, in Metadata) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -809,7 +809,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeSageleverPlan8(in *jlexer.Lexer, out *Call) {
+func easyjsonF4688553DecodeSageleverPlan8(in *jlexer.Lexer, out *ChangeRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -834,11 +834,11 @@
 				in.Skip()
 			} else {
 				in.Delim('{')
-				out.Remove = make(map[string][]Ref)
+				out.Remove = make(map[string][]ItemRef)
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v13 []Ref
+					var v13 []ItemRef
 					if in.IsNull() {
 						in.Skip()
 						v13 = nil
@@ -846,15 +846,15 @@
 						in.Delim('[')
 						if v13 == nil {
 							if !in.IsDelim(']') {
-								v13 = make([]Ref, 0, 2)
+								v13 = make([]ItemRef, 0, 2)
 							} else {
-								v13 = []Ref{}
+								v13 = []ItemRef{}
 							}
 						} else {
 							v13 = (v13)[:0]
 						}
 						for !in.IsDelim(']') {
-							var v14 Ref
+							var v14 ItemRef
 							easyjsonF4688553DecodeSageleverPlan9(in, &v14)
 							v13 = append(v13, v14)
 							in.WantComma()
@@ -876,7 +876,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan8(out *jwriter.Writer, in Call) {
+func easyjsonF4688553EncodeSageleverPlan8(out *jwriter.Writer, in ChangeRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -921,29 +921,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Call) MarshalJSON() ([]byte, error) {
+func (v ChangeRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeSageleverPlan8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Call) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ChangeRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeSageleverPlan8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Call) UnmarshalJSON(data []byte) error {
+func (v *ChangeRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeSageleverPlan8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Call) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ChangeRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeSageleverPlan8(l, v)
 }
-func easyjsonF4688553DecodeSageleverPlan9(in *jlexer.Lexer, out *Ref) {
+func easyjsonF4688553DecodeSageleverPlan9(in *jlexer.Lexer, out *ItemRef) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -979,7 +979,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeSageleverPlan9(out *jwriter.Writer, in Ref) {
+func easyjsonF4688553EncodeSageleverPlan9(out *jwriter.Writer, in ItemRef) {
 	out.RawByte('{')
 	first := true
 	_ = first
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -12,359 +12,359 @@
 	"sagelever/agent"
 )
 
-// LinkID names one connection; ids are never used again.
-type LinkID uint64
+// ConnID names one connection; ids are never used again.
+type ConnID uint64
 
-// state of one connection.
-type state int
+// connState of one connection.
+type connState int
 
 const (
-	dialing state = iota
-	up
-	asked  // a sign of life has been asked for
-	ending // it carries no new send, and is closed when those that it has are over
-	gone
+	dialing connState = iota
+	ready
+	pinged   // a sign of life has been asked for
+	draining // it carries no new send, and is closed when those that it has are over
+	closed
 )
 
-// input is what befalls a connection.
-type input int
+// connEvent is what befalls a connection.
+type connEvent int
 
 const (
-	opened  input = iota
-	failed        // it did not come up, or broke
-	heard         // anything came
-	quiet         // it owes an answer and nothing has come for long
-	mute          // nor has a sign of life
-	retired       // its appliance drains or has left, or room is wanted
-	emptied       // its last send is over
-	rested        // it has carried nothing for long
+	opened          connEvent = iota
+	failed                    // it did not come up, or broke
+	received                  // anything came
+	responseOverdue           // it owes an answer and nothing has come for long
+	pingOverdue               // nor has a sign of life
+	retired                   // its appliance drains or has left, or room is wanted
+	drained                   // its last send is over
+	idleExpired               // it has carried nothing for long
 )
 
-type row struct {
-	state  state
-	input  input
-	next   state
-	effect func(*Pool, *link)
+type transition struct {
+	state  connState
+	event  connEvent
+	next   connState
+	action func(*Pool, *conn)
 }
 
-var links []row
+var transitions []transition
 
 func init() {
-	links = []row{
-		{dialing, opened, up, (*Pool).wake},
-		{dialing, failed, gone, (*Pool).refused},
-		{dialing, retired, gone, (*Pool).drop},
-		{up, quiet, asked, (*Pool).ask},
-		{up, failed, gone, (*Pool).broke},
-		{up, retired, ending, (*Pool).endIfEmpty},
-		{up, rested, gone, (*Pool).drop},
-		{asked, heard, up, nil},
-		{asked, mute, gone, (*Pool).drop}, // it took the upgrade and is silent: what it has may have run
-		{asked, failed, gone, (*Pool).broke},
-		{asked, retired, ending, (*Pool).endIfEmpty},
-		{ending, emptied, gone, (*Pool).drop},
-		{ending, mute, gone, (*Pool).drop},
-		{ending, failed, gone, (*Pool).drop},
+	transitions = []transition{
+		{dialing, opened, ready, (*Pool).connected},
+		{dialing, failed, closed, (*Pool).dialFailed},
+		{dialing, retired, closed, (*Pool).closeConn},
+		{ready, responseOverdue, pinged, (*Pool).ping},
+		{ready, failed, closed, (*Pool).connLost},
+		{ready, retired, draining, (*Pool).closeIfDrained},
+		{ready, idleExpired, closed, (*Pool).closeConn},
+		{pinged, received, ready, nil},
+		{pinged, pingOverdue, closed, (*Pool).closeConn}, // it took the upgrade and is silent: what it has may have run
+		{pinged, failed, closed, (*Pool).connLost},
+		{pinged, retired, draining, (*Pool).closeIfDrained},
+		{draining, drained, closed, (*Pool).closeConn},
+		{draining, pingOverdue, closed, (*Pool).closeConn},
+		{draining, failed, closed, (*Pool).closeConn},
 	}
 }
 
-// Act is what the pool wants done. Exactly one of Dial, Ping and Close is meant, by Kind.
-type Act struct {
-	Kind      Kind
-	Link      LinkID
-	Appliance agent.ApplianceID
+// Action is what the pool wants done. Exactly one of Dial, Ping and Close is meant, by Kind.
+type Action struct {
+	Kind    ActionKind
+	Conn    ConnID
+	Backend agent.BackendID
 }
 
-// Kind of an act.
-type Kind int
+// ActionKind of an act.
+type ActionKind int
 
 const (
-	Dial  Kind = iota // open this connection, then tell Opened or Failed
-	Ping              // ask for a sign of life; whatever comes is told by Heard
-	Close             // close it; what it still carries has ended without an answer
+	Dial  ActionKind = iota // open this connection, then tell Opened or Failed
+	Ping                    // ask for a sign of life; whatever comes is told by Heard
+	Close                   // close it; what it still carries has ended without an answer
 )
 
-func (k Kind) String() string { return [...]string{"dial", "ping", "close"}[k] }
-
-// Bounds are what the pool keeps to.
-type Bounds struct {
-	Each     int           // connections to one appliance at most
-	All      int           // connections at most
-	Full     int           // sends on one connection from which another is opened
-	Quiet    time.Duration // without a word, while it owes one, after which a sign of life is asked for
-	Mute     time.Duration // and after that, it is given up
-	Rest     time.Duration // without a send after which a connection is closed
-	Backoff  time.Duration // after a first failure to connect; doubles up to 16 times that
-	DialSlow time.Duration // a dial takes no longer; it is then told as failed by whoever dials
+func (k ActionKind) String() string { return [...]string{"dial", "ping", "close"}[k] }
+
+// Config are what the pool keeps to.
+type Config struct {
+	MaxPerBackend   int           // connections to one appliance at most
+	MaxTotal        int           // connections at most
+	BusyThreshold   int           // sends on one connection from which another is opened
+	ResponseTimeout time.Duration // without a word, while it owes one, after which a sign of life is asked for
+	PingTimeout     time.Duration // and after that, it is given up
+	IdleTimeout     time.Duration // without a send after which a connection is closed
+	Backoff         time.Duration // after a first failure to connect; doubles up to 16 times that
+	DialTimeout     time.Duration // a dial takes no longer; it is then told as failed by whoever dials
 }
 
-// Usual are bounds for appliances of one site: two connections, so that one that breaks leaves another; 64 sends, as many
+// DefaultConfig are bounds for appliances of one site: two connections, so that one that breaks leaves another; 64 sends, as many
 // as an appliance of some cores holds in work and queue; half a second is several times what answers take.
-var Usual = Bounds{Each: 2, All: 1 << 16, Full: 64, Quiet: 500 * time.Millisecond, Mute: 500 * time.Millisecond, Rest: 30 * time.Second,
-	Backoff: 100 * time.Millisecond, DialSlow: 2 * time.Second}
-
-type link struct {
-	id    LinkID
-	of    *site
-	state state
-	out   int
-	word  time.Duration // when anything last came, or the first send was written
-	since time.Duration // when it became asked, or empty
+var DefaultConfig = Config{MaxPerBackend: 2, MaxTotal: 1 << 16, BusyThreshold: 64, ResponseTimeout: 500 * time.Millisecond, PingTimeout: 500 * time.Millisecond, IdleTimeout: 30 * time.Second,
+	Backoff: 100 * time.Millisecond, DialTimeout: 2 * time.Second}
+
+type conn struct {
+	id           ConnID
+	backend      *backend
+	state        connState
+	inFlight     int
+	lastActivity time.Duration // when anything last came, or the first send was written
+	stateSince   time.Duration // when it became asked, or empty
 }
 
-// site is one appliance's side of the pool.
-type site struct {
-	id       agent.ApplianceID
-	listed   bool // may get new sends
-	links    []*link
-	fails    int // in a row
-	notUntil time.Duration
+// backend is one appliance's side of the pool.
+type backend struct {
+	id           agent.BackendID
+	available    bool // may get new sends
+	conns        []*conn
+	dialFailures int // in a row
+	nextDialAt   time.Duration
 }
 
 // Pool holds what is known. It is not safe for use by several goroutines.
 type Pool struct {
-	bounds Bounds
-	now    time.Duration
-	chance *rand.Rand
-	sites  map[agent.ApplianceID]*site
-	byID   map[LinkID]*link
-	order  []*link // by id: the same inputs lead to the same acts
-	last   LinkID
-	acts   []Act
-	Counts Counts
+	config   Config
+	now      time.Duration
+	random   *rand.Rand
+	backends map[agent.BackendID]*backend
+	conns    map[ConnID]*conn
+	ordered  []*conn // by id: the same inputs lead to the same acts
+	lastID   ConnID
+	actions  []Action
+	Stats    Stats
 }
 
-// Counts are what has happened since the start, and how many connections there are now.
-type Counts struct{ Dialled, Refused, Broken, Mute, Rested, Crowded, Now int }
+// Stats are what has happened since the start, and how many connections there are now.
+type Stats struct{ Dialed, DialFailures, Broken, PingTimeouts, IdleClosed, LimitReached, Open int }
 
 // New makes an empty pool; chance spreads what agents would else do all at once.
-func New(bounds Bounds, seed uint64) *Pool {
-	return &Pool{bounds: bounds, chance: rand.New(rand.NewPCG(seed, 1)), sites: map[agent.ApplianceID]*site{}, byID: map[LinkID]*link{}}
+func New(config Config, seed uint64) *Pool {
+	return &Pool{config: config, random: rand.New(rand.NewPCG(seed, 1)), backends: map[agent.BackendID]*backend{}, conns: map[ConnID]*conn{}}
 }
 
-// step puts an input to a link.
-func (p *Pool) step(l *link, in input) {
-	for _, r := range links {
-		if r.state == l.state && r.input == in {
-			if l.state = r.next; r.effect != nil {
-				r.effect(p, l)
+// apply puts an input to a link.
+func (p *Pool) apply(c *conn, event connEvent) {
+	for _, r := range transitions {
+		if r.state == c.state && r.event == event {
+			if c.state = r.next; r.action != nil {
+				r.action(p, c)
 			}
 			return
 		}
 	}
 }
 
-// take hands out what is to be done.
-func (p *Pool) take() []Act {
-	acts := p.acts
-	p.acts = nil
-	return acts
+// takeActions hands out what is to be done.
+func (p *Pool) takeActions() []Action {
+	actions := p.actions
+	p.actions = nil
+	return actions
 }
 
-// List says that an appliance may get sends. One that was retired, or is another machine under an old id, starts anew.
-func (p *Pool) List(now time.Duration, id agent.ApplianceID) []Act {
+// AddBackend says that an appliance may get sends. One that was retired, or is another machine under an old id, starts anew.
+func (p *Pool) AddBackend(now time.Duration, id agent.BackendID) []Action {
 	p.now = now
-	if s := p.sites[id]; s == nil || !s.listed {
-		p.sites[id] = &site{id: id, listed: true}
+	if target := p.backends[id]; target == nil || !target.available {
+		p.backends[id] = &backend{id: id, available: true}
 	}
-	return p.take()
+	return p.takeActions()
 }
 
-// Retire says that an appliance gets no new send: it drains, has left, or another machine has its id. Connections on
+// DrainBackend says that an appliance gets no new send: it drains, has left, or another machine has its id. Connections on
 // which nothing is out are closed at once, the others when they are empty or silent.
-func (p *Pool) Retire(now time.Duration, id agent.ApplianceID) []Act {
+func (p *Pool) DrainBackend(now time.Duration, id agent.BackendID) []Action {
 	p.now = now
-	if s := p.sites[id]; s != nil {
-		s.listed = false
-		delete(p.sites, id)
-		for _, l := range slices.Clone(s.links) {
-			p.step(l, retired)
+	if target := p.backends[id]; target != nil {
+		target.available = false
+		delete(p.backends, id)
+		for _, c := range slices.Clone(target.conns) {
+			p.apply(c, retired)
 		}
 	}
-	return p.take()
+	return p.takeActions()
 }
 
-// Answer tells what becomes of a send that wants a connection.
-type Answer int
+// Decision tells what becomes of a send that wants a connection.
+type Decision int
 
 const (
-	Go     Answer = iota // on this link, now
-	Wait                 // a connection is coming up: ask again when something has changed
-	Refuse               // there is no way now: it is told at once
+	Use    Decision = iota // on this link, now
+	Wait                   // a connection is coming up: ask again when something has changed
+	Reject                 // there is no way now: it is told at once
 )
 
-// Want asks for a connection to an appliance. With Go the send counts as out on the link until Over.
-func (p *Pool) Want(now time.Duration, id agent.ApplianceID) (Answer, LinkID, []Act) {
+// Acquire asks for a connection to an appliance. With Go the send counts as out on the link until Over.
+func (p *Pool) Acquire(now time.Duration, id agent.BackendID) (Decision, ConnID, []Action) {
 	p.now = now
-	s := p.sites[id]
-	if s == nil {
-		return Refuse, 0, p.take()
+	target := p.backends[id]
+	if target == nil {
+		return Reject, 0, p.takeActions()
 	}
-	best, coming := p.best(s)
-	if (best == nil || best.out >= p.bounds.Full) && !coming {
-		p.open(s)
-		_, coming = p.best(s)
+	best, dialInProgress := p.leastLoaded(target)
+	if (best == nil || best.inFlight >= p.config.BusyThreshold) && !dialInProgress {
+		p.dial(target)
+		_, dialInProgress = p.leastLoaded(target)
 	}
 	switch {
 	case best != nil:
-		if best.out == 0 {
-			best.word = now
+		if best.inFlight == 0 {
+			best.lastActivity = now
 		}
-		best.out++
-		return Go, best.id, p.take()
-	case coming:
-		return Wait, 0, p.take()
+		best.inFlight++
+		return Use, best.id, p.takeActions()
+	case dialInProgress:
+		return Wait, 0, p.takeActions()
 	}
-	return Refuse, 0, p.take()
+	return Reject, 0, p.takeActions()
 }
 
-// best is the link with the fewest sends out, one that has just been asked for a sign of life only if there is no other.
-func (p *Pool) best(s *site) (best *link, coming bool) {
-	for _, l := range s.links {
+// leastLoaded is the link with the fewest sends out, one that has just been asked for a sign of life only if there is no other.
+func (p *Pool) leastLoaded(target *backend) (best *conn, dialInProgress bool) {
+	for _, c := range target.conns {
 		switch {
-		case l.state == dialing:
-			coming = true
-		case l.state != up && l.state != asked:
-		case best == nil, l.state == up && best.state == asked, l.state == best.state && l.out < best.out:
-			best = l
+		case c.state == dialing:
+			dialInProgress = true
+		case c.state != ready && c.state != pinged:
+		case best == nil, c.state == ready && best.state == pinged, c.state == best.state && c.inFlight < best.inFlight:
+			best = c
 		}
 	}
-	return best, coming
+	return best, dialInProgress
 }
 
-// open dials one more, if the bounds and the appliance's last refusals allow it. Room is made by what carries nothing.
-func (p *Pool) open(s *site) {
+// dial dials one more, if the bounds and the appliance's last refusals allow it. Room is made by what carries nothing.
+func (p *Pool) dial(target *backend) {
 	live := 0
-	for _, l := range s.links {
-		if l.state != ending {
+	for _, c := range target.conns {
+		if c.state != draining {
 			live++
 		}
 	}
-	if live >= p.bounds.Each || p.now < s.notUntil {
+	if live >= p.config.MaxPerBackend || p.now < target.nextDialAt {
 		return
 	}
-	if len(p.order) >= p.bounds.All && !p.makeRoom(s) {
-		p.Counts.Crowded++
+	if len(p.ordered) >= p.config.MaxTotal && !p.closeIdlest(target) {
+		p.Stats.LimitReached++
 		return
 	}
-	p.last++
-	l := &link{id: p.last, of: s, state: dialing, word: p.now, since: p.now}
-	s.links, p.byID[l.id], p.order = append(s.links, l), l, append(p.order, l)
-	p.Counts.Dialled++
-	p.acts = append(p.acts, Act{Dial, l.id, s.id})
+	p.lastID++
+	c := &conn{id: p.lastID, backend: target, state: dialing, lastActivity: p.now, stateSince: p.now}
+	target.conns, p.conns[c.id], p.ordered = append(target.conns, c), c, append(p.ordered, c)
+	p.Stats.Dialed++
+	p.actions = append(p.actions, Action{Dial, c.id, target.id})
 }
 
-// makeRoom closes the link that has carried nothing for longest, of another appliance.
-func (p *Pool) makeRoom(not *site) bool {
-	var longest *link
-	for _, l := range p.order {
-		if l.of != not && l.state == up && l.out == 0 && (longest == nil || l.since < longest.since) {
-			longest = l
+// closeIdlest closes the link that has carried nothing for longest, of another appliance.
+func (p *Pool) closeIdlest(except *backend) bool {
+	var idlest *conn
+	for _, c := range p.ordered {
+		if c.backend != except && c.state == ready && c.inFlight == 0 && (idlest == nil || c.stateSince < idlest.stateSince) {
+			idlest = c
 		}
 	}
-	if longest != nil {
-		p.step(longest, rested)
+	if idlest != nil {
+		p.apply(idlest, idleExpired)
 	}
-	return longest != nil
+	return idlest != nil
 }
 
 // Opened tells that a connection came up.
-func (p *Pool) Opened(now time.Duration, id LinkID) []Act { return p.tell(now, id, opened) }
+func (p *Pool) Opened(now time.Duration, id ConnID) []Action { return p.notify(now, id, opened) }
 
 // Failed tells that a connection did not come up, or broke.
-func (p *Pool) Failed(now time.Duration, id LinkID) []Act { return p.tell(now, id, failed) }
+func (p *Pool) Failed(now time.Duration, id ConnID) []Action { return p.notify(now, id, failed) }
 
-// Heard tells that anything came on a connection.
-func (p *Pool) Heard(now time.Duration, id LinkID) []Act {
-	if l := p.byID[id]; l != nil {
-		l.word = now
+// Received tells that anything came on a connection.
+func (p *Pool) Received(now time.Duration, id ConnID) []Action {
+	if c := p.conns[id]; c != nil {
+		c.lastActivity = now
 	}
-	return p.tell(now, id, heard)
+	return p.notify(now, id, received)
 }
 
-// Over tells that a send on a connection has ended.
-func (p *Pool) Over(now time.Duration, id LinkID) []Act {
-	l := p.byID[id]
-	if l == nil || l.out == 0 {
+// Release tells that a send on a connection has ended.
+func (p *Pool) Release(now time.Duration, id ConnID) []Action {
+	c := p.conns[id]
+	if c == nil || c.inFlight == 0 {
 		return nil
 	}
-	if l.out--; l.out == 0 {
-		l.since = now
-		return p.tell(now, id, emptied)
+	if c.inFlight--; c.inFlight == 0 {
+		c.stateSince = now
+		return p.notify(now, id, drained)
 	}
 	return nil
 }
 
-func (p *Pool) tell(now time.Duration, id LinkID, in input) []Act {
+func (p *Pool) notify(now time.Duration, id ConnID, event connEvent) []Action {
 	p.now = now
-	if l := p.byID[id]; l != nil {
-		p.step(l, in)
+	if c := p.conns[id]; c != nil {
+		p.apply(c, event)
 	}
-	return p.take()
+	return p.takeActions()
 }
 
 // Tick looks at the time; some ten times in the shortest bound.
-func (p *Pool) Tick(now time.Duration) []Act {
+func (p *Pool) Tick(now time.Duration) []Action {
 	p.now = now
-	for _, l := range slices.Clone(p.order) {
+	for _, c := range slices.Clone(p.ordered) {
 		switch {
-		case l.state == asked && now-max(l.since, l.word) >= p.bounds.Mute,
-			l.state == ending && now-l.word >= p.bounds.Quiet+p.bounds.Mute:
-			p.Counts.Mute++
-			p.step(l, mute)
-		case l.state == up && l.out > 0 && now-l.word >= p.bounds.Quiet:
-			p.step(l, quiet)
-		case l.state == up && l.out == 0 && now-l.since >= p.bounds.Rest:
-			p.Counts.Rested++
-			p.step(l, rested)
+		case c.state == pinged && now-max(c.stateSince, c.lastActivity) >= p.config.PingTimeout,
+			c.state == draining && now-c.lastActivity >= p.config.ResponseTimeout+p.config.PingTimeout:
+			p.Stats.PingTimeouts++
+			p.apply(c, pingOverdue)
+		case c.state == ready && c.inFlight > 0 && now-c.lastActivity >= p.config.ResponseTimeout:
+			p.apply(c, responseOverdue)
+		case c.state == ready && c.inFlight == 0 && now-c.stateSince >= p.config.IdleTimeout:
+			p.Stats.IdleClosed++
+			p.apply(c, idleExpired)
 		}
 	}
-	p.Counts.Now = len(p.order)
-	return p.take()
+	p.Stats.Open = len(p.ordered)
+	return p.takeActions()
 }
 
-// wake begins a link's time.
-func (p *Pool) wake(l *link) {
-	l.of.fails, l.of.notUntil = 0, 0
-	l.word, l.since = p.now, p.now
+// connected begins a link's time.
+func (p *Pool) connected(c *conn) {
+	c.backend.dialFailures, c.backend.nextDialAt = 0, 0
+	c.lastActivity, c.stateSince = p.now, p.now
 }
 
-func (p *Pool) ask(l *link) {
-	l.since = p.now
-	p.acts = append(p.acts, Act{Ping, l.id, l.of.id})
+func (p *Pool) ping(c *conn) {
+	c.stateSince = p.now
+	p.actions = append(p.actions, Action{Ping, c.id, c.backend.id})
 }
 
-// refused spaces the next tries: a machine that starts must not be met by every agent's dial at once.
-func (p *Pool) refused(l *link) {
-	p.Counts.Refused++
-	s := l.of
-	wait := p.bounds.Backoff << min(s.fails, 4)
-	s.notUntil = p.now + wait/2 + time.Duration(p.chance.Int64N(int64(wait)))
-	s.fails++
-	p.forget(l)
+// dialFailed spaces the next tries: a machine that starts must not be met by every agent's dial at once.
+func (p *Pool) dialFailed(c *conn) {
+	p.Stats.DialFailures++
+	target := c.backend
+	wait := p.config.Backoff << min(target.dialFailures, 4)
+	target.nextDialAt = p.now + wait/2 + time.Duration(p.random.Int64N(int64(wait)))
+	target.dialFailures++
+	p.remove(c)
 }
 
-// broke lets the next dial go at once: a connection that worked says nothing against the machine.
-func (p *Pool) broke(l *link) {
-	p.Counts.Broken++
-	p.forget(l)
+// connLost lets the next dial go at once: a connection that worked says nothing against the machine.
+func (p *Pool) connLost(c *conn) {
+	p.Stats.Broken++
+	p.remove(c)
 }
 
-func (p *Pool) endIfEmpty(l *link) {
-	l.word = p.now // what it carries has a whole span for a word from now on
-	if l.out == 0 {
-		p.step(l, emptied)
+func (p *Pool) closeIfDrained(c *conn) {
+	c.lastActivity = p.now // what it carries has a whole span for a word from now on
+	if c.inFlight == 0 {
+		p.apply(c, drained)
 	}
 }
 
-func (p *Pool) drop(l *link) {
-	p.acts = append(p.acts, Act{Close, l.id, l.of.id})
-	p.forget(l)
+func (p *Pool) closeConn(c *conn) {
+	p.actions = append(p.actions, Action{Close, c.id, c.backend.id})
+	p.remove(c)
 }
 
-func (p *Pool) forget(l *link) {
-	l.state = gone
-	delete(p.byID, l.id)
-	l.of.links = slices.DeleteFunc(l.of.links, func(x *link) bool { return x == l })
-	p.order = slices.DeleteFunc(p.order, func(x *link) bool { return x == l })
+func (p *Pool) remove(c *conn) {
+	c.state = closed
+	delete(p.conns, c.id)
+	c.backend.conns = slices.DeleteFunc(c.backend.conns, func(x *conn) bool { return x == c })
+	p.ordered = slices.DeleteFunc(p.ordered, func(x *conn) bool { return x == c })
 }
--- a/relay/handler.go
+++ b/relay/handler.go
@@ -13,166 +13,166 @@
 )
 
 const (
-	largest  = 1 << 20 // bytes of a body that are kept, so that a request can be sent again; longer ones are streamed
-	leastGap = 100 * time.Millisecond
+	maxBufferedBody = 1 << 20 // bytes of a body that are kept, so that a request can be sent again; longer ones are streamed
+	minRetryAfter   = 100 * time.Millisecond
 )
 
 // ServeHTTP takes a client's request.
-func (f *front) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	r := f.r
+func (l *listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p := l.proxy
 	now := time.Now()
-	r.counts.taken.Add(1)
-	h := w.Header()
-	h["Date"] = nil
-	if r.leaving.Load() {
-		h.Set("Connection", "close")
+	p.counters.received.Add(1)
+	header := w.Header()
+	header["Date"] = nil
+	if p.draining.Load() {
+		header.Set("Connection", "close")
 	}
-	id := q.Header.Get(tryID)
+	id := r.Header.Get(headerTryID)
 	if id != "" {
-		h.Set(tryID, id)
+		header.Set(headerTryID, id)
 	}
-	t := r.table.Load()
-	if t == nil {
-		r.refuse(w, "no configuration yet", leastGap)
+	table := p.routingTable.Load()
+	if table == nil {
+		p.replyUnavailable(w, "no configuration yet", minRetryAfter)
 		return
 	}
 	if id == "" {
-		r.deny(w, http.StatusBadRequest, "no "+tryID)
+		p.replyRejected(w, http.StatusBadRequest, "no "+headerTryID)
 		return
 	}
-	way := t.Find(q.Host, q.URL.Path)
-	if way == nil {
-		r.noRoute(w)
+	route := table.FindRoute(r.Host, r.URL.Path)
+	if route == nil {
+		p.replyNoRoute(w)
 		return
 	}
-	req := &sway.Request{Way: way, Arrived: now, Deadline: now.Add(allowed(q, way)), Granted: make(chan *sway.App, 1)}
-	body, rest, ok := r.readBody(w, q, t.Limits)
+	req := &sway.Request{Route: route, ArrivedAt: now, Deadline: now.Add(requestTimeout(r, route)), Granted: make(chan *sway.Backend, 1)}
+	body, remainder, ok := p.readRequestBody(w, r, table.Limits)
 	if !ok {
 		return
 	}
-	defer r.held.Add(-int64(len(body)))
-	r.mu.Lock()
-	r.sway.Take(req, now)
-	r.mu.Unlock()
-	r.carry(w, q, req, body, rest)
+	defer p.bufferedBytes.Add(-int64(len(body)))
+	p.mu.Lock()
+	p.balancer.StartRequest(req, now)
+	p.mu.Unlock()
+	p.forward(w, r, req, body, remainder)
 }
 
-// noRoute answers a request that no route fits: only who was told the whole configuration knows that there is none.
-func (r *Relay) noRoute(w http.ResponseWriter) {
-	if !r.trusted.Load() {
-		r.refuse(w, "the configuration may not be whole yet", leastGap)
+// replyNoRoute answers a request that no route fits: only who was told the whole configuration knows that there is none.
+func (p *Proxy) replyNoRoute(w http.ResponseWriter) {
+	if !p.synced.Load() {
+		p.replyUnavailable(w, "the configuration may not be whole yet", minRetryAfter)
 		return
 	}
-	r.deny(w, http.StatusNotFound, "no route")
+	p.replyRejected(w, http.StatusNotFound, "no route")
 }
 
-// allowed is how long a request may take: as long as its route says, and no longer than its client waits.
-func allowed(q *http.Request, way *plan.Way) time.Duration {
-	ms, err := strconv.ParseInt(q.Header.Get(timeLeft), 10, 64)
-	if err == nil && ms >= 0 && ms < way.GiveUp.Milliseconds() {
+// requestTimeout is how long a request may take: as long as its route says, and no longer than its client waits.
+func requestTimeout(r *http.Request, route *plan.Route) time.Duration {
+	ms, err := strconv.ParseInt(r.Header.Get(headerTimeLeft), 10, 64)
+	if err == nil && ms >= 0 && ms < route.Timeout.Milliseconds() {
 		return time.Duration(ms) * time.Millisecond
 	}
-	return way.GiveUp
+	return route.Timeout
 }
 
-// carry has a request served: it asks for an appliance, sends, and again while that is allowed.
-func (r *Relay) carry(w http.ResponseWriter, q *http.Request, req *sway.Request, body []byte, rest io.Reader) {
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(q.Context()), req.Deadline)
+// forward has a request served: it asks for an appliance, sends, and again while that is allowed.
+func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, req *sway.Request, body []byte, remainder io.Reader) {
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), req.Deadline)
 	defer cancel()
-	gone := context.AfterFunc(q.Context(), func() {
-		if req.Way.Harmless { // nobody waits for it; what may have effects is let finish once it is written
+	stopWatching := context.AfterFunc(r.Context(), func() {
+		if req.Route.Idempotent { // nobody waits for it; what may have effects is let finish once it is written
 			cancel()
 		}
 	})
-	defer gone()
-	hold := r.patienceOf(req)
+	defer stopWatching()
+	queueUntil := p.queueDeadline(req)
 	for {
-		app, why := r.place(ctx, q, req, hold)
-		if app == nil {
-			r.reply(w, req, &sent{rule: verdict.Decide(verdict.Queued, why)})
+		backend, event := p.acquireBackend(ctx, r, req, queueUntil)
+		if backend == nil {
+			p.respond(w, req, &sendResult{rule: verdict.Decide(verdict.Queued, event)})
 			return
 		}
-		out := r.send(ctx, q, req, app, body, rest)
-		if rest == nil && r.again(req, app, out) {
-			out.close()
+		result := p.send(ctx, r, req, backend, body, remainder)
+		if remainder == nil && p.shouldRetry(req, backend, result) {
+			result.close()
 			continue
 		}
-		out.abandon = func() func() bool { return context.AfterFunc(q.Context(), cancel) }
-		r.reply(w, req, out)
+		result.abortOnDisconnect = func() func() bool { return context.AfterFunc(r.Context(), cancel) }
+		p.respond(w, req, result)
 		return
 	}
 }
 
-// place finds an appliance for a request, or gives the event that ended its wait for one.
-func (r *Relay) place(ctx context.Context, q *http.Request, req *sway.Request, till time.Time) (*sway.App, verdict.Event) {
+// acquireBackend finds an appliance for a request, or gives the event that ended its wait for one.
+func (p *Proxy) acquireBackend(ctx context.Context, r *http.Request, req *sway.Request, queueUntil time.Time) (*sway.Backend, verdict.Event) {
 	now := time.Now()
-	r.mu.Lock()
-	app := r.sway.Pick(req, now)
-	if app == nil {
-		r.sway.Wait(req)
-	}
-	asks := r.sway.Asks()
-	r.mu.Unlock()
-	r.put(asks)
-	if app != nil {
-		return app, 0
-	}
-	return r.await(ctx, q, req, till)
+	p.mu.Lock()
+	backend := p.balancer.Pick(req, now)
+	if backend == nil {
+		p.balancer.Enqueue(req)
+	}
+	checks := p.balancer.TakeHealthChecks()
+	p.mu.Unlock()
+	p.startHealthChecks(checks)
+	if backend != nil {
+		return backend, 0
+	}
+	return p.waitForBackend(ctx, r, req, queueUntil)
 }
 
-// again notes what came of a send and tells whether the request is sent again.
-func (r *Relay) again(req *sway.Request, app *sway.App, out *sent) bool {
+// shouldRetry notes what came of a send and tells whether the request is sent again.
+func (p *Proxy) shouldRetry(req *sway.Request, backend *sway.Backend, result *sendResult) bool {
 	now := time.Now()
-	r.mu.Lock()
-	r.sway.Ended(req, app, out.Outcome, now)
-	again := out.rule.Again.Allows(req.Way.Harmless) && r.sway.Again(req, out.Outcome, now)
-	r.mu.Unlock()
+	p.mu.Lock()
+	p.balancer.ReportOutcome(req, backend, result.Outcome, now)
+	retryAllowed := result.rule.Retry.Allows(req.Route.Idempotent) && p.balancer.MayRetry(req, result.Outcome, now)
+	p.mu.Unlock()
 	switch {
-	case again && out.Withheld:
-		r.counts.withheld.Add(1)
-	case again:
-		r.counts.again.Add(1)
+	case retryAllowed && result.Withheld:
+		p.counters.withheld.Add(1)
+	case retryAllowed:
+		p.counters.retries.Add(1)
 	}
-	return again
+	return retryAllowed
 }
 
-// patienceOf is how long a request may wait for a place: a quarter of its target, as one refused within it may be served
+// queueDeadline is how long a request may wait for a place: a quarter of its target, as one refused within it may be served
 // in time from its next try.
-func (r *Relay) patienceOf(req *sway.Request) time.Time {
-	target := req.Way.Target
+func (p *Proxy) queueDeadline(req *sway.Request) time.Time {
+	target := req.Route.LatencyTarget
 	if target <= 0 {
-		target = req.Way.GiveUp
+		target = req.Route.Timeout
 	}
-	at := req.Arrived.Add(target * 9 / 40)
-	if at.After(req.Deadline) {
+	deadline := req.ArrivedAt.Add(target * 9 / 40)
+	if deadline.After(req.Deadline) {
 		return req.Deadline
 	}
-	return at
+	return deadline
 }
 
-// await waits in line for a place, or gives the event that ended the wait.
-func (r *Relay) await(ctx context.Context, q *http.Request, req *sway.Request, till time.Time) (*sway.App, verdict.Event) {
-	r.counts.waited.Add(1)
+// waitForBackend waits in line for a place, or gives the event that ended the wait.
+func (p *Proxy) waitForBackend(ctx context.Context, r *http.Request, req *sway.Request, queueUntil time.Time) (*sway.Backend, verdict.Event) {
+	p.counters.queued.Add(1)
 	select {
-	case r.waits <- struct{}{}:
+	case p.requestQueued <- struct{}{}:
 	default:
 	}
-	t := time.NewTimer(time.Until(till))
-	defer t.Stop()
-	why := verdict.Silence
+	timer := time.NewTimer(time.Until(queueUntil))
+	defer timer.Stop()
+	event := verdict.Timeout
 	select {
-	case a := <-req.Granted:
-		return a, why
-	case <-t.C:
+	case backend := <-req.Granted:
+		return backend, event
+	case <-timer.C:
 	case <-ctx.Done():
-	case <-q.Context().Done(): // nothing is begun for a client that is gone
-		why = verdict.CallerGone
+	case <-r.Context().Done(): // nothing is begun for a client that is gone
+		event = verdict.ClientDisconnected
 	}
-	r.mu.Lock()
-	left := r.sway.Leave(req)
-	r.mu.Unlock()
-	if left {
-		return nil, why
+	p.mu.Lock()
+	removed := p.balancer.Dequeue(req)
+	p.mu.Unlock()
+	if removed {
+		return nil, event
 	}
-	return <-req.Granted, why
+	return <-req.Granted, event
 }
--- a/relay/headers.go
+++ b/relay/headers.go
@@ -7,25 +7,25 @@
 
 // Headers of the protocol.
 const (
-	tryID    = "X-Sagelever-Try-Id"
-	timeLeft = "X-Sagelever-Time-Left-Ms"
-	meant    = "X-Sagelever-Meant-Server"
-	stamp    = "X-Sagelever-Server-Seal"
-	notRun   = "X-Sagelever-Not-Run"
-	serverID = "X-Sagelever-Server-Id"
-	warmUp   = "X-Sagelever-Warm-Up-Ms"
+	headerTryID        = "X-Sagelever-Try-Id"
+	headerTimeLeft     = "X-Sagelever-Time-Left-Ms"
+	headerTargetServer = "X-Sagelever-Meant-Server"
+	headerServerSeal   = "X-Sagelever-Server-Seal"
+	headerNotExecuted  = "X-Sagelever-Not-Run"
+	headerServerID     = "X-Sagelever-Server-Id"
+	headerWarmUp       = "X-Sagelever-Warm-Up-Ms"
 )
 
-// hopByHop are the headers that concern only one connection.
-var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+// hopByHopHeaders are the headers that concern only one connection.
+var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
-// drop removes the headers that a Connection header names.
-func drop(from, named http.Header) {
-	for _, line := range named["Connection"] {
-		for _, k := range strings.Split(line, ",") {
-			if k = http.CanonicalHeaderKey(strings.TrimSpace(k)); k != "" && k != "Close" && k != "Content-Length" {
-				delete(from, k)
+// removeConnectionHeaders removes the headers that a Connection header names.
+func removeConnectionHeaders(header, source http.Header) {
+	for _, line := range source["Connection"] {
+		for _, name := range strings.Split(line, ",") {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != "" && name != "Close" && name != "Content-Length" {
+				delete(header, name)
 			}
 		}
 	}
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -17,202 +17,202 @@
 	"sagelever/steward"
 )
 
-// call is this relay's word to the core.
-func (n *news) call(addr string, wait time.Duration) *replica.Pull {
+// newPullRequest is this relay's word to the core.
+func (s *subscription) newPullRequest(addr string, wait time.Duration) *replica.PullRequest {
 	front := ""
-	if n.r.ready() {
-		front = n.r.settings.Listens["front"]
+	if s.proxy.ready() {
+		front = s.proxy.settings.ListenAddresses["front"]
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if front != n.front {
-		n.front = front
-		n.changed = max(n.changed+1, uint64(time.Now().UnixMilli()))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if front != s.advertisedAddr {
+		s.advertisedAddr = front
+		s.advertVersion = max(s.advertVersion+1, uint64(time.Now().UnixMilli()))
 	}
-	p := &replica.Pull{From: replica.Member{Node: n.r.settings.Node, Zone: n.r.settings.Zone}, Role: replica.Edge,
-		Wire: replica.Wire, WaitMs: wait.Milliseconds(), Front: n.front, Life: n.changed}
-	if time.Since(n.reached) < longAway {
-		p.Come = maps.Clone(n.come)
+	request := &replica.PullRequest{From: replica.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}, Role: replica.RoleProxy,
+		ProtocolVersion: replica.ProtocolVersion, WaitMs: wait.Milliseconds(), ListenerAddr: s.advertisedAddr, Incarnation: s.advertVersion}
+	if time.Since(s.lastUpdate) < fullSyncAfter {
+		request.Progress = maps.Clone(s.progress)
 	}
-	if addr == n.now {
-		p.Count = n.counted
+	if addr == s.sourceAddr {
+		request.SurveyID = s.lastSurvey
 	}
-	if source := n.at[addr]; source != "" {
-		p.Vector = map[string]uint64{source: n.vector[source]}
+	if source := s.legacySources[addr]; source != "" {
+		request.LegacyVector = map[string]uint64{source: s.legacyProgress[source]}
 	}
-	return p
+	return request
 }
 
-// answerTime is how long a member may take for its answer, besides what it waits for news.
-const answerTime = time.Second
+// responseTimeout is how long a member may take for its answer, besides what it waits for news.
+const responseTimeout = time.Second
 
 var (
-	errGivenBack = errors.New("the lease is given back")
-	errLate      = errors.New("the answer was given too long ago")
+	errLeaseReleased = errors.New("the lease is given back")
+	errStaleResponse = errors.New("the answer was given too long ago")
 )
 
-func (n *news) pull(ctx context.Context, addr string, wait time.Duration) (*replica.News, error) {
-	n.mu.Lock()
-	ended := n.ended
-	n.mu.Unlock()
-	if ended {
-		return nil, errGivenBack
-	}
-	p := n.call(addr, wait)
-	body, err := easyjson.Marshal(p)
+func (s *subscription) pull(ctx context.Context, addr string, wait time.Duration) (*replica.PullResponse, error) {
+	s.mu.Lock()
+	released := s.leaseReleased
+	s.mu.Unlock()
+	if released {
+		return nil, errLeaseReleased
+	}
+	request := s.newPullRequest(addr, wait)
+	body, err := easyjson.Marshal(request)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+answerTime)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
-	got, asked := &replica.News{}, time.Now()
-	if err := steward.Post(ctx, n.client, addr, replica.PullPath, body, got); err != nil {
+	response, askedAt := &replica.PullResponse{}, time.Now()
+	if err := steward.Post(ctx, s.client, addr, replica.PullPath, body, response); err != nil {
 		return nil, err
 	}
-	if err := n.take(addr, p, got, asked, time.Now()); err != nil {
+	if err := s.apply(addr, request, response, askedAt, time.Now()); err != nil {
 		return nil, err
 	}
-	return got, nil
+	return response, nil
 }
 
-// take takes up news: the configuration as a table swapped whole, the appliances, and what others count of releases. News
+// apply takes up news: the configuration as a table swapped whole, the appliances, and what others count of releases. News
 // that has lain here while the process stood still is not taken: when it was told can't be said any more, and what has been
 // forgotten since would stay.
-func (n *news) take(addr string, asked *replica.Pull, got *replica.News, at, now time.Time) error {
-	if now.Sub(at) > time.Duration(asked.WaitMs)*time.Millisecond+answerTime {
-		return errLate
+func (s *subscription) apply(addr string, request *replica.PullRequest, response *replica.PullResponse, askedAt, now time.Time) error {
+	if now.Sub(askedAt) > time.Duration(request.WaitMs)*time.Millisecond+responseTimeout {
+		return errStaleResponse
 	}
-	anew, table := n.learn(addr, asked, got, at)
-	r := n.r
-	r.mu.Lock()
-	r.sway.Count(got.Agents, got.Here, now)
-	if got.Sound {
-		r.sway.Heard(at)
+	fullSync, table := s.applyConfiguration(addr, request, response, askedAt)
+	p := s.proxy
+	p.mu.Lock()
+	p.balancer.SetProxyCounts(response.Proxies, response.ZoneProxies, now)
+	if response.HasQuorum {
+		p.balancer.RenewLease(askedAt)
 	}
 	if table != nil {
-		r.sway.Configure(table, now)
-		r.table.Store(table)
+		p.balancer.Configure(table, now)
+		p.routingTable.Store(table)
 	}
-	all := n.hear(got, now)
-	if anew && got.Sound {
-		r.sway.Only(all, now)
+	backends := s.applyBackends(response, now)
+	if fullSync && response.HasQuorum {
+		p.balancer.RetainBackends(backends, now)
 	}
-	if len(got.Items) > 0 {
-		r.sway.ServeAll(now)
+	if len(response.Items) > 0 {
+		p.balancer.DispatchAll(now)
 	}
-	aheads := r.sway.Aheads()
-	r.mu.Unlock()
-	r.links.ahead(aheads)
-	if table != nil && table.Limits != (plan.Bound{}) {
-		r.front.serve(table.Limits)
+	hints := p.balancer.TakePreconnects()
+	p.mu.Unlock()
+	p.connPool.preconnect(hints)
+	if table != nil && table.Limits != (plan.RequestLimits{}) {
+		p.listener.applyLimits(table.Limits)
 	}
-	if got.Sound && !r.trusted.Load() {
-		r.trusted.Store(true)
-		r.log.Info("the configuration is whole", zap.Int("items", r.table.Load().Items), zap.Int64("sinceStartMs", time.Since(r.begun).Milliseconds()))
+	if response.HasQuorum && !p.synced.Load() {
+		p.synced.Store(true)
+		p.log.Info("the configuration is whole", zap.Int("items", p.routingTable.Load().ItemCount), zap.Int64("sinceStartMs", time.Since(p.startedAt).Milliseconds()))
 	}
 	return nil
 }
 
-// learn takes up what concerns members and the configuration; table is nil where the latter has not changed.
-func (n *news) learn(addr string, asked *replica.Pull, got *replica.News, at time.Time) (anew bool, table *plan.Table) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	anew = n.reach(addr, asked, got, at)
-	for _, m := range got.Members {
-		n.members[m.Addr] = m
-	}
-	n.changed = max(n.changed, got.Life+1)
+// applyConfiguration takes up what concerns members and the configuration; table is nil where the latter has not changed.
+func (s *subscription) applyConfiguration(addr string, request *replica.PullRequest, response *replica.PullResponse, askedAt time.Time) (fullSync bool, table *plan.Table) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fullSync = s.recordProgress(addr, request, response, askedAt)
+	for _, controller := range response.Members {
+		s.controllers[controller.Addr] = controller
+	}
+	s.advertVersion = max(s.advertVersion, response.KnownIncarnation+1)
 	// A member that has started again may number lower than in its life before, where its time of day has gone back.
-	if got.Count != 0 && got.Count != n.counted {
-		n.counted = got.Count
-		go n.work(addr, got.Count)
+	if response.SurveyID != 0 && response.SurveyID != s.lastSurvey {
+		s.lastSurvey = response.SurveyID
+		go s.reportInFlight(addr, response.SurveyID)
 	}
-	if n.merge(got.Items) || n.r.table.Load() == nil && got.Sound {
-		table = plan.NewTable(n.values)
+	if s.mergeItems(response.Items) || s.proxy.routingTable.Load() == nil && response.HasQuorum {
+		table = plan.NewTable(s.values)
 	}
-	return anew, table
+	return fullSync, table
 }
 
-// merge takes up items of the configuration, and tells whether any is newer than what was known; under the lock.
-func (n *news) merge(items []lore.Item) (changed bool) {
-	for _, it := range items {
-		if !strings.HasPrefix(it.Key, lore.RegKey) {
+// mergeItems takes up items of the configuration, and tells whether any is newer than what was known; under the lock.
+func (s *subscription) mergeItems(items []lore.Item) (changed bool) {
+	for _, item := range items {
+		if !strings.HasPrefix(item.Key, lore.RegisterKey) {
 			continue
 		}
-		e := quorum.Entry{}
-		if easyjson.Unmarshal([]byte(it.Body), &e) != nil || !e.Chosen || e.Value.Version <= n.values[e.Key].Version {
+		entry := quorum.Entry{}
+		if easyjson.Unmarshal([]byte(item.Body), &entry) != nil || !entry.Chosen || entry.Value.Version <= s.values[entry.Key].Version {
 			continue // within one life no item goes back
 		}
-		n.values[e.Key] = e.Value
+		s.values[entry.Key] = entry.Value
 		changed = true
 	}
 	return changed
 }
 
-// hear takes up appliances and counts of releases, under the relay's lock; all are the appliances that were told.
-func (n *news) hear(got *replica.News, now time.Time) (all map[string]bool) {
-	all = map[string]bool{}
-	for _, it := range got.Items {
-		if id, ok := strings.CutPrefix(it.Key, lore.AppKey); ok {
-			if a, ok := lore.ReadApp(it); ok {
-				inOurTime(a, got, now)
-				n.r.sway.Hear(id, it.Version, a, now)
-				all[id] = true
+// applyBackends takes up appliances and counts of releases, under the relay's lock; all are the appliances that were told.
+func (s *subscription) applyBackends(response *replica.PullResponse, now time.Time) (backends map[string]bool) {
+	backends = map[string]bool{}
+	for _, item := range response.Items {
+		if id, ok := strings.CutPrefix(item.Key, lore.BackendKey); ok {
+			if backend, ok := lore.ReadBackend(item); ok {
+				toLocalTime(backend, response, now)
+				s.proxy.balancer.UpdateBackend(id, item.Version, backend, now)
+				backends[id] = true
 			}
-		} else if key, ok := strings.CutPrefix(it.Key, lore.TrialKey); ok {
-			if t, ok := lore.ReadTally(it); ok {
-				n.r.sway.Learn(key, t)
+		} else if key, ok := strings.CutPrefix(item.Key, lore.ReleaseTallyKey); ok {
+			if tally, ok := lore.ReadReleaseTally(item); ok {
+				s.proxy.balancer.UpdateTally(key, tally)
 			}
 		}
 	}
-	return all
+	return backends
 }
 
-// inOurTime puts the moments that an appliance's entry holds into this machine's time of day: the member's may stand apart.
-func inOurTime(a *lore.App, got *replica.News, now time.Time) {
-	if got.Now <= 0 {
+// toLocalTime puts the moments that an appliance's entry holds into this machine's time of day: the member's may stand apart.
+func toLocalTime(backend *lore.Backend, response *replica.PullResponse, now time.Time) {
+	if response.NowMs <= 0 {
 		return
 	}
-	off := now.UnixMilli() - got.Now
-	a.Heard += off
-	if a.Warm != 0 {
-		a.Warm += off
+	offset := now.UnixMilli() - response.NowMs
+	backend.HeartbeatMs += offset
+	if backend.WarmAtMs != 0 {
+		backend.WarmAtMs += offset
 	}
 }
 
-// reach notes how far this relay has come with what an address has told, and tells whether that takes the place of what it
+// recordProgress notes how far this relay has come with what an address has told, and tells whether that takes the place of what it
 // knew; under the lock. Several may be asked at once: an answer that builds on what was given up meanwhile claims nothing. It
 // tells of the moment at which it was asked for, not of that at which it is read.
-func (n *news) reach(addr string, asked *replica.Pull, got *replica.News, at time.Time) (anew bool) {
-	stale := len(n.come) == 0 || at.Sub(n.reached) >= longAway
-	if addr != n.now {
-		n.counted = 0
+func (s *subscription) recordProgress(addr string, request *replica.PullRequest, response *replica.PullResponse, askedAt time.Time) (fullSync bool) {
+	stale := len(s.progress) == 0 || askedAt.Sub(s.lastUpdate) >= fullSyncAfter
+	if addr != s.sourceAddr {
+		s.lastSurvey = 0
 	}
-	n.now = addr
-	if at.After(n.reached) {
-		n.reached = at
+	s.sourceAddr = addr
+	if askedAt.After(s.lastUpdate) {
+		s.lastUpdate = askedAt
 	}
-	delete(n.vector, n.at[addr])
-	delete(n.at, addr)
+	delete(s.legacyProgress, s.legacySources[addr])
+	delete(s.legacySources, addr)
 	switch {
-	case got.Wire < replica.Wire:
-		n.at[addr], n.vector[got.Source] = got.Source, got.Seq
-		return got.Whole
-	case got.Whole && stale:
-		n.come = maps.Clone(got.Come)
+	case response.ProtocolVersion < replica.ProtocolVersion:
+		s.legacySources[addr], s.legacyProgress[response.Source] = response.Source, response.Seq
+		return response.Complete
+	case response.Complete && stale:
+		s.progress = maps.Clone(response.Progress)
 		return true
-	case got.Whole || n.come.Covers(asked.Come):
-		n.advance(got)
+	case response.Complete || s.progress.Covers(request.Progress):
+		s.advanceProgress(response)
 	}
 	return false
 }
 
-// advance adds what an answer has told to how far this relay has come; under the lock.
-func (n *news) advance(got *replica.News) {
-	for origin, x := range got.Come {
-		n.come[origin] = max(n.come[origin], x)
+// advanceProgress adds what an answer has told to how far this relay has come; under the lock.
+func (s *subscription) advanceProgress(response *replica.PullResponse) {
+	for origin, seq := range response.Progress {
+		s.progress[origin] = max(s.progress[origin], seq)
 	}
-	for _, origin := range got.Drop {
-		delete(n.come, origin)
+	for _, origin := range response.DroppedOrigins {
+		delete(s.progress, origin)
 	}
 }
--- a/relay/send.go
+++ b/relay/send.go
@@ -14,144 +14,144 @@
 	"sagelever/verdict"
 )
 
-// sent is what came of a send.
-type sent struct {
+// sendResult is what came of a send.
+type sendResult struct {
 	sway.Outcome
-	rule    verdict.Rule // what follows
-	attempt *attempt
-	head    http.Header
-	body    []byte
-	length  int64 // -1 where it is not known
-	rest    io.ReadCloser
-	free    func()
-	abandon func() (stop func() bool) // has the rest of the answer broken off once the client is gone
+	rule              verdict.Rule // what follows
+	attempt           *attempt
+	header            http.Header
+	body              []byte
+	length            int64 // -1 where it is not known
+	remainder         io.ReadCloser
+	release           func()
+	abortOnDisconnect func() (stop func() bool) // has the rest of the answer broken off once the client is gone
 }
 
-func (s *sent) close() {
-	if s.rest != nil {
-		s.rest.Close()
+func (r *sendResult) close() {
+	if r.remainder != nil {
+		r.remainder.Close()
 	}
-	if s.free != nil {
-		s.free()
-		s.free = nil
+	if r.release != nil {
+		r.release()
+		r.release = nil
 	}
 }
 
 // send carries a request to an appliance once and reads the answer. It never sends by itself a second time.
-func (r *Relay) send(ctx context.Context, q *http.Request, req *sway.Request, app *sway.App, body []byte, rest io.Reader) *sent {
-	began := time.Now()
-	a := newAttempt(q, func() (verdict.Event, bool) { return r.gate(q, app) })
-	if r.watch != nil {
-		r.watch(q, a)
+func (p *Proxy) send(ctx context.Context, r *http.Request, req *sway.Request, backend *sway.Backend, body []byte, remainder io.Reader) *sendResult {
+	startedAt := time.Now()
+	attempt := newAttempt(r, func() (verdict.Event, bool) { return p.writeGate(r, backend) })
+	if p.onAttempt != nil {
+		p.onAttempt(r, attempt)
 	}
-	s := &sent{attempt: a, length: -1}
-	defer func() { s.Took = time.Since(began) }()
-	resp, err := r.exchange(ctx, a, outgoing(q, req, body, rest), body, rest != nil)
-	s.Dialled = a.connected.Load() && a.use.Wrote()
+	result := &sendResult{attempt: attempt, length: -1}
+	defer func() { result.Latency = time.Since(startedAt) }()
+	resp, err := p.roundTrip(ctx, attempt, newBackendRequest(r, req, body, remainder), body, remainder != nil)
+	result.Connected = attempt.connected.Load() && attempt.exchange.WriteStarted()
 	if err != nil {
-		r.failed(ctx, s, a.failure(ctx, err))
-		return s
+		p.recordFailure(ctx, result, attempt.failureEvent(ctx, err))
+		return result
 	}
-	a.headRead.Store(true)
-	s.Status, s.head, s.Closes = resp.StatusCode, resp.Header, resp.Close
-	if err := r.take(s, resp); err != nil {
+	attempt.headerRead.Store(true)
+	result.Status, result.header, result.ClosesConnection = resp.StatusCode, resp.Header, resp.Close
+	if err := p.readResponseBody(result, resp); err != nil {
 		resp.Body.Close()
-		r.failed(ctx, s, a.failure(ctx, err))
-		return s
+		p.recordFailure(ctx, result, attempt.failureEvent(ctx, err))
+		return result
 	}
-	r.succeeded(s, answered(s.Status, s.head))
-	r.counts.far[req.To.Far].Add(1)
-	r.counts.farBytes[req.To.Far].Add(int64(len(body)) + max(0, s.length))
-	return s
+	p.recordResponse(result, responseEvent(result.Status, result.header))
+	p.counters.sendsByDistance[req.SentTo.Distance].Add(1)
+	p.counters.bytesByDistance[req.SentTo.Distance].Add(int64(len(body)) + max(0, result.length))
+	return result
 }
 
-// gate is asked before the first byte of a send: nothing is begun for a client that is gone, or at an appliance that
+// writeGate is asked before the first byte of a send: nothing is begun for a client that is gone, or at an appliance that
 // leaves meanwhile.
-func (r *Relay) gate(q *http.Request, app *sway.App) (why verdict.Event, closed bool) {
-	r.mu.Lock()
-	open := r.sway.Open(app, time.Now())
-	r.mu.Unlock()
-	if q.Context().Err() != nil {
-		return verdict.CallerGone, true
+func (p *Proxy) writeGate(r *http.Request, backend *sway.Backend) (event verdict.Event, forbidden bool) {
+	p.mu.Lock()
+	open := p.balancer.MayWrite(backend, time.Now())
+	p.mu.Unlock()
+	if r.Context().Err() != nil {
+		return verdict.ClientDisconnected, true
 	}
-	return verdict.Withdrawn, !open
+	return verdict.PermissionRevoked, !open
 }
 
-// freshMost is how many new connections one send may use up: one that was opened ahead may have ended since.
-const freshMost = 2
+// maxNewConns is how many new connections one send may use up: one that was opened ahead may have ended since.
+const maxNewConns = 2
 
-// exchange writes a request once and reads the head of its answer. A kept connection that has ended before anything was
+// roundTrip writes a request once and reads the head of its answer. A kept connection that has ended before anything was
 // written on it is passed over for the next.
-func (r *Relay) exchange(ctx context.Context, a *attempt, out *http.Request, body []byte, streamed bool) (*http.Response, error) {
-	out = out.WithContext(httptrace.WithClientTrace(ctx, a.trace()))
-	for fresh := 0; ; {
+func (p *Proxy) roundTrip(ctx context.Context, a *attempt, outbound *http.Request, body []byte, streamed bool) (*http.Response, error) {
+	outbound = outbound.WithContext(httptrace.WithClientTrace(ctx, a.clientTrace()))
+	for newConns := 0; ; {
 		if !streamed {
-			strand.CarryBody(out, body)
+			strand.SetNonReplayableBody(outbound, body)
 		}
-		a.begin()
-		resp, err := r.sends.RoundTrip(out)
+		a.resetConnection()
+		resp, err := p.transport.RoundTrip(outbound)
 		switch {
-		case err == nil, streamed, !a.connected.Load(), a.use.Wrote(), a.withheld.Load() != nil, ctx.Err() != nil:
+		case err == nil, streamed, !a.connected.Load(), a.exchange.WriteStarted(), a.withheldBy.Load() != nil, ctx.Err() != nil:
 			return resp, err
 		case !a.reused.Load():
-			if fresh++; fresh == freshMost {
+			if newConns++; newConns == maxNewConns {
 				return nil, err
 			}
 		}
 	}
 }
 
-// failed notes what follows from an event that left no whole answer.
-func (r *Relay) failed(ctx context.Context, s *sent, event verdict.Event) {
-	s.rule = verdict.Decide(s.attempt.phase(), event)
-	s.Verdict = s.rule.Run
-	s.Withheld = s.attempt.withheld.Load() != nil
-	s.Ours = ctx.Err() != nil
-	s.Late = errors.Is(ctx.Err(), context.DeadlineExceeded)
+// recordFailure notes what follows from an event that left no whole answer.
+func (p *Proxy) recordFailure(ctx context.Context, result *sendResult, event verdict.Event) {
+	result.rule = verdict.Decide(result.attempt.phase(), event)
+	result.Execution = result.rule.Execution
+	result.Withheld = result.attempt.withheldBy.Load() != nil
+	result.Cancelled = ctx.Err() != nil
+	result.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// succeeded notes what follows from an answer.
-func (r *Relay) succeeded(s *sent, event verdict.Event) {
-	phase := s.attempt.phase()
-	if !s.attempt.written.Load() { // it has come early
-		phase = verdict.BodyWriting
+// recordResponse notes what follows from an answer.
+func (p *Proxy) recordResponse(result *sendResult, event verdict.Event) {
+	phase := result.attempt.phase()
+	if !result.attempt.requestWritten.Load() { // it has come early
+		phase = verdict.WritingBody
 	}
-	s.rule = verdict.Decide(phase, event)
-	s.Verdict = s.rule.Run
-	s.Served = event == verdict.Answered && s.Status/100 == 2
-	s.attempt.complete.Store(s.rest == nil)
+	result.rule = verdict.Decide(phase, event)
+	result.Execution = result.rule.Execution
+	result.Succeeded = event == verdict.ResponseReceived && result.Status/100 == 2
+	result.attempt.complete.Store(result.remainder == nil)
 }
 
-// take reads an answer's body whole where it is short; the rest of a longer one is passed on as it comes.
-func (r *Relay) take(s *sent, resp *http.Response) error {
-	s.length = resp.ContentLength
-	if s.attempt.method == http.MethodHead {
+// readResponseBody reads an answer's body whole where it is short; the rest of a longer one is passed on as it comes.
+func (p *Proxy) readResponseBody(result *sendResult, resp *http.Response) error {
+	result.length = resp.ContentLength
+	if result.attempt.method == http.MethodHead {
 		return resp.Body.Close()
 	}
-	room := resp.ContentLength
-	if room < 0 || room > largest {
-		room = largest
+	reserved := resp.ContentLength
+	if reserved < 0 || reserved > maxBufferedBody {
+		reserved = maxBufferedBody
 	}
-	r.held.Add(room)
-	s.free = func() { r.held.Add(-room) }
-	if resp.ContentLength >= 0 && resp.ContentLength <= largest {
-		s.body = make([]byte, resp.ContentLength)
-		if _, err := io.ReadFull(resp.Body, s.body); err != nil {
-			s.close()
+	p.bufferedBytes.Add(reserved)
+	result.release = func() { p.bufferedBytes.Add(-reserved) }
+	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody {
+		result.body = make([]byte, resp.ContentLength)
+		if _, err := io.ReadFull(resp.Body, result.body); err != nil {
+			result.close()
 			return err
 		}
 		return resp.Body.Close()
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, largest))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 	if err != nil {
-		s.close()
+		result.close()
 		return err
 	}
-	s.body = body
-	if len(body) < largest {
-		s.length = int64(len(body))
+	result.body = body
+	if len(body) < maxBufferedBody {
+		result.length = int64(len(body))
 		return resp.Body.Close()
 	}
-	s.rest = resp.Body
+	result.remainder = resp.Body
 	return nil
 }
--- a/steward/packing.go
+++ b/steward/packing.go
@@ -8,33 +8,33 @@
 	"github.com/go-faster/errors"
 )
 
-// worthPacking is the size in bytes from which a message is packed: below it a packet or two hold it as it is.
-const worthPacking = 1400
+// minCompressBytes is the size in bytes from which a message is packed: below it a packet or two hold it as it is.
+const minCompressBytes = 1400
 
-// pack makes a large message smaller, as bytes between zones and regions are dear.
-func pack(body []byte) (packed []byte, coding string) {
-	if len(body) < worthPacking {
+// Compress makes a large message smaller, as bytes between zones and regions are dear.
+func Compress(body []byte) (compressed []byte, encoding string) {
+	if len(body) < minCompressBytes {
 		return body, ""
 	}
-	var b bytes.Buffer
-	z, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed)
-	if _, err := z.Write(body); err != nil || z.Close() != nil {
+	var buffer bytes.Buffer
+	writer, _ := gzip.NewWriterLevel(&buffer, gzip.BestSpeed)
+	if _, err := writer.Write(body); err != nil || writer.Close() != nil {
 		return body, ""
 	}
-	return b.Bytes(), "gzip"
+	return buffer.Bytes(), "gzip"
 }
 
-// unpack reads a message whole, within its bound.
-func unpack(r io.Reader, coding string) ([]byte, error) {
-	if coding == "gzip" {
-		z, err := gzip.NewReader(r)
+// Decompress reads a message whole, within its bound.
+func Decompress(r io.Reader, encoding string) ([]byte, error) {
+	if encoding == "gzip" {
+		zipped, err := gzip.NewReader(r)
 		if err != nil {
 			return nil, err
 		}
-		r = z
+		r = zipped
 	}
-	data, err := io.ReadAll(io.LimitReader(r, longestAsk+1))
-	if err == nil && len(data) > longestAsk {
+	data, err := io.ReadAll(io.LimitReader(r, MaxMessageBytes+1))
+	if err == nil && len(data) > MaxMessageBytes {
 		err = errors.New("the message is too long")
 	}
 	return data, err
--- a/steward/peers.go
+++ b/steward/peers.go
@@ -12,193 +12,193 @@
 	"sagelever/lore"
 )
 
-const slowest = 4 * time.Second
+const peerCallTimeout = 4 * time.Second
 
-// inside serves other agents.
-func (s *Steward) inside() http.Handler {
+// peerHandler serves other agents.
+func (s *Server) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	serve := func(path string, h http.HandlerFunc) {
-		c := &pathCount{}
-		s.byPath[path] = c
+	register := func(path string, handler http.HandlerFunc) {
+		counter := &pathCounters{}
+		s.pathCounters[path] = counter
 		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			c.calls.Add(1)
-			c.in.Add(max(0, r.ContentLength))
-			h(&counted{w, c}, r)
+			counter.calls.Add(1)
+			counter.receivedBytes.Add(max(0, r.ContentLength))
+			handler(&countingWriter{w, counter}, r)
 		})
 	}
-	serve(replica.PullPath, s.servePull)
-	serve(replica.TallyPath, s.serveTally)
-	serve(replica.WorkPath, s.serveWork)
-	serve(replica.CensusPath, s.serveCensus)
+	register(replica.PullPath, s.handlePull)
+	register(replica.TallyPath, s.handleTally)
+	register(replica.InFlightReportPath, s.handleInFlightReport)
+	register(replica.InFlightSurveyPath, s.handleInFlightSurvey)
 	for _, path := range []string{replica.PreparePath, replica.AcceptPath, replica.ReadPath, replica.StatePath, replica.GenerationPath} {
-		serve(path, func(w http.ResponseWriter, r *http.Request) {
-			a := &replica.Ask{}
-			if !read(w, r, a) {
+		register(path, func(w http.ResponseWriter, r *http.Request) {
+			request := &replica.PeerRequest{}
+			if !ReadRequest(w, r, request) {
 				return
 			}
-			got, err := s.answer(r.Context(), path, a)
+			response, err := s.handleRequest(r.Context(), path, request)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 				return
 			}
-			write(w, got)
-			s.counts.calls.Add(1)
+			WriteResponse(w, response)
+			s.counters.peerCalls.Add(1)
 		})
 	}
 	return mux
 }
 
-// pathCount counts the calls of one path and their bytes, as packed.
-type pathCount struct{ calls, in, out atomic.Int64 }
+// pathCounters counts the calls of one path and their bytes, as packed.
+type pathCounters struct{ calls, receivedBytes, sentBytes atomic.Int64 }
 
-type counted struct {
+type countingWriter struct {
 	http.ResponseWriter
-	c *pathCount
+	counters *pathCounters
 }
 
-func (w *counted) Write(p []byte) (int, error) {
-	w.c.out.Add(int64(len(p)))
+func (w *countingWriter) Write(p []byte) (int, error) {
+	w.counters.sentBytes.Add(int64(len(p)))
 	return w.ResponseWriter.Write(p)
 }
 
-// servePull answers with what is new, at once or when there is some.
-func (s *Steward) servePull(w http.ResponseWriter, r *http.Request) {
-	p := &replica.Pull{}
-	if !read(w, r, p) {
+// handlePull answers with what is new, at once or when there is some.
+func (s *Server) handlePull(w http.ResponseWriter, r *http.Request) {
+	request := &replica.PullRequest{}
+	if !ReadRequest(w, r, request) {
 		return
 	}
-	end := time.NewTimer(time.Duration(max(0, min(p.WaitMs, 10_000))) * time.Millisecond)
-	defer end.Stop()
-	var wait *replica.Waiting
-	s.step(func(now time.Time) { wait = s.m.Pulled(now, p) })
+	deadline := time.NewTimer(time.Duration(max(0, min(request.WaitMs, 10_000))) * time.Millisecond)
+	defer deadline.Stop()
+	var pending *replica.PendingPull
+	s.step(func(now time.Time) { pending = s.replica.HandlePull(now, request) })
 	s.mu.Lock()
-	n, ready := s.m.Answer(s.now(), wait)
+	response, ready := s.replica.AnswerPull(s.now(), pending)
 	for !ready {
-		news := s.news
+		updated := s.updated
 		s.mu.Unlock()
-		ended := false
+		expired := false
 		select {
-		case <-news:
-		case <-end.C:
-			ended = true
+		case <-updated:
+		case <-deadline.C:
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
 		s.mu.Lock()
-		n, ready = s.m.Answer(s.now(), wait)
-		ready = ready || ended
+		response, ready = s.replica.AnswerPull(s.now(), pending)
+		ready = ready || expired
 	}
 	s.mu.Unlock()
-	s.counts.pulls.Add(1)
-	s.sentTo(p.From.Zone, write(w, n))
+	s.counters.pulls.Add(1)
+	s.countSent(request.From.Zone, WriteResponse(w, response))
 }
 
-// find keeps a pull going to every member known, and to the first contacts until this replica is one of the members and
+// discoverMembers keeps a pull going to every member known, and to the first contacts until this replica is one of the members and
 // hears most of them.
-func (s *Steward) find(ctx context.Context) {
+func (s *Server) discoverMembers(ctx context.Context) {
 	following := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		members, contacts, sound := s.m.Members(), s.contacts, s.m.Sound(s.now())
+		members, contacts, healthy := s.replica.OtherMembers(), s.contacts, s.replica.HasQuorum(s.now())
 		s.mu.Unlock()
-		s.followAll(ctx, following, members)
-		pause := 8 * tick // only a set of members that all others went on without is still to be heard of
-		if !sound {
-			pause = tick
+		s.updatePullers(ctx, following, members)
+		interval := 8 * tickInterval // only a set of members that all others went on without is still to be heard of
+		if !healthy {
+			interval = tickInterval
 		}
-		if !sound || len(members) == 0 {
-			for _, addr := range s.peerAddresses(contacts) {
-				if addr != s.me.Addr {
-					go s.pull(ctx, replica.Member{Addr: addr})
+		if !healthy || len(members) == 0 {
+			for _, address := range s.peerAddresses(contacts) {
+				if address != s.self.Addr {
+					go s.pullOnce(ctx, replica.Member{Addr: address})
 				}
 			}
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// followAll begins to pull from members that are new, and ends it for those that are none any more.
-func (s *Steward) followAll(ctx context.Context, following map[string]context.CancelFunc, members []replica.Member) {
+// updatePullers begins to pull from members that are new, and ends it for those that are none any more.
+func (s *Server) updatePullers(ctx context.Context, following map[string]context.CancelFunc, members []replica.Member) {
 	present := map[string]bool{}
-	for _, m := range members {
-		present[m.Addr] = true
-		if following[m.Addr] == nil {
-			one, end := context.WithCancel(ctx)
-			following[m.Addr] = end
-			go s.follow(one, m)
+	for _, member := range members {
+		present[member.Addr] = true
+		if following[member.Addr] == nil {
+			memberCtx, cancel := context.WithCancel(ctx)
+			following[member.Addr] = cancel
+			go s.pullLoop(memberCtx, member)
 		}
 	}
-	for addr, end := range following {
-		if !present[addr] {
-			end()
-			delete(following, addr)
+	for address, cancel := range following {
+		if !present[address] {
+			cancel()
+			delete(following, address)
 		}
 	}
 }
 
-// follow pulls one member's news for as long as this agent runs. A member that answers at once without news, twice running,
+// pullLoop pulls one member's news for as long as this agent runs. A member that answers at once without news, twice running,
 // is not asked without end.
-func (s *Steward) follow(ctx context.Context, m replica.Member) {
-	quick := 0
-	held := func() bool {
+func (s *Server) pullLoop(ctx context.Context, member replica.Member) {
+	emptyPulls := 0
+	deferred := func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.m.Hold(s.now(), m)
+		return s.replica.DeferPull(s.now(), member)
 	}
-	for held() && ctx.Err() == nil {
+	for deferred() && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for ctx.Err() == nil {
-		begun := time.Now()
-		one, again := context.WithCancel(ctx)
+		started := time.Now()
+		pullCtx, cancel := context.WithCancel(ctx)
 		s.mu.Lock()
-		s.pulls[m.Addr] = again
+		s.cancelPulls[member.Addr] = cancel
 		s.mu.Unlock()
-		items, err := s.pull(one, m)
-		if items > 0 || time.Since(begun) > tick {
-			quick = 0
+		items, err := s.pullOnce(pullCtx, member)
+		if items > 0 || time.Since(started) > tickInterval {
+			emptyPulls = 0
 		} else {
-			quick++
+			emptyPulls++
 		}
-		if err != nil || quick > 1 {
+		if err != nil || emptyPulls > 1 {
 			select {
-			case <-time.After(tick):
-			case <-one.Done(): // it is known to be up
+			case <-time.After(tickInterval):
+			case <-pullCtx.Done(): // it is known to be up
 			}
 		}
-		again()
+		cancel()
 	}
 }
 
-// pull asks one agent once and takes up what it tells.
-func (s *Steward) pull(ctx context.Context, from replica.Member) (items int, err error) {
+// pullOnce asks one agent once and takes up what it tells.
+func (s *Server) pullOnce(ctx context.Context, source replica.Member) (items int, err error) {
 	s.mu.Lock()
-	p := s.m.Ask(s.now(), from)
+	request := s.replica.NewPullRequest(s.now(), source)
 	s.mu.Unlock()
-	body, err := easyjson.Marshal(p)
+	body, err := easyjson.Marshal(request)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.WaitMs)*time.Millisecond+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+time.Second)
 	defer cancel()
-	n := &replica.News{}
-	if err := Post(ctx, s.client, from.Addr, replica.PullPath, body, n); err != nil {
+	response := &replica.PullResponse{}
+	if err := Post(ctx, s.peerClient, source.Addr, replica.PullPath, body, response); err != nil {
 		return 0, err
 	}
-	s.step(func(now time.Time) { s.m.Told(now, from, p, n) })
-	return len(n.Items), nil
+	s.step(func(now time.Time) { s.replica.HandlePullResponse(now, source, request, response) })
+	return len(response.Items), nil
 }
 
-// spread waits until an item has gone far enough to be acknowledged; false where it does not in time.
-func (s *Steward) spread(ctx context.Context, key string) bool {
-	for begun := s.now(); ; {
+// awaitReplication waits until an item has gone far enough to be acknowledged; false where it does not in time.
+func (s *Server) awaitReplication(ctx context.Context, key string) bool {
+	for started := s.now(); ; {
 		s.mu.Lock()
-		enough := s.m.Spread(s.now(), key, begun)
+		replicated := s.replica.Replicated(s.now(), key, started)
 		s.mu.Unlock()
-		if enough {
+		if replicated {
 			return true
 		}
 		select {
@@ -209,20 +209,20 @@
 	}
 }
 
-// stopTogether puts the word on a removal off until the other members have heard of it, so that no agent goes on when it is
+// awaitPropagation puts the word on a removal off until the other members have heard of it, so that no agent goes on when it is
 // given; it lasts already, so that the word comes in any case, and within the caller's time.
-func (s *Steward) stopTogether(ctx context.Context, register string) {
-	ctx, cancel := context.WithTimeout(ctx, replica.Together)
+func (s *Server) awaitPropagation(ctx context.Context, register string) {
+	ctx, cancel := context.WithTimeout(ctx, replica.RemovalReplicationWait)
 	defer cancel()
-	s.spread(ctx, lore.RegKey+register)
+	s.awaitReplication(ctx, lore.RegisterKey+register)
 }
 
-// serveTally takes what an edge agent has seen of a release.
-func (s *Steward) serveTally(w http.ResponseWriter, r *http.Request) {
-	n := &replica.News{}
-	if !read(w, r, n) {
+// handleTally takes what an edge agent has seen of a release.
+func (s *Server) handleTally(w http.ResponseWriter, r *http.Request) {
+	message := &replica.PullResponse{}
+	if !ReadRequest(w, r, message) {
 		return
 	}
-	s.step(func(now time.Time) { s.m.Tally(now, n.Items) })
+	s.step(func(now time.Time) { s.replica.MergeTallies(now, message.Items) })
 	w.WriteHeader(http.StatusOK)
 }
--- a/steward/rpc.go
+++ b/steward/rpc.go
@@ -11,16 +11,16 @@
 	"github.com/mailru/easyjson"
 )
 
-// longestAsk bounds the bytes of a message between agents: some ten thousand routes.
-const longestAsk = 32 << 20
+// MaxMessageBytes bounds the bytes of a message between agents: some ten thousand routes.
+const MaxMessageBytes = 32 << 20
 
-// Dial opens a connection.
-type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client is what agents call one another with; dial is the way that connections take, nil for the usual one.
-func Client(dial Dial) *http.Client {
+// NewClient is what agents call one another with; dial is the way that connections take, nil for the usual one.
+func NewClient(dial DialFunc) *http.Client {
 	if dial == nil {
-		dial = patience.Dialer(time.Second).DialContext
+		dial = userTimeout.Dialer(time.Second).DialContext
 	}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
@@ -31,22 +31,22 @@
 }
 
 // Post makes one call on the port between agents.
-func Post(ctx context.Context, client *http.Client, addr, path string, body []byte, out easyjson.Unmarshaler) error {
-	packed, coding := pack(body)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(packed))
+func Post(ctx context.Context, client *http.Client, address, path string, body []byte, out easyjson.Unmarshaler) error {
+	compressed, encoding := Compress(body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(compressed))
 	if err != nil {
 		return err
 	}
 	req.Header["User-Agent"] = nil
-	if coding != "" {
-		req.Header.Set("Content-Encoding", coding)
+	if encoding != "" {
+		req.Header.Set("Content-Encoding", encoding)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := unpack(resp.Body, resp.Header.Get("Content-Encoding"))
+	data, err := Decompress(resp.Body, resp.Header.Get("Content-Encoding"))
 	if err != nil {
 		return err
 	}
@@ -59,10 +59,10 @@
 	return easyjson.Unmarshal(data, out)
 }
 
-func read(w http.ResponseWriter, r *http.Request, into easyjson.Unmarshaler) bool {
-	data, err := unpack(http.MaxBytesReader(w, r.Body, longestAsk), r.Header.Get("Content-Encoding"))
+func ReadRequest(w http.ResponseWriter, r *http.Request, message easyjson.Unmarshaler) bool {
+	data, err := Decompress(http.MaxBytesReader(w, r.Body, MaxMessageBytes), r.Header.Get("Content-Encoding"))
 	if err == nil {
-		err = easyjson.Unmarshal(data, into)
+		err = easyjson.Unmarshal(data, message)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -70,18 +70,18 @@
 	return err == nil
 }
 
-func write(w http.ResponseWriter, what easyjson.Marshaler) (size int) {
-	body, err := easyjson.Marshal(what)
+func WriteResponse(w http.ResponseWriter, message easyjson.Marshaler) (size int) {
+	body, err := easyjson.Marshal(message)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return 0
 	}
-	packed, coding := pack(body)
-	h := w.Header()
-	h["Date"], h["Content-Type"] = nil, []string{"application/json"}
-	if coding != "" {
-		h.Set("Content-Encoding", coding)
+	compressed, encoding := Compress(body)
+	header := w.Header()
+	header["Date"], header["Content-Type"] = nil, []string{"application/json"}
+	if encoding != "" {
+		header.Set("Content-Encoding", encoding)
 	}
-	w.Write(packed)
-	return len(packed)
+	w.Write(compressed)
+	return len(compressed)
 }
--- a/terms/terms.go
+++ b/terms/deployment.go
@@ -9,59 +9,59 @@
 	"time"
 )
 
-// Read flattens the settings into our names; what is unknown is passed over.
-func Read(text []byte) (map[string]any, error) {
+// Parse flattens the settings into our names; what is unknown is passed over.
+func Parse(text []byte) (map[string]any, error) {
 	var raw map[string]any
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, err
 	}
-	out := map[string]any{}
-	for path, name := range termNames {
+	parameters := map[string]any{}
+	for path, name := range parameterNames {
 		var v any = raw
 		for _, step := range strings.Split(path, ".") {
 			m, _ := v.(map[string]any)
 			v = m[step]
 		}
-		put(out, name, v)
+		putValue(parameters, name, v)
 	}
-	rows := func(path string) []any { l, _ := raw[path].([]any); return l }
-	var workloads, customers []string
-	for _, row := range rows("classes") {
+	objectsAt := func(path string) []any { l, _ := raw[path].([]any); return l }
+	var workloads, tenants []string
+	for _, row := range objectsAt("classes") {
 		m, _ := row.(map[string]any)
 		name, _ := m["name"].(string)
 		workloads = append(workloads, name)
-		for key, field := range workloadNames {
-			put(out, strings.Replace(field, "workload.", "workload."+name+".", 1), m[key])
+		for key, field := range workloadParameters {
+			putValue(parameters, strings.Replace(field, "workload.", "workload."+name+".", 1), m[key])
 		}
 	}
-	for _, row := range rows("orgs") {
+	for _, row := range objectsAt("orgs") {
 		m, _ := row.(map[string]any)
 		name, _ := m["name"].(string)
-		customers = append(customers, name)
-		put(out, "customer."+name+".rate", m["quotaRps"])
-		put(out, "customer."+name+".share", m["share"])
+		tenants = append(tenants, name)
+		putValue(parameters, "customer."+name+".rate", m["quotaRps"])
+		putValue(parameters, "customer."+name+".share", m["share"])
 	}
-	out["workloads"], out["customers"] = workloads, customers
-	return out, nil
+	parameters["workloads"], parameters["customers"] = workloads, tenants
+	return parameters, nil
 }
 
-// put keeps one value; a name that ends in a bar stands for a time in milliseconds.
-func put(out map[string]any, name string, v any) {
+// putValue keeps one value; a name that ends in a bar stands for a time in milliseconds.
+func putValue(parameters map[string]any, name string, v any) {
 	name, isTime := strings.CutSuffix(name, "|")
 	switch v := v.(type) {
 	case float64:
 		if isTime {
-			out[name] = Millis(v)
+			parameters[name] = FromMilliseconds(v)
 		} else {
-			out[name] = v
+			parameters[name] = v
 		}
 	case bool:
-		out[name] = v
+		parameters[name] = v
 	case string:
-		if w, ok := ourWords[v]; ok {
+		if w, ok := enumValues[v]; ok {
 			v = w
 		}
-		out[name] = v
+		parameters[name] = v
 	case []any:
 		var nums []float64
 		var words []string
@@ -74,22 +74,22 @@
 			}
 		}
 		if nums != nil {
-			out[name] = nums
+			parameters[name] = nums
 		} else {
-			out[name] = words
+			parameters[name] = words
 		}
 	}
 }
 
-var ourWords = map[string]string{"free": "pure", "guarded": "receipted", "single_shot": "effectful",
+var enumValues = map[string]string{"free": "pure", "guarded": "receipted", "single_shot": "effectful",
 	"automatic": "pushed", "subscribe": "asked"}
 
-var workloadNames = map[string]string{"goalTime": "workload.goal|", "giveUp": "workload.abandon|",
+var workloadParameters = map[string]string{"goalTime": "workload.goal|", "giveUp": "workload.abandon|",
 	"semantics": "workload.effect", "group": "workload.group", "keyTtl": "workload.memory|",
 	"worth": "workload.payoff", "lateValue": "workload.late", "streaming": "workload.stream",
 	"aimStretch": "workload.stretch"}
 
-var termNames = map[string]string{"balancers": "agents", "position": "number", "az": "place", "areas": "places",
+var parameterNames = map[string]string{"balancers": "agents", "position": "number", "az": "place", "areas": "places",
 	"flavors": "kinds", "registryMode": "discovery", "valueBy": "payoff.by", "weights": "share.meaning",
 	"tick": "tick|", "overShareWorth": "payoff.overshare", "tier": "tier", "tiers": "tiers",
 	"familyInfo.allowance": "trial.allowance", "familyInfo.autoAfter": "trial.auto|",
@@ -116,5 +116,7 @@
 	"telemetry.fields": "load.fields", "telemetry.source": "load.source",
 	"scoringMix.tail": "goal.tail", "scoringMix.tailSlack": "goal.tail.slack"}
 
-// Millis is a time that the wires write in milliseconds, to the microsecond.
-func Millis(ms float64) time.Duration { return time.Duration(math.Round(ms*1000)) * time.Microsecond }
+// FromMilliseconds is a time that the wires write in milliseconds, to the microsecond.
+func FromMilliseconds(milliseconds float64) time.Duration {
+	return time.Duration(math.Round(milliseconds*1000)) * time.Microsecond
+}
--- a/tools/account/main.go
+++ b/tools/account/main.go
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// record is one line of a log that counts: when it was written, by its own clock, and its figures.
-type record struct {
-	at      time.Time
-	figures map[string]int64
-	text    string // of a line of the module's
+// logRecord is one line of a log that counts: when it was written, by its own clock, and its figures.
+type logRecord struct {
+	at       time.Time
+	counters map[string]int64
+	text     string // of a line of the module's
 }
 
-// parse reads a line of key=value; ok tells that it is an account or a line of the module's.
-func parse(line string) (r record, ok bool) {
-	r.figures = map[string]int64{}
+// parseLine reads a line of key=value; ok tells that it is an account or a line of the module's.
+func parseLine(line string) (r logRecord, ok bool) {
+	r.counters = map[string]int64{}
 	event := ""
 	for part := range strings.FieldsSeq(line) {
 		name, value, found := strings.Cut(part, "=")
@@ -40,7 +40,7 @@
 		case "level":
 		default:
 			if n, err := strconv.ParseInt(value, 10, 64); err == nil {
-				r.figures[name] = n
+				r.counters[name] = n
 			}
 		}
 	}
@@ -50,18 +50,18 @@
 	return r, !r.at.IsZero() && (event == "account" || event == "module")
 }
 
-// sum is what a fleet did, by span and name.
-type sum map[int]map[string]int64
+// totals is what a fleet did, by span and name.
+type totals map[int]map[string]int64
 
-func (s sum) add(span int, name string, n int64) {
+func (s totals) add(span int, name string, n int64) {
 	if s[span] == nil {
 		s[span] = map[string]int64{}
 	}
 	s[span][name] += n
 }
 
-// write gives a table: a row for each name, a column for each span.
-func (s sum) write(to io.Writer, width time.Duration) {
+// writeTable gives a table: a row for each name, a column for each span.
+func (s totals) writeTable(out io.Writer, width time.Duration) {
 	var spans []int
 	names := map[string]bool{}
 	for span, figures := range s {
@@ -76,17 +76,17 @@
 		rows = append(rows, name)
 	}
 	slices.Sort(rows)
-	fmt.Fprintf(to, "%-22s", "from")
+	fmt.Fprintf(out, "%-22s", "from")
 	for _, span := range spans {
-		fmt.Fprintf(to, "%8s", time.Duration(span)*width)
+		fmt.Fprintf(out, "%8s", time.Duration(span)*width)
 	}
-	fmt.Fprintln(to)
+	fmt.Fprintln(out)
 	for _, name := range rows {
-		fmt.Fprintf(to, "%-22s", name)
+		fmt.Fprintf(out, "%-22s", name)
 		for _, span := range spans {
-			fmt.Fprintf(to, "%8d", s[span][name])
+			fmt.Fprintf(out, "%8d", s[span][name])
 		}
-		fmt.Fprintln(to)
+		fmt.Fprintln(out)
 	}
 }
 
@@ -94,18 +94,18 @@
 	width := flag.Duration("span", 5*time.Second, "how much time a column has")
 	votes := flag.Bool("votes", false, "the module's lines too, in order of time")
 	flag.Parse()
-	if err := tell(os.Stdout, flag.Args(), *width, *votes); err != nil {
+	if err := report(os.Stdout, flag.Args(), *width, *votes); err != nil {
 		fmt.Fprintln(os.Stderr, "account:", err)
 		os.Exit(1)
 	}
 }
 
-func tell(to io.Writer, files []string, width time.Duration, votes bool) error {
+func report(out io.Writer, files []string, width time.Duration, votes bool) error {
 	type said struct {
-		record
+		logRecord
 		file string
 	}
-	var all []said
+	var records []said
 	for _, file := range files {
 		f, err := os.Open(file)
 		if err != nil {
@@ -114,8 +114,8 @@
 		lines := bufio.NewScanner(f)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			if r, ok := parse(lines.Text()); ok {
-				all = append(all, said{r, file})
+			if r, ok := parseLine(lines.Text()); ok {
+				records = append(records, said{r, file})
 			}
 		}
 		f.Close()
@@ -123,20 +123,20 @@
 			return fmt.Errorf("%s: %w", file, err)
 		}
 	}
-	if len(all) == 0 {
+	if len(records) == 0 {
 		return fmt.Errorf("no line of an account in %d logs", len(files))
 	}
-	slices.SortStableFunc(all, func(a, b said) int { return a.at.Compare(b.at) })
-	began, s := all[0].at, sum{}
-	for _, r := range all {
+	slices.SortStableFunc(records, func(a, b said) int { return a.at.Compare(b.at) })
+	began, s := records[0].at, totals{}
+	for _, r := range records {
 		span := int(r.at.Sub(began) / max(width, time.Millisecond))
-		for name, n := range r.figures {
+		for name, n := range r.counters {
 			s.add(span, name, n)
 		}
 		if votes && r.text != "" {
-			fmt.Fprintf(to, "%8.2f %s %s\n", r.at.Sub(began).Seconds(), r.file, r.text)
+			fmt.Fprintf(out, "%8.2f %s %s\n", r.at.Sub(began).Seconds(), r.file, r.text)
 		}
 	}
-	s.write(to, width)
+	s.writeTable(out, width)
 	return nil
 }
