--- a/cmd/accord/main.go
+++ b/cmd/loadbalancer/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"sagelever/cmd/accord/seat"
+	"sagelever/internal/cli"
 )
 
-func main() { os.Exit(seat.Main(os.Args[1:])) }
+func main() { os.Exit(cli.Main(os.Args[1:])) }
--- a/cmd/sagelab/drain.go
+++ b/cmd/loadtest/drain.go
@@ -8,12 +8,12 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"sagelever/rig"
+	"sagelever/internal/testbed/cluster"
 )
 
 // drainOptions are the rig's in a calm size: runs of 150 ms, appliances that serve on for 0.8 s.
-func drainOptions(nodes, backends int, seed uint64) rig.Options {
-	return rig.Options{Proxies: nodes, Backends: backends, Seed: seed, Load: 0.9, MeanWork: 150 * time.Millisecond, DrainTime: 800 * time.Millisecond,
+func drainOptions(nodes, backends int, seed uint64) cluster.Options {
+	return cluster.Options{Proxies: nodes, Backends: backends, Seed: seed, Load: 0.9, MeanWork: 150 * time.Millisecond, DrainTime: 800 * time.Millisecond,
 		WarmUp: time.Second, ShutdownGrace: 3 * time.Second, HeartbeatInterval: 400 * time.Millisecond, ArrivalBound: 300 * time.Millisecond, Logger: zap.NewNop()}
 }
 
@@ -27,17 +27,17 @@
 	c := &cobra.Command{Use: "drain", Short: "every backend of a whole system leaves and returns once under load: nothing lost, doubled, late or cut", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			options := drainOptions(nodes, backends, seed)
-			options.Load, options.Fault = load, rig.Fault(fault)
+			options.Load, options.Fault = load, cluster.Fault(fault)
 			if showLog {
 				options.Logger, _ = zap.NewDevelopment()
 			}
-			dir, err := os.MkdirTemp("", "sagelab")
+			dir, err := os.MkdirTemp("", "loadtest")
 			if err != nil {
 				return err
 			}
 			defer os.RemoveAll(dir)
 			options.Dir = dir
-			r, err := rig.RunDrain(context.Background(), options, calm, disrupt)
+			r, err := cluster.RunDrain(context.Background(), options, calm, disrupt)
 			if err != nil {
 				return err
 			}
--- a/cmd/sagelab/hollow.go
+++ b/cmd/loadtest/hollow.go
@@ -18,7 +18,7 @@
 	options := hollow.Options{}
 	hollowCommand := &cobra.Command{Use: "hollow", Short: "what a core of real members costs, by the number of hollow agents, appliances, routes and tenants", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			dir, err := os.MkdirTemp("", "sagelab")
+			dir, err := os.MkdirTemp("", "loadtest")
 			if err != nil {
 				return err
 			}
--- a/cmd/sagelab/idle.go
+++ b/cmd/loadtest/idle.go
@@ -11,7 +11,7 @@
 	"runtime/debug"
 	"time"
 
-	"sagelever/wsagent"
+	"sagelever/internal/agent/ws"
 )
 
 // idleReport are what idle connections cost. Clients are bare sockets in the same process, which the bytes include.
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	fmt.Fprintf(conn, "GET /ws HTTP/1.1\r\nHost: lab\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n"+
-		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Protocol: %s\r\n\r\n", wsagent.ClientProtocol)
+		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Protocol: %s\r\n\r\n", ws.ClientProtocol)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, 512), nil)
 	if err == nil && resp.StatusCode != http.StatusSwitchingProtocols {
--- a/cmd/sagelab/main.go
+++ b/cmd/loadtest/main.go
@@ -1,4 +1,4 @@
-// Command sagelab runs the project's own experiments: agents and stand-ins on loopback, with faults injected by a seed,
+// Command loadtest runs the project's own experiments: agents and stand-ins on loopback, with faults injected by a seed,
 // and everything that was seen checked against what clients were told.
 package main
 
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "sagelab", Short: "Load and experiments on loopback", SilenceUsage: true}
+	root := &cobra.Command{Use: "loadtest", Short: "Load and experiments on loopback", SilenceUsage: true}
 	root.CompletionOptions.DisableDefaultCmd = true
 	var messages, clients int
 	var seed uint64
--- a/cmd/sagelab/soak.go
+++ b/cmd/loadtest/soak.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"sagelever/httpagent"
-	"sagelever/standin"
+	"sagelever/internal/testbed/fakes"
 )
 
 // soakReport are what a long run over HTTP leaves behind: memory in use at the end of each quarter, after a collection.
@@ -67,7 +67,7 @@
 // runSoak asks an agent over HTTP for a long time. Every id is new, most keys are, a third of the clients keep a connection
 // for one request only, and every twentieth of the run a new build takes the place of the old, under new names.
 func runSoak(duration time.Duration, rate int, seed uint64, log *slog.Logger) (report soakReport, err error) {
-	discovery, err := standin.NewDiscovery()
+	discovery, err := fakes.NewDiscovery()
 	if err != nil {
 		return report, err
 	}
@@ -81,14 +81,14 @@
 	replaceBackends := func(build int) error {
 		old := backends
 		backends = nil
-		var lines []standin.Entry
+		var lines []fakes.Entry
 		for i := range 8 {
 			b, at, err := startHTTPBackend(2 * time.Millisecond)
 			if err != nil {
 				return err
 			}
 			backends = append(backends, b)
-			lines = append(lines, standin.Entry{Name: fmt.Sprintf("box-%d-%d", build, i), Address: at, Build: build})
+			lines = append(lines, fakes.Entry{Name: fmt.Sprintf("box-%d-%d", build, i), Address: at, Build: build})
 		}
 		discovery.SetEntries(lines)
 		time.AfterFunc(time.Second, func() {
--- a/cmd/sagelab/websocket.go
+++ b/cmd/loadtest/websocket.go
@@ -18,9 +18,9 @@
 	"github.com/coder/websocket"
 
 	"sagelever/httpagent"
-	"sagelever/pool"
-	"sagelever/standin"
-	"sagelever/wsagent"
+	"sagelever/internal/agent/connpool"
+	"sagelever/internal/agent/ws"
+	"sagelever/internal/testbed/fakes"
 )
 
 // agentSettings are those of the experiment's deployment: three workloads, one of each effect.
@@ -108,17 +108,17 @@
 
 // backendSet is the appliances of a run, with discovery.
 type backendSet struct {
-	discovery  *standin.Discovery
+	discovery  *fakes.Discovery
 	mu         sync.Mutex
-	registered []*standin.Backend
-	all        []*standin.Backend
-	drained    map[*standin.Backend]time.Time
+	registered []*fakes.Backend
+	all        []*fakes.Backend
+	drained    map[*fakes.Backend]time.Time
 }
 
 // newBackendSet starts some appliances and the discovery that lists them.
 func newBackendSet(appliances int) (f *backendSet, err error) {
-	f = &backendSet{drained: map[*standin.Backend]time.Time{}}
-	if f.discovery, err = standin.NewDiscovery(); err != nil {
+	f = &backendSet{drained: map[*fakes.Backend]time.Time{}}
+	if f.discovery, err = fakes.NewDiscovery(); err != nil {
 		return nil, err
 	}
 	for range appliances {
@@ -138,7 +138,7 @@
 }
 
 func (f *backendSet) add() error {
-	b, err := standin.NewBackend(fmt.Sprintf("box-%d", len(f.all)), 5*time.Millisecond)
+	b, err := fakes.NewBackend(fmt.Sprintf("box-%d", len(f.all)), 5*time.Millisecond)
 	if err != nil {
 		return err
 	}
@@ -150,17 +150,17 @@
 }
 
 // announce tells the list, with one that drains.
-func (f *backendSet) announce(draining *standin.Backend) {
+func (f *backendSet) announce(draining *fakes.Backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var lines []standin.Entry
+	var lines []fakes.Entry
 	for _, b := range f.registered {
-		lines = append(lines, standin.Entry{Name: b.Name, Address: b.Address, Build: 7, Draining: b == draining})
+		lines = append(lines, fakes.Entry{Name: b.Name, Address: b.Address, Build: 7, Draining: b == draining})
 	}
 	f.discovery.SetEntries(lines)
 	if draining != nil {
 		f.drained[draining] = time.Now()
-		f.registered = slices.DeleteFunc(f.registered, func(b *standin.Backend) bool { return b == draining })
+		f.registered = slices.DeleteFunc(f.registered, func(b *fakes.Backend) bool { return b == draining })
 	}
 }
 
@@ -221,15 +221,15 @@
 	}
 	agent := httpagent.New(station)
 	linksCtx, stopLinks := context.WithCancel(context.Background())
-	links := wsagent.NewBackendPool(linksCtx, "/ws", pool.DefaultConfig, seed, log)
+	links := ws.NewBackendPool(linksCtx, "/ws", connpool.DefaultConfig, seed, log)
 	agent.OnBackends(func(places []httpagent.BackendEndpoint) {
-		lines := make([]wsagent.BackendEndpoint, len(places))
+		lines := make([]ws.BackendEndpoint, len(places))
 		for i, p := range places {
-			lines[i] = wsagent.BackendEndpoint(p)
+			lines[i] = ws.BackendEndpoint(p)
 		}
 		links.Update(lines)
 	})
-	agent.Mount("/ws", wsagent.NewServer(agent, links, wsagent.DefaultLimits, log))
+	agent.Mount("/ws", ws.NewServer(agent, links, ws.DefaultLimits, log))
 	ended = make(chan error, 1)
 	go func() {
 		err := agent.Run(ctx)
@@ -275,11 +275,11 @@
 			time.Sleep(time.Millisecond)
 		}
 		backend := f.registered[rng.IntN(len(f.registered))]
-		mood := map[string]standin.Behavior{"silent": standin.Silent, "deaf": standin.PingOnly, "full": standin.Overloaded}
+		mood := map[string]fakes.Behavior{"silent": fakes.Silent, "deaf": fakes.PingOnly, "full": fakes.Overloaded}
 		switch kind {
 		case "silent", "deaf", "full":
 			backend.SetBehavior(mood[kind], 5*time.Millisecond)
-			time.AfterFunc(700*time.Millisecond, func() { backend.SetBehavior(standin.Healthy, 5*time.Millisecond) })
+			time.AfterFunc(700*time.Millisecond, func() { backend.SetBehavior(fakes.Healthy, 5*time.Millisecond) })
 		case "killed":
 			backend.BreakConnections()
 		case "drained":
@@ -307,7 +307,7 @@
 	records := map[string]*answerRecord{}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	conn, _, err := websocket.Dial(ctx, "ws://"+address+"/ws", &websocket.DialOptions{Subprotocols: []string{wsagent.ClientProtocol}})
+	conn, _, err := websocket.Dial(ctx, "ws://"+address+"/ws", &websocket.DialOptions{Subprotocols: []string{ws.ClientProtocol}})
 	if err != nil {
 		return records
 	}
@@ -323,7 +323,7 @@
 			if err != nil {
 				return
 			}
-			t, err := wsagent.ParseClientMessage(message)
+			t, err := ws.ParseClientMessage(message)
 			mu.Lock()
 			if a := records[t.ID]; err == nil && a != nil {
 				a.types, a.bodyOK, a.latency = append(a.types, t.Type), string(t.Body) == t.ID, time.Since(sentAt[t.ID])
@@ -336,7 +336,7 @@
 	}()
 	for i := range messages {
 		slots <- struct{}{}
-		a := wsagent.ClientRequest{Type: "ask", ID: fmt.Sprintf("%d-%d", client, i), Path: "/look/x", Key: fmt.Sprint("k", rng.IntN(500))}
+		a := ws.ClientRequest{Type: "ask", ID: fmt.Sprintf("%d-%d", client, i), Path: "/look/x", Key: fmt.Sprint("k", rng.IntN(500))}
 		switch n := rng.IntN(100); {
 		case n < 15:
 			a.Method, a.Path, a.Body = "POST", "/rollout-step/x", []byte(strings.Repeat("r", rng.IntN(20000)))
--- a/cmd/sagelever/rules.go
+++ b/cmd/sagelever/rules.go
@@ -19,11 +19,11 @@
 	"github.com/spf13/cobra"
 
 	"sagelever/httpagent"
+	"sagelever/internal/agent/connpool"
+	"sagelever/internal/agent/ws"
+	"sagelever/internal/settings/operatorfile"
 	"sagelever/match"
 	"sagelever/match/rules"
-	"sagelever/operator"
-	"sagelever/pool"
-	"sagelever/wsagent"
 )
 
 // ruleCommands gives the commands of a program that carries the rules' language.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	plan, err := operator.Read(s.operatorPath, data, station.Deployment())
+	plan, err := operatorfile.Read(s.operatorPath, data, station.Deployment())
 	if err != nil {
 		return nil, nil, err
 	}
@@ -56,8 +56,8 @@
 }
 
 // mountWebSocket puts the WebSocket front beside HTTP.
-func mountWebSocket(ctx context.Context, agent *httpagent.Agent, station *httpagent.Station, config operator.WebSocket) {
-	bounds := pool.DefaultConfig
+func mountWebSocket(ctx context.Context, agent *httpagent.Agent, station *httpagent.Station, config operatorfile.WebSocket) {
+	bounds := connpool.DefaultConfig
 	bounds.MaxPerBackend = config.ConnectionsPerBackend
 	if sockets := station.Limits.Sockets; sockets > 0 {
 		bounds.MaxTotal = max(sockets/4, 1) // a quarter: clients and HTTP's connections have the rest
@@ -65,15 +65,15 @@
 	if config.BackendPath == "" {
 		config.BackendPath = config.Path
 	}
-	links := wsagent.NewBackendPool(ctx, config.BackendPath, bounds, uint64(station.Seed), station.Log)
+	links := ws.NewBackendPool(ctx, config.BackendPath, bounds, uint64(station.Seed), station.Log)
 	agent.OnBackends(func(places []httpagent.BackendEndpoint) {
-		lines := make([]wsagent.BackendEndpoint, len(places))
+		lines := make([]ws.BackendEndpoint, len(places))
 		for i, p := range places {
-			lines[i] = wsagent.BackendEndpoint(p)
+			lines[i] = ws.BackendEndpoint(p)
 		}
 		links.Update(lines)
 	})
-	agent.Mount(config.Path, wsagent.NewServer(agent, links, wsagent.Limits{PerConnection: config.MaxInFlightPerConnection, Total: int64(config.MaxInFlight), MaxQueued: config.MaxUnsent, Heartbeat: config.Heartbeat}, station.Log))
+	agent.Mount(config.Path, ws.NewServer(agent, links, ws.Limits{PerConnection: config.MaxInFlightPerConnection, Total: int64(config.MaxInFlight), MaxQueued: config.MaxUnsent, Heartbeat: config.Heartbeat}, station.Log))
 	station.Log.Info("websocket", "path", config.Path, "appliances", config.BackendPath)
 }
 
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, operator.MaxBytes+1))
+	return io.ReadAll(io.LimitReader(f, operatorfile.MaxBytes+1))
 }
 
 // matchCommand is the commands that show what rules do, without an agent.
@@ -266,7 +266,7 @@
 
 // printError tells an error as its place, what is wrong, and the line with a mark below it.
 func printError(out io.Writer, err error) {
-	var parseError *operator.ParseError
+	var parseError *operatorfile.ParseError
 	var joined interface{ Unwrap() []error }
 	switch {
 	case errors.As(err, &joined):
--- a/httpagent/agent.go
+++ b/httpagent/agent.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"sagelever/agent"
-	"sagelever/decide"
-	"sagelever/engine"
+	"sagelever/internal/agent/api"
+	"sagelever/internal/agent/engine"
+	"sagelever/internal/agent/policy"
 	"sagelever/match"
 )
 
@@ -47,7 +47,7 @@
 
 	mounts     map[string]http.Handler // other fronts, by path
 	onBackends func([]BackendEndpoint)
-	announced  map[agent.BackendID]agent.Backend // told to other fronts as up
+	announced  map[api.BackendID]api.Backend // told to other fronts as up
 	deployment match.Deployment
 	upgraded   sync.WaitGroup // connections that other fronts have taken over
 	stopped    chan struct{}  // closed when the agent has been told to stop
@@ -74,14 +74,14 @@
 		memory = 512 << 20
 	}
 	dialTimeout := setting(station, "link.dial", time.Second)
-	a := &Agent{station: station, log: log, deployment: station.Deployment(), stopped: make(chan struct{}), announced: map[agent.BackendID]agent.Backend{}, badRequestLog: rateLimitedLog{logger: log}, ruleErrorLog: rateLimitedLog{logger: log}, control: newPlainTransport(dialTimeout), watchRequested: make(chan struct{}, 1),
+	a := &Agent{station: station, log: log, deployment: station.Deployment(), stopped: make(chan struct{}), announced: map[api.BackendID]api.Backend{}, badRequestLog: rateLimitedLog{logger: log}, ruleErrorLog: rateLimitedLog{logger: log}, control: newPlainTransport(dialTimeout), watchRequested: make(chan struct{}, 1),
 		backends: newBackendClients(dialTimeout, setting(station, "link.idle", time.Minute), sockets/2-reservedDescriptors/2, memory)}
 	a.endpoints.current = endpointAddresses{station.Discovery, station.Platform.Address}
 	a.endpoints.watchChanged, a.endpoints.streamChanged = make(chan struct{}, 1), make(chan struct{}, 1)
 	a.maxBodyBytes = memory / 8 // as heads and answers may take several times that
 	a.clientConns.hardLimit = int(sockets/2 - reservedDescriptors/2)
 	a.clientConns.softLimit = a.clientConns.hardLimit / 2
-	a.engine = engine.New(time.Now(), decide.New(uint64(station.Seed), station.deploymentSettings), a.execute, log)
+	a.engine = engine.New(time.Now(), policy.New(uint64(station.Seed), station.deploymentSettings), a.execute, log)
 	a.setRules(station.Rules)
 	return a
 }
@@ -126,7 +126,7 @@
 		if err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
-		known.update.Kind = agent.UpdateCached
+		known.update.Kind = api.UpdateCached
 		a.applyList(known)
 	}
 	if present(a.station.Platform.News) {
@@ -142,29 +142,29 @@
 }
 
 // execute carries out an action that belongs to no transaction. It runs on the engine's goroutine and returns at once.
-func (a *Agent) execute(action agent.Action) {
+func (a *Agent) execute(action api.Action) {
 	switch x := action.(type) {
-	case agent.CheckHealth:
+	case api.CheckHealth:
 		go a.checkHealth(a.lifetime, x.Backend)
-	case agent.CloseIdleConnections:
+	case api.CloseIdleConnections:
 		if target := a.backends.get(x.Backend); target != nil {
 			go target.transport.CloseIdleConnections()
 		}
-	case agent.SendMessage:
+	case api.SendMessage:
 		if a.peers != nil {
 			a.peers.enqueue(x)
 		}
-	case agent.CastVote:
+	case api.CastVote:
 		go a.submitVote(a.lifetime, x)
-	case agent.WatchBackends:
+	case api.WatchBackends:
 		if a.watchWanted.Swap(x.On) && x.On { // another beside the one that stands, which may bring nothing
 			notify(a.endpoints.watchChanged)
 			return
 		}
 		notify(a.watchRequested)
-	case agent.FetchBackends:
+	case api.FetchBackends:
 		go a.fetchBackends(a.lifetime)
-	case agent.LogLine:
+	case api.LogLine:
 		a.log.Info("module", "text", x.Text)
 	default:
 		a.log.Error("unknown_action", "action", fmt.Sprintf("%T", action))
--- a/httpagent/counters.go
+++ b/httpagent/counters.go
@@ -5,28 +5,28 @@
 	"sync/atomic"
 	"time"
 
-	"sagelever/agent"
-	"sagelever/life"
+	"sagelever/internal/agent/api"
+	"sagelever/internal/agent/transaction"
 )
 
 // outcomeCounters counts how transactions and sends ended, for a line in the log from time to time: over a fleet these lines,
 // added up, tell what each agent alone does not show.
 type outcomeCounters struct {
-	results  [life.ClientGone + 1]atomic.Int64
-	reasons  [agent.ReasonCount]atomic.Int64
-	attempts [agent.InvalidRequest + 1]atomic.Int64
+	results  [transaction.ClientGone + 1]atomic.Int64
+	reasons  [api.ReasonCount]atomic.Int64
+	attempts [api.InvalidRequest + 1]atomic.Int64
 }
 
-func (c *outcomeCounters) countResult(result life.Result) {
+func (c *outcomeCounters) countResult(result transaction.Result) {
 	c.results[result.State].Add(1)
-	if result.State == life.Deferred || result.State == life.Failed {
+	if result.State == transaction.Deferred || result.State == transaction.Failed {
 		c.reasons[result.Reason].Add(1)
 	}
 }
 
-func (c *outcomeCounters) countAttempt(o agent.Outcome) { c.attempts[o].Add(1) }
+func (c *outcomeCounters) countAttempt(o api.Outcome) { c.attempts[o].Add(1) }
 
-var attemptNames = [agent.InvalidRequest + 1]string{"ok", "fault", "rejected", "timed_out", "unreachable", "cut", "called_off", "not_sent",
+var attemptNames = [api.InvalidRequest + 1]string{"ok", "fault", "rejected", "timed_out", "unreachable", "cut", "called_off", "not_sent",
 	"spoilt", "unfit"}
 
 // takeFields gives what has been counted since the last call, without what is 0.
@@ -37,10 +37,10 @@
 		}
 	}
 	for i := range c.results {
-		put(life.State(i).String(), &c.results[i])
+		put(transaction.State(i).String(), &c.results[i])
 	}
 	for i := range c.reasons {
-		put("for_"+agent.Reason(i).String(), &c.reasons[i])
+		put("for_"+api.Reason(i).String(), &c.reasons[i])
 	}
 	for i := range c.attempts {
 		put("sends_"+attemptNames[i], &c.attempts[i])
--- a/httpagent/discovery.go
+++ b/httpagent/discovery.go
@@ -9,7 +9,7 @@
 	"net"
 	"time"
 
-	"sagelever/agent"
+	"sagelever/internal/agent/api"
 )
 
 // discoveryInstance is one entry of discovery's list, as written.
@@ -34,18 +34,18 @@
 
 // backendList is a list event with the addresses that go with it.
 type backendList struct {
-	update    agent.BackendUpdate
-	addresses map[agent.BackendID]string
+	update    api.BackendUpdate
+	addresses map[api.BackendID]string
 }
 
 // backendID is the same at every agent, as agents name appliances to each other.
-func backendID(instance string) agent.BackendID {
+func backendID(instance string) api.BackendID {
 	h := fnv.New32a()
 	io.WriteString(h, instance)
-	return agent.BackendID(h.Sum32())
+	return api.BackendID(h.Sum32())
 }
 
-var backendStates = map[string]agent.BackendState{"in_service": agent.StateUp, "terminating": agent.StateDraining, "terminated": agent.StateGone}
+var backendStates = map[string]api.BackendState{"in_service": api.StateUp, "terminating": api.StateDraining, "terminated": api.StateGone}
 
 // parseBackendList reads one object of discovery's; times in it count from the start of this agent.
 func parseBackendList(text []byte, startedAt time.Time) (*backendList, error) {
@@ -56,21 +56,21 @@
 	if parsed.Generation == nil || parsed.Instances == nil {
 		return nil, fmt.Errorf("no list: %.200q", text)
 	}
-	l := &backendList{update: agent.BackendUpdate{Kind: agent.UpdateIncremental, Version: *parsed.Generation}, addresses: map[agent.BackendID]string{}}
+	l := &backendList{update: api.BackendUpdate{Kind: api.UpdateIncremental, Version: *parsed.Generation}, addresses: map[api.BackendID]string{}}
 	if parsed.Reset {
-		l.update.Kind = agent.UpdateSnapshot
+		l.update.Kind = api.UpdateSnapshot
 	}
 	for _, instance := range parsed.Instances {
 		state, ok := backendStates[instance.Lifecycle]
 		if !ok || instance.InstanceID == "" || instance.Weight < 0 || instance.StartedAtMs < 0 {
 			return nil, fmt.Errorf("entry cannot be read: %+v", instance)
 		}
-		if _, _, err := net.SplitHostPort(instance.HostPort); err != nil && state == agent.StateUp {
+		if _, _, err := net.SplitHostPort(instance.HostPort); err != nil && state == api.StateUp {
 			return nil, fmt.Errorf("entry %q has address %q", instance.InstanceID, instance.HostPort)
 		}
-		backend := agent.Backend{ID: backendID(instance.InstanceID), Build: agent.Build(instance.Build), Cell: agent.Cell(instance.Cell),
-			MachineType: agent.MachineType(instance.MachineType), Zone: agent.Zone(instance.Zone), State: state,
-			Started: agent.UnknownStart, Weight: instance.Weight}
+		backend := api.Backend{ID: backendID(instance.InstanceID), Build: api.Build(instance.Build), Cell: api.Cell(instance.Cell),
+			MachineType: api.MachineType(instance.MachineType), Zone: api.Zone(instance.Zone), State: state,
+			Started: api.UnknownStart, Weight: instance.Weight}
 		if instance.StartedAtMs != 0 {
 			backend.Started = time.UnixMilli(instance.StartedAtMs).Sub(startedAt)
 		}
@@ -85,11 +85,11 @@
 func (a *Agent) applyList(l *backendList) {
 	a.updating.Lock()
 	defer a.updating.Unlock()
-	if current := a.listVersion.Load(); l.update.Version < current || l.update.Version == current && l.update.Kind == agent.UpdateIncremental && current > 0 {
+	if current := a.listVersion.Load(); l.update.Version < current || l.update.Version == current && l.update.Kind == api.UpdateIncremental && current > 0 {
 		a.log.Info("list_passed_over", "version", l.update.Version, "held", current, "entries", len(l.update.Backends))
 		return
 	}
-	a.log.Info("list", "version", l.update.Version, "held", a.listVersion.Load(), "whole", l.update.Kind == agent.UpdateSnapshot, "entries", len(l.update.Backends))
+	a.log.Info("list", "version", l.update.Version, "held", a.listVersion.Load(), "whole", l.update.Kind == api.UpdateSnapshot, "entries", len(l.update.Backends))
 	a.backends.update(l)
 	a.announceBackends(l)
 	a.engine.Deliver(l.update)
@@ -124,7 +124,7 @@
 			return
 		}
 		a.watchWanted.Store(false)
-		a.engine.Deliver(agent.BackendUpdate{Kind: agent.UpdateUnavailable})
+		a.engine.Deliver(api.BackendUpdate{Kind: api.UpdateUnavailable})
 	}
 }
 
@@ -171,9 +171,9 @@
 	}()
 	if err != nil {
 		a.log.Warn("fetch_failed", "error", err)
-		a.engine.Deliver(agent.BackendUpdate{Kind: agent.UpdateUnavailable})
+		a.engine.Deliver(api.BackendUpdate{Kind: api.UpdateUnavailable})
 		return
 	}
-	l.update.Kind = agent.UpdateSnapshot
+	l.update.Kind = api.UpdateSnapshot
 	a.applyList(l)
 }
--- a/httpagent/frontend.go
+++ b/httpagent/frontend.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"sagelever/agent"
-	"sagelever/engine"
+	"sagelever/internal/agent/api"
+	"sagelever/internal/agent/engine"
 	"sagelever/match"
 )
 
@@ -14,7 +14,7 @@
 
 // BackendEndpoint is where an appliance is.
 type BackendEndpoint struct {
-	ID        agent.BackendID
+	ID        api.BackendID
 	Address   string
 	Available bool // it may get sends
 }
@@ -37,21 +37,21 @@
 		return
 	}
 	var changes []BackendEndpoint
-	named := map[agent.BackendID]bool{}
+	named := map[api.BackendID]bool{}
 	for _, entry := range l.update.Backends {
 		named[entry.ID] = true
 		old, known := a.announced[entry.ID]
-		if known && (entry.State != agent.StateUp || old.Build != entry.Build || old.Started != entry.Started) {
+		if known && (entry.State != api.StateUp || old.Build != entry.Build || old.Started != entry.Started) {
 			changes = append(changes, BackendEndpoint{ID: entry.ID})
 			delete(a.announced, entry.ID)
 		}
-		if entry.State == agent.StateUp {
+		if entry.State == api.StateUp {
 			changes = append(changes, BackendEndpoint{entry.ID, l.addresses[entry.ID], true})
 			a.announced[entry.ID] = entry
 		}
 	}
 	for id := range a.announced {
-		if l.update.Kind != agent.UpdateIncremental && !named[id] {
+		if l.update.Kind != api.UpdateIncremental && !named[id] {
 			changes = append(changes, BackendEndpoint{ID: id})
 			delete(a.announced, id)
 		}
--- a/httpagent/peers.go
+++ b/httpagent/peers.go
@@ -7,7 +7,7 @@
 	"net"
 	"net/netip"
 
-	"sagelever/agent"
+	"sagelever/internal/agent/api"
 )
 
 const maxMessageSize = 256 // bytes that a message between agents may have
@@ -15,10 +15,10 @@
 // peerSocket is the datagram side of an agent.
 type peerSocket struct {
 	socket   *net.UDPConn
-	numbers  map[netip.AddrPort]agent.PeerNumber
+	numbers  map[netip.AddrPort]api.PeerNumber
 	others   []netip.AddrPort
 	all      netip.AddrPort
-	outgoing chan agent.SendMessage
+	outgoing chan api.SendMessage
 	log      *slog.Logger
 }
 
@@ -27,13 +27,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peerSocket{numbers: map[netip.AddrPort]agent.PeerNumber{}, outgoing: make(chan agent.SendMessage, 64), log: log}
+	p := &peerSocket{numbers: map[netip.AddrPort]api.PeerNumber{}, outgoing: make(chan api.SendMessage, 64), log: log}
 	for i, address := range station.Peers {
 		other, err := netip.ParseAddrPort(address)
 		if err != nil {
 			return nil, err
 		}
-		p.numbers[other] = agent.PeerNumber(i)
+		p.numbers[other] = api.PeerNumber(i)
 		p.others = append(p.others, other)
 	}
 	if station.AllPeers != "" {
@@ -46,7 +46,7 @@
 }
 
 // enqueue queues a message; like any datagram it may be lost, so a full queue drops it.
-func (p *peerSocket) enqueue(message agent.SendMessage) {
+func (p *peerSocket) enqueue(message api.SendMessage) {
 	select {
 	case p.outgoing <- message:
 	default:
@@ -89,7 +89,7 @@
 }
 
 // receiveLoop reads messages until the socket is closed. One that is too long or from nobody known is dropped.
-func (p *peerSocket) receiveLoop(deliver func(agent.Event)) {
+func (p *peerSocket) receiveLoop(deliver func(api.Event)) {
 	buffer := make([]byte, 2*maxMessageSize)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
@@ -102,6 +102,6 @@
 		if !known || n > maxMessageSize {
 			continue
 		}
-		deliver(agent.MessageReceived{From: number, Data: append([]byte(nil), buffer[:n]...)})
+		deliver(api.MessageReceived{From: number, Data: append([]byte(nil), buffer[:n]...)})
 	}
 }
--- a/httpagent/rules.go
+++ b/httpagent/rules.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"sagelever/agent"
+	"sagelever/internal/agent/api"
 	"sagelever/match"
 )
 
@@ -108,10 +108,10 @@
 		return "", requestError{http.StatusBadRequest, judgement.Refused.Error()}
 	}
 	if judgement.Key != "" {
-		request.Key = agent.AffinityKey(judgement.Key)
+		request.Key = api.AffinityKey(judgement.Key)
 	}
 	if judgement.Customer != "" {
-		request.Customer = agent.Customer(judgement.Customer)
+		request.Customer = api.Customer(judgement.Customer)
 	}
 	if judgement.Cost > 0 {
 		request.Cost, request.CostKnown = judgement.Cost, true
--- a/httpagent/station.go
+++ b/httpagent/station.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
+	"sagelever/internal/settings/deployment"
 	"sagelever/match"
-	"sagelever/terms"
 )
 
 // Station is what one agent is told when it starts: who it is, where everybody is, what it may use.
@@ -104,7 +104,7 @@
 		return fmt.Errorf("settings are missing")
 	}
 	var err error
-	if s.deploymentSettings, err = terms.Parse(s.Settings); err != nil {
+	if s.deploymentSettings, err = deployment.Parse(s.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if w, _ := s.deploymentSettings["workloads"].([]string); len(w) == 0 {
--- a/agent/events.go
+++ b/internal/agent/api/events.go
@@ -1,6 +1,6 @@
 // Package agent is the interface between an adapter and the decision module: ids, events and actions.
 // Events tell one agent what it has seen; actions are what it wants done. Nothing here decides anything.
-package agent
+package api
 
 import "time"
 
--- a/pool/pool.go
+++ b/internal/agent/connpool/pool.go
@@ -2,14 +2,14 @@
 // another is opened, when one is asked whether it lives, and when one is given up. Which appliance gets a send is
 // decided elsewhere. Like the decision module it is free of I/O and clock: it is told what happened, and when, and says
 // what to do. The two tables stand first; step reads them.
-package pool
+package connpool
 
 import (
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"sagelever/agent"
+	"sagelever/internal/agent/api"
 )
 
 // ConnID names one connection; ids are never used again.
@@ -72,7 +72,7 @@
 type Action struct {
 	Kind    ActionKind
 	Conn    ConnID
-	Backend agent.BackendID
+	Backend api.BackendID
 }
 
 // ActionKind of an act.
@@ -114,7 +114,7 @@
 
 // backend is one appliance's side of the pool.
 type backend struct {
-	id           agent.BackendID
+	id           api.BackendID
 	available    bool // may get new sends
 	conns        []*conn
 	dialFailures int // in a row
@@ -126,7 +126,7 @@
 	config   Config
 	now      time.Duration
 	random   *rand.Rand
-	backends map[agent.BackendID]*backend
+	backends map[api.BackendID]*backend
 	conns    map[ConnID]*conn
 	ordered  []*conn // by id: the same inputs lead to the same acts
 	lastID   ConnID
@@ -139,7 +139,7 @@
 
 // New makes an empty pool; chance spreads what agents would else do all at once.
 func New(config Config, seed uint64) *Pool {
-	return &Pool{config: config, random: rand.New(rand.NewPCG(seed, 1)), backends: map[agent.BackendID]*backend{}, conns: map[ConnID]*conn{}}
+	return &Pool{config: config, random: rand.New(rand.NewPCG(seed, 1)), backends: map[api.BackendID]*backend{}, conns: map[ConnID]*conn{}}
 }
 
 // apply puts an input to a link.
@@ -162,7 +162,7 @@
 }
 
 // AddBackend says that an appliance may get sends. One that was retired, or is another machine under an old id, starts anew.
-func (p *Pool) AddBackend(now time.Duration, id agent.BackendID) []Action {
+func (p *Pool) AddBackend(now time.Duration, id api.BackendID) []Action {
 	p.now = now
 	if target := p.backends[id]; target == nil || !target.available {
 		p.backends[id] = &backend{id: id, available: true}
@@ -172,7 +172,7 @@
 
 // DrainBackend says that an appliance gets no new send: it drains, has left, or another machine has its id. Connections on
 // which nothing is out are closed at once, the others when they are empty or silent.
-func (p *Pool) DrainBackend(now time.Duration, id agent.BackendID) []Action {
+func (p *Pool) DrainBackend(now time.Duration, id api.BackendID) []Action {
 	p.now = now
 	if target := p.backends[id]; target != nil {
 		target.available = false
@@ -194,7 +194,7 @@
 )
 
 // Acquire asks for a connection to an appliance. With Go the send counts as out on the link until Over.
-func (p *Pool) Acquire(now time.Duration, id agent.BackendID) (Decision, ConnID, []Action) {
+func (p *Pool) Acquire(now time.Duration, id api.BackendID) (Decision, ConnID, []Action) {
 	p.now = now
 	target := p.backends[id]
 	if target == nil {
--- a/decide/decide.go
+++ b/internal/agent/policy/decide.go
@@ -3,13 +3,13 @@
 // time since that start and one event, and carries out the actions it gets back, in order. The interface
 // (ids, events, actions) stands in package agent. Nothing here does input or output or shares state.
 // Three tables (state, input, next state, effect) stand first; run reads them.
-package decide
+package policy
 
 import (
 	"sort"
 	"time"
 
-	"sagelever/agent"
+	"sagelever/internal/agent/api"
 )
 
 var (
@@ -124,14 +124,14 @@
 }
 
 // updateBackends keeps the list. A drain or a departure holds from the moment it is told, without using the grace.
-func (b *Balancer) updateBackends(update agent.BackendUpdate) {
-	if update.Kind == agent.UpdateUnavailable {
+func (b *Balancer) updateBackends(update api.BackendUpdate) {
+	if update.Kind == api.UpdateUnavailable {
 		// A failed call to discovery is tried again after a second or two, spread by chance.
 		wait := time.Second + time.Duration(b.randomBelow(1000))*time.Millisecond
-		b.schedule(wait, func() { b.emit(agent.WatchBackends{On: true}) })
+		b.schedule(wait, func() { b.emit(api.WatchBackends{On: true}) })
 		return
 	}
-	if update.Kind != agent.UpdateCached && len(update.Backends) > 0 {
+	if update.Kind != api.UpdateCached && len(update.Backends) > 0 {
 		b.listReceived, b.listReceivedAt = true, b.now
 	}
 	b.applyList(update)
@@ -143,7 +143,7 @@
 func (b *Balancer) retryWatch() {
 	if b.now >= b.nextWatchAt && !b.listReceived && b.watchUnconfirmed() {
 		b.watchedAt, b.nextWatchAt = b.now, b.now+b.watchTimeout()+time.Duration(b.randomFloat()*float64(b.watchTimeout())/2)
-		b.emit(agent.WatchBackends{On: true})
+		b.emit(api.WatchBackends{On: true})
 	}
 }
 
