--- a/wsagent/protocol.go
+++ b/internal/agent/ws/protocol.go
@@ -1,7 +1,7 @@
 // Package wsagent is the WebSocket front: clients and appliances over RFC 6455, on the same engine, module and rules as
 // HTTP. Every message that asks for something is a transaction and gets one final answer. docs/websocket.md has the
 // protocol; this file reads and writes it.
-package wsagent
+package ws
 
 import (
 	"bytes"
--- a/wsagent/server.go
+++ b/internal/agent/ws/server.go
@@ -1,4 +1,4 @@
-package wsagent
+package ws
 
 import (
 	"bufio"
@@ -18,9 +18,9 @@
 
 	"github.com/coder/websocket"
 
-	"sagelever/agent"
-	"sagelever/engine"
-	"sagelever/life"
+	"sagelever/internal/agent/api"
+	"sagelever/internal/agent/engine"
+	"sagelever/internal/agent/transaction"
 	"sagelever/match"
 )
 
@@ -326,11 +326,11 @@
 			return
 		}
 		deadline := time.Now().Add(accepted.Timeout)
-		err := life.Run(server.host.Engine(), accepted, life.Handler{
-			Send: func(ctx context.Context, action agent.StartAttempt) life.AttemptResult {
+		err := transaction.Run(server.host.Engine(), accepted, transaction.Handler{
+			Send: func(ctx context.Context, action api.StartAttempt) transaction.AttemptResult {
 				return server.runAttempt(ctx, request, action, deadline)
 			},
-			Respond:     func(result life.Result) { c.respond(request, result) },
+			Respond:     func(result transaction.Result) { c.respond(request, result) },
 			ClientGone:  requestCtx.Done(),
 			AnswerGrace: server.host.AnswerGrace(),
 		})
@@ -341,38 +341,38 @@
 }
 
 // respond tells a client the final answer.
-func (c *clientConn) respond(request ClientRequest, result life.Result) {
+func (c *clientConn) respond(request ClientRequest, result transaction.Result) {
 	switch message := (ClientMessage{ID: request.ID}); result.State {
-	case life.Succeeded:
+	case transaction.Succeeded:
 		message.Type, message.ContentType, message.Body = "satisfied", result.Response.ContentType, result.Response.Body
 		c.enqueue(message)
-	case life.Deferred:
+	case transaction.Deferred:
 		message.Type, message.RetryMS = "deferred", float64(result.RetryAfter)/float64(time.Millisecond)
 		c.enqueue(message)
-	case life.DeadlineExceeded:
+	case transaction.DeadlineExceeded:
 		c.server.log.Error("overdue", "transaction", request.ID)
 		message.Type = "broken_off"
 		c.enqueue(message)
-	case life.Failed:
+	case transaction.Failed:
 		message.Type = "broken_off"
 		c.enqueue(message)
 	}
 }
 
 // runAttempt sends a transaction to an appliance.
-func (s *Server) runAttempt(ctx context.Context, request ClientRequest, action agent.StartAttempt, deadline time.Time) life.AttemptResult {
+func (s *Server) runAttempt(ctx context.Context, request ClientRequest, action api.StartAttempt, deadline time.Time) transaction.AttemptResult {
 	remaining := time.Until(deadline)
 	if action.Timeout > 0 {
 		remaining = min(remaining, action.Timeout)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, remaining, life.ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(ctx, remaining, transaction.ErrTimedOut)
 	defer cancel()
 	response, err := s.backends.Send(ctx, action.Backend, BackendRequest{ID: request.ID, Method: request.Method, Path: request.Path, Key: request.Key, Header: request.Header,
 		LeftUS: max(remaining.Microseconds(), 1), Idempotency: request.Idempotency, Body: request.Body})
-	result := life.AttemptResult{Outcome: OutcomeOf(response, err)}
+	result := transaction.AttemptResult{Outcome: OutcomeOf(response, err)}
 	if err == nil {
-		result.Load = life.ParseLoadReport(response.Load)
-		result.Response = &life.Response{ContentType: response.ContentType, Body: response.Body, Release: func() {}}
+		result.Load = transaction.ParseLoadReport(response.Load)
+		result.Response = &transaction.Response{ContentType: response.ContentType, Body: response.Body, Release: func() {}}
 	}
 	return result
 }
@@ -430,12 +430,12 @@
 }
 
 // accept says what the module has to know of a message, by the protocol's words and the operator's rules.
-func (s *Server) accept(request ClientRequest, peer string) (agent.TransactionAccepted, error) {
+func (s *Server) accept(request ClientRequest, peer string) (api.TransactionAccepted, error) {
 	deployment := s.host.Deployment()
 	subject := ruleSubject{ClientRequest: request, peer: peer}
 	name := subject.Segments()[0]
 	subject.effect = deployment.Effects[name]
-	accepted := agent.TransactionAccepted{ID: agent.TransactionID(request.ID), Key: agent.AffinityKey(request.Key), Cost: request.workHint(), CostKnown: request.workHint() > 0, IsRetry: request.IsRetry}
+	accepted := api.TransactionAccepted{ID: api.TransactionID(request.ID), Key: api.AffinityKey(request.Key), Cost: request.workHint(), CostKnown: request.workHint() > 0, IsRetry: request.IsRetry}
 	if rules := s.host.Judge(); rules != nil {
 		judgement := rules.Judge(subject)
 		if judgement.Refused != nil {
@@ -445,9 +445,9 @@
 			name = judgement.Workload
 		}
 		if judgement.Key != "" {
-			accepted.Key = agent.AffinityKey(judgement.Key)
+			accepted.Key = api.AffinityKey(judgement.Key)
 		}
-		accepted.Customer = agent.Customer(judgement.Customer)
+		accepted.Customer = api.Customer(judgement.Customer)
 		if judgement.Cost > 0 {
 			accepted.Cost, accepted.CostKnown = judgement.Cost, true
 		}
@@ -462,7 +462,7 @@
 	case sent.Sent() < match.RepeatableBy(effect):
 		return accepted, errors.New("a " + effect + " workload is not asked for so: GET without a body, or POST with idempotency, is wanted")
 	}
-	accepted.Workload = agent.Workload(name)
+	accepted.Workload = api.Workload(name)
 	timeout, maximum := s.host.Timeouts(name)
 	if accepted.Timeout = timeout; request.timeout() > 0 {
 		accepted.Timeout = max(min(request.timeout(), maximum), 1)
--- a/wsagent/subscriptions.go
+++ b/internal/agent/ws/subscriptions.go
@@ -1,4 +1,4 @@
-package wsagent
+package ws
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"sagelever/agent"
-	"sagelever/life"
+	"sagelever/internal/agent/api"
+	"sagelever/internal/agent/transaction"
 )
 
 // A subscription is a transaction with one final answer. What is pushed after it reaches the client in order and at most
@@ -70,34 +70,34 @@
 }
 
 // open asks an appliance for the subscription, as a transaction, and gives its final answer.
-func (s *clientSubscription) open(clientGone context.Context, accepted agent.TransactionAccepted, respond func(life.Result)) (*Subscription, error) {
+func (s *clientSubscription) open(clientGone context.Context, accepted api.TransactionAccepted, respond func(transaction.Result)) (*Subscription, error) {
 	server := s.conn.server
 	s.mu.Lock()
 	s.current = nil
 	after := s.lastSeq
 	s.mu.Unlock()
 	var mu sync.Mutex
-	from := map[*life.Response]*backendSubscription{}
+	from := map[*transaction.Response]*backendSubscription{}
 	var chosen *backendSubscription
 	deadline := time.Now().Add(accepted.Timeout)
-	runAttempt := func(ctx context.Context, action agent.StartAttempt) life.AttemptResult {
+	runAttempt := func(ctx context.Context, action api.StartAttempt) transaction.AttemptResult {
 		remaining := time.Until(deadline)
-		ctx, cancel := context.WithTimeoutCause(ctx, remaining, life.ErrTimedOut)
+		ctx, cancel := context.WithTimeoutCause(ctx, remaining, transaction.ErrTimedOut)
 		defer cancel()
 		src := &backendSubscription{}
 		response, subscription, err := server.backends.Subscribe(ctx, action.Backend, BackendRequest{ID: string(accepted.ID), Method: s.request.Method, Path: s.request.Path,
 			Key: s.request.Key, Header: s.request.Header, LeftUS: max(remaining.Microseconds(), 1), Topic: s.request.Topic, After: after},
 			func(push BackendResponse) { s.receivePush(src, push) })
-		result := life.AttemptResult{Outcome: OutcomeOf(response, err)}
+		result := transaction.AttemptResult{Outcome: OutcomeOf(response, err)}
 		if err != nil {
 			return result
 		}
-		if result.Load = life.ParseLoadReport(response.Load); result.Outcome != agent.Succeeded {
+		if result.Load = transaction.ParseLoadReport(response.Load); result.Outcome != api.Succeeded {
 			subscription.Close()
 			return result
 		}
 		src.subscription = subscription
-		result.Response = &life.Response{ContentType: response.ContentType, Body: response.Body, Release: func() {
+		result.Response = &transaction.Response{ContentType: response.ContentType, Body: response.Body, Release: func() {
 			mu.Lock()
 			defer mu.Unlock()
 			if chosen != src { // a second copy, or nobody waits any more
@@ -109,9 +109,9 @@
 		mu.Unlock()
 		return result
 	}
-	err := life.Run(server.host.Engine(), accepted, life.Handler{Send: runAttempt, ClientGone: clientGone.Done(), AnswerGrace: server.host.AnswerGrace(),
-		Respond: func(final life.Result) {
-			if final.State == life.Succeeded {
+	err := transaction.Run(server.host.Engine(), accepted, transaction.Handler{Send: runAttempt, ClientGone: clientGone.Done(), AnswerGrace: server.host.AnswerGrace(),
+		Respond: func(final transaction.Result) {
+			if final.State == transaction.Succeeded {
 				mu.Lock()
 				chosen = from[final.Response]
 				mu.Unlock()
@@ -137,9 +137,9 @@
 
 // subscribe is a subscription's life: its transaction, and then its pushes and moves until the client ends it or the
 // agent leaves.
-func (c *clientConn) subscribe(ctx context.Context, request ClientRequest, accepted agent.TransactionAccepted) {
+func (c *clientConn) subscribe(ctx context.Context, request ClientRequest, accepted api.TransactionAccepted) {
 	subscription := &clientSubscription{conn: c, request: request, lastSeq: request.After}
-	source, err := subscription.open(ctx, accepted, func(result life.Result) { c.respond(request, result) })
+	source, err := subscription.open(ctx, accepted, func(result transaction.Result) { c.respond(request, result) })
 	if err != nil {
 		c.enqueue(ClientMessage{Type: "error", ID: request.ID, Error: err.Error()})
 	}
@@ -170,9 +170,9 @@
 		case <-time.After(rand.N(50 * time.Millisecond << moves)):
 		}
 		again := accepted
-		again.ID = agent.TransactionID(fmt.Sprintf("%s~%d", request.ID, rand.Uint64())) // a transaction of its own
-		source, _ = subscription.open(ctx, again, func(result life.Result) {
-			if result.State == life.Succeeded {
+		again.ID = api.TransactionID(fmt.Sprintf("%s~%d", request.ID, rand.Uint64())) // a transaction of its own
+		source, _ = subscription.open(ctx, again, func(result transaction.Result) {
+			if result.State == transaction.Succeeded {
 				c.enqueue(ClientMessage{Type: "moved", ID: request.ID, Topic: request.Topic})
 			}
 		})
--- a/cmd/accord/seat/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package seat is the command line of accord.
-package seat
+// Package cli is the command line of loadbalancer.
+package cli
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"sagelever/boot"
-	"sagelever/relay"
-	"sagelever/steward"
+	"sagelever/internal/control/server"
+	"sagelever/internal/proxy"
+	"sagelever/internal/settings"
 )
 
 // Exit codes.
@@ -30,18 +30,18 @@
 
 // Main runs the program and gives its exit code.
 func Main(args []string) int {
-	settingsPath, perZone, level := boot.Path(), 1, "info"
-	parser := flaggy.NewParser("accord")
-	parser.Description = "a global load balancer: relays carry the traffic, stewards keep what they need to know"
+	settingsPath, perZone, level := settings.Path(), 1, "info"
+	parser := flaggy.NewParser("loadbalancer")
+	parser.Description = "a global load balancer: proxies carry the traffic, controllers keep what they need to know"
 	parser.ShowHelpOnUnexpected = true
 	parser.DisableShowVersionWithVersion()
-	parser.String(&settingsPath, "c", "config", "the settings file (default: SAGELEVER_CONFIG, or "+boot.DefaultPath+")")
+	parser.String(&settingsPath, "c", "config", "the settings file (default: SAGELEVER_CONFIG, or "+settings.DefaultPath+")")
 	parser.String(&level, "l", "log", "debug, info, warn or error")
-	proxyCommand := flaggy.NewSubcommand("relay")
-	proxyCommand.Description = "carries clients' requests to appliances"
-	controllerCommand := flaggy.NewSubcommand("steward")
-	controllerCommand.Description = "a member of the core: configuration, appliances, leases, rollouts"
-	controllerCommand.Int(&perZone, "z", "per-zone", "members of the core in each zone, as count in the deploy file")
+	proxyCommand := flaggy.NewSubcommand("proxy")
+	proxyCommand.Description = "carries clients' requests to backends"
+	controllerCommand := flaggy.NewSubcommand("controller")
+	controllerCommand.Description = "a member of the control group: configuration, backends, leases, releases"
+	controllerCommand.Int(&perZone, "z", "per-zone", "members of the control group in each zone, as count in the deploy file")
 	checkCommand := flaggy.NewSubcommand("check")
 	checkCommand.Description = "reads the settings file and says what is wrong with it"
 	for _, c := range []*flaggy.Subcommand{proxyCommand, controllerCommand, checkCommand} {
@@ -64,7 +64,7 @@
 		return exitUsage
 	}
 	defer log.Sync()
-	config, err := boot.Read(settingsPath)
+	config, err := settings.Read(settingsPath)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -79,12 +79,12 @@
 		fmt.Println("the settings are sound")
 		return exitOK
 	case proxyCommand.Used:
-		r := relay.New(relay.Options{Settings: config, Log: log})
+		r := proxy.New(proxy.Options{Settings: config, Log: log})
 		go watchSettings(reloadCtx, hangups, settingsPath, log, r.Reload)
 		err = r.Run(ctx)
 	case controllerCommand.Used:
-		var s *steward.Server
-		if s, err = steward.New(steward.Options{Settings: config, MembersPerZone: perZone, Log: log}); err == nil {
+		var s *server.Server
+		if s, err = server.New(server.Options{Settings: config, MembersPerZone: perZone, Log: log}); err == nil {
 			go watchSettings(reloadCtx, hangups, settingsPath, log, s.Reload)
 			err = s.Run(ctx)
 		}
@@ -111,7 +111,7 @@
 }
 
 // watchSettings reads the settings again at SIGHUP, and when the file has changed. One that can't be read changes nothing.
-func watchSettings(ctx context.Context, hangups <-chan os.Signal, path string, log *zap.Logger, reload func(*boot.Settings)) {
+func watchSettings(ctx context.Context, hangups <-chan os.Signal, path string, log *zap.Logger, reload func(*settings.Settings)) {
 	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 	seen := fileFingerprint(path)
@@ -126,7 +126,7 @@
 			}
 		}
 		seen = fileFingerprint(path)
-		s, err := boot.Read(path)
+		s, err := settings.Read(path)
 		if err != nil {
 			log.Warn("the settings stay as they are", zap.Error(err))
 			continue
--- a/cmd/accord/seat/drains.go
+++ b/internal/cli/drains.go
@@ -1,4 +1,4 @@
-package seat
+package cli
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"github.com/integrii/flaggy"
 	"github.com/mailru/easyjson"
 
-	"sagelever/boot"
-	"sagelever/ebb"
-	"sagelever/helm"
+	"sagelever/internal/control/client"
+	"sagelever/internal/control/drain"
+	"sagelever/internal/settings"
 )
 
 // The operator's words on drains, and how they are given.
@@ -59,14 +59,14 @@
 	}
 	addresses := strings.FieldsFunc(d.contacts, func(r rune) bool { return r == ',' || r == ' ' })
 	if len(addresses) == 0 {
-		s, err := boot.Read(settingsPath)
+		s, err := settings.Read(settingsPath)
 		if err != nil {
 			fmt.Fprintln(errOut, errors.Wrap(err, "no --at is given"))
 			return exitUsage
 		}
 		addresses = s.SeedAddresses
 	}
-	client := helm.New(addresses)
+	operator := client.New(addresses)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	say := func(text string) {
@@ -76,17 +76,17 @@
 	}
 	switch {
 	case d.undrain.Used:
-		err = client.Undrain(ctx, d.target)
+		err = operator.Undrain(ctx, d.target)
 	case d.list.Used:
-		var list []ebb.Progress
-		if list, err = client.ListDrains(ctx, d.target); err == nil {
+		var list []drain.Progress
+		if list, err = operator.ListDrains(ctx, d.target); err == nil {
 			d.printDrains(out, list)
 		}
 	case d.paced:
-		err = client.DrainGradually(ctx, d.target, say)
+		err = operator.DrainGradually(ctx, d.target, say)
 	default:
-		var answer *ebb.Response
-		if answer, err = client.Drain(ctx, d.target, d.force); err == nil && answer.AlreadyActive {
+		var answer *drain.Response
+		if answer, err = operator.Drain(ctx, d.target, d.force); err == nil && answer.AlreadyActive {
 			say(d.target + " was drained already")
 		}
 		if err == nil && len(answer.Unresponsive) > 0 {
@@ -95,25 +95,25 @@
 	}
 	switch {
 	case err == nil && d.drain.Used && d.wait:
-		return d.waitUntilDrained(ctx, client, out, errOut, say)
+		return d.waitUntilDrained(ctx, operator, out, errOut, say)
 	case err == nil:
 		return exitOK
 	}
 	fmt.Fprintln(errOut, err)
-	if _, ok := errors.Into[*helm.InsufficientCapacityError](err); ok {
+	if _, ok := errors.Into[*client.InsufficientCapacityError](err); ok {
 		return exitNoCapacity
 	}
 	return exitFailed
 }
 
 // waitUntilDrained shows progress until nothing is left, or says what is.
-func (d *drainCommands) waitUntilDrained(ctx context.Context, client *helm.Client, out, errOut io.Writer, say func(string)) int {
-	var last []ebb.Progress
+func (d *drainCommands) waitUntilDrained(ctx context.Context, operator *client.Client, out, errOut io.Writer, say func(string)) int {
+	var last []drain.Progress
 	for printed := ""; ; {
-		list, err := client.ListDrains(ctx, d.target)
+		list, err := operator.ListDrains(ctx, d.target)
 		if err == nil && len(list) > 0 {
 			last = list
-			if text := helm.Summary(list[0]); text != printed {
+			if text := client.Summary(list[0]); text != printed {
 				printed = text
 				say(text)
 			}
@@ -136,11 +136,11 @@
 	}
 }
 
-func (d *drainCommands) printDrains(out io.Writer, list []ebb.Progress) {
+func (d *drainCommands) printDrains(out io.Writer, list []drain.Progress) {
 	if !d.json {
-		helm.WriteTable(out, list)
+		client.WriteTable(out, list)
 		return
 	}
-	b, _ := easyjson.Marshal(&ebb.ProgressList{Drains: list}) // texts and whole numbers only: it cannot fail
+	b, _ := easyjson.Marshal(&drain.ProgressList{Drains: list}) // texts and whole numbers only: it cannot fail
 	fmt.Fprintf(out, "%s\n", b)
 }
--- a/helm/client.go
+++ b/internal/control/client/client.go
@@ -1,6 +1,6 @@
 // Package helm is an operator's side of the system: it calls the agents that serve steering, as every caller does, and
 // writes for people what they tell.
-package helm
+package client
 
 import (
 	"bytes"
@@ -15,8 +15,7 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
-	"sagelever/ebb"
-	"sagelever/plan"
+	"sagelever/internal/control/drain"
 )
 
 const (
@@ -112,7 +111,7 @@
 }
 
 // InsufficientCapacityError is a removal that was refused as it would leave too little room.
-type InsufficientCapacityError struct{ ebb.Response }
+type InsufficientCapacityError struct{ drain.Response }
 
 func (n *InsufficientCapacityError) Error() string {
 	var text strings.Builder
@@ -127,12 +126,12 @@
 }
 
 // Drain has something get no new work. It returns *InsufficientCapacityError where too little would be left and force is not given.
-func (c *Client) Drain(ctx context.Context, target string, force bool) (*ebb.Response, error) {
-	body, err := easyjson.Marshal(&plan.BeginRequest{Target: target, Force: force})
+func (c *Client) Drain(ctx context.Context, target string, force bool) (*drain.Response, error) {
+	body, err := easyjson.Marshal(&drain.BeginRequest{Target: target, Force: force})
 	if err != nil {
 		return nil, err
 	}
-	response := &ebb.Response{}
+	response := &drain.Response{}
 	err = c.Call(ctx, "drains.begin", "", body, response)
 	if rejected, ok := errors.Into[*RejectedError](err); ok && rejected.Status == http.StatusConflict {
 		if easyjson.Unmarshal(rejected.Body, response) == nil && len(response.Shortfalls) > 0 {
@@ -152,8 +151,8 @@
 }
 
 // ListDrains tells how far the drains have come: all, or the one that is named.
-func (c *Client) ListDrains(ctx context.Context, target string) ([]ebb.Progress, error) {
-	response := &ebb.ProgressList{}
+func (c *Client) ListDrains(ctx context.Context, target string) ([]drain.Progress, error) {
+	response := &drain.ProgressList{}
 	err := c.Call(ctx, "drains.read", target, nil, response)
 	return response.Drains, err
 }
--- a/helm/table.go
+++ b/internal/control/client/table.go
@@ -1,4 +1,4 @@
-package helm
+package client
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"text/tabwriter"
 	"time"
 
-	"sagelever/ebb"
+	"sagelever/internal/control/drain"
 )
 
 // WriteTable writes drains as a table for people: under each what stands in its way.
-func WriteTable(w io.Writer, drains []ebb.Progress) {
+func WriteTable(w io.Writer, drains []drain.Progress) {
 	if len(drains) == 0 {
 		fmt.Fprintln(w, "nothing is drained")
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-func stateName(progress ebb.Progress) string {
+func stateName(progress drain.Progress) string {
 	if progress.Done {
 		return "done"
 	}
@@ -37,7 +37,7 @@
 }
 
 // Blockers say what a drain waits for, by node.
-func Blockers(progress ebb.Progress) (blockers []string) {
+func Blockers(progress drain.Progress) (blockers []string) {
 	for _, n := range progress.BlockingProxies {
 		var parts []string
 		if n.MaySend {
@@ -58,7 +58,7 @@
 }
 
 // Summary is one drain in one line.
-func Summary(progress ebb.Progress) string {
+func Summary(progress drain.Progress) string {
 	if progress.Done {
 		return fmt.Sprintf("%s: nothing is left at %d appliances", progress.Target, len(progress.Backends))
 	}
--- a/plan/commit.go
+++ b/internal/control/config/commit.go
@@ -1,4 +1,4 @@
-package plan
+package config
 
 import (
 	"bytes"
--- a/plan/validate.go
+++ b/internal/control/config/validate.go
@@ -1,4 +1,4 @@
-package plan
+package config
 
 import (
 	"strings"
@@ -7,8 +7,8 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
-	"sagelever/boot"
 	"sagelever/internal/control/quorum"
+	"sagelever/internal/settings"
 )
 
 // Kinds of items. The limits are one item, whose name is empty.
@@ -162,7 +162,7 @@
 	case *RouteBody:
 		return value, value.validate()
 	case *ServiceBody:
-		if _, err := boot.ParseDuration(SpanOrZero(value.WarmUp)); err != nil {
+		if _, err := settings.ParseDuration(SpanOrZero(value.WarmUp)); err != nil {
 			return nil, errors.Wrap(err, "warmUp")
 		}
 		if value.MaxConnections < 0 || value.WarmUpRatePerSecond < 0 {
@@ -170,7 +170,7 @@
 		}
 	case *LimitsBody:
 		for _, text := range []string{value.HeaderTimeout, value.IdleTimeout} {
-			if _, err := boot.ParseDuration(text); err != nil {
+			if _, err := settings.ParseDuration(text); err != nil {
 				return nil, errors.Wrap(err, "headWait, quiet")
 			}
 		}
@@ -195,11 +195,11 @@
 	if r.Kind != "harmless" && r.Kind != "risky" {
 		return errors.Errorf("kind: %q is neither harmless nor risky", r.Kind)
 	}
-	giveUp, err := boot.ParseDuration(r.Timeout)
+	giveUp, err := settings.ParseDuration(r.Timeout)
 	if err != nil || giveUp == 0 || giveUp > maxTimeout {
 		return errors.Errorf("giveUp: %q: want a time up to ten minutes", r.Timeout)
 	}
-	target, err := boot.ParseDuration(SpanOrZero(r.LatencyTarget))
+	target, err := settings.ParseDuration(SpanOrZero(r.LatencyTarget))
 	if err != nil || target >= giveUp+maxTargetOverTimeout {
 		return errors.Errorf("target_time: %q: want a time less than a minute over giveUp", r.LatencyTarget)
 	}
--- a/plan/wire.go
+++ b/internal/control/config/wire.go
@@ -1,6 +1,6 @@
 // Package plan is the configuration: its items as operators send them, what makes a call valid, and the table that a
 // relay routes by. It is pure.
-package plan
+package config
 
 import (
 	"encoding/json"
--- a/plan/dedup.go
+++ b/internal/control/dedup/dedup.go
@@ -1,4 +1,4 @@
-package plan
+package dedup
 
 import (
 	"slices"
@@ -17,8 +17,8 @@
 // for what the clocks of the agents that take it may differ.
 func ResendWindow(confirmTimeout time.Duration) time.Duration { return confirmTimeout + MaxClockSkew }
 
-// maxAppliedOrders bounds the orders that a register remembers beyond the one that it holds.
-const maxAppliedOrders = 16
+// MaxAppliedOrders bounds the orders that a register remembers beyond the one that it holds.
+const MaxAppliedOrders = 16
 
 // AppliedOrder is an order that was taken.
 type AppliedOrder struct {
@@ -54,7 +54,7 @@
 		return t.Order == order || !withinWindow(t, now, window)
 	})
 	kept = append(kept, AppliedOrder{order, now.UnixMilli()})
-	return AppliedOrders{kept[max(0, len(kept)-maxAppliedOrders):]}
+	return AppliedOrders{kept[max(0, len(kept)-MaxAppliedOrders):]}
 }
 
 func withinWindow(applied AppliedOrder, now time.Time, window time.Duration) bool {
--- a/plan/drain.go
+++ b/internal/control/drain/drain.go
@@ -1,4 +1,4 @@
-package plan
+package drain
 
 import (
 	"slices"
@@ -8,6 +8,7 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/dedup"
 	"sagelever/internal/control/quorum"
 )
 
@@ -148,7 +149,7 @@
 	return func(current quorum.Value) quorum.Value {
 		next := change(current)
 		if next.Version != current.Version {
-			next.Annotation = ReadAppliedOrders(current).With(order, now, window).Encode()
+			next.Annotation = dedup.ReadAppliedOrders(current).With(order, now, window).Encode()
 		}
 		return next
 	}
@@ -166,7 +167,7 @@
 
 func orderRecorded(registers map[string]quorum.Value, order string, now time.Time, window time.Duration) bool {
 	for key, v := range registers {
-		if strings.HasPrefix(key, ListKeyPrefix) && ReadAppliedOrders(v).Contains(order, now, window) {
+		if strings.HasPrefix(key, ListKeyPrefix) && dedup.ReadAppliedOrders(v).Contains(order, now, window) {
 			return true
 		}
 	}
--- a/plan/evacuation.go
+++ b/internal/control/drain/evacuation.go
@@ -1,10 +1,11 @@
-package plan
+package drain
 
 import (
 	"strconv"
 	"strings"
 	"time"
 
+	"sagelever/internal/control/dedup"
 	"sagelever/internal/control/quorum"
 )
 
@@ -87,13 +88,13 @@
 // the last one counts as heard.
 func SetEvacuationOnce(evacuate bool, acknowledged uint64, now time.Time, window time.Duration) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
-		applied := ReadAppliedOrders(current)
+		applied := dedup.ReadAppliedOrders(current)
 		if len(applied.Orders) > 0 && !applied.Contains(evacuationOrder, now, window) {
 			acknowledged = current.Version
 		}
 		next := SetEvacuation(evacuate, acknowledged)(current)
 		if next.Version != current.Version {
-			next.Annotation = AppliedOrders{}.With(evacuationOrder, now, window).Encode()
+			next.Annotation = dedup.AppliedOrders{}.With(evacuationOrder, now, window).Encode()
 		}
 		return next
 	}
--- a/internal/control/replica/messages.go
+++ b/internal/control/message/messages.go
@@ -1,11 +1,11 @@
-package replica
+package message
 
 import (
-	"sagelever/ebb"
+	"sagelever/internal/control/drain"
 	"sagelever/internal/control/membership"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/rangesync"
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
 )
 
 // Member is a member of the core, or an agent that would be one, as agents tell one another.
@@ -18,23 +18,23 @@
 //
 //easyjson:json
 type PullRequest struct {
-	From            Member            `json:"f"`
-	Role            string            `json:"r"` // Core or Edge
-	ProtocolVersion int               `json:"g,omitempty"`
-	LegacyVector    map[string]uint64 `json:"v,omitempty"` // how far it has come, by the source's own numbers, with the first version
-	Progress        lore.Vector       `json:"u,omitempty"` // how far it has come, by every source's numbers
-	WaitMs          int64             `json:"w"`           // how long the answer may wait for news
-	ListenerAddr    string            `json:"c"`           // where clients reach an edge agent; empty while they should not
-	Incarnation     uint64            `json:"l"`           // the caller's life, and how often its lease has changed
-	Ended           bool              `json:"e,omitempty"`
-	MembersOnly     bool              `json:"m,omitempty"` // asks only who the members are
-	SurveyID        uint64            `json:"k,omitempty"` // the last census of the source that it has answered
-	KnownEpoch      uint64            `json:"b,omitempty"` // of a replica: the newest epoch that it knows
-	Ready           bool              `json:"y,omitempty"` // of one that is no member: it holds all that a member held; see membership.Candidate
-	PeerActiveEpoch uint64            `json:"o,omitempty"` // the epoch in which the member that is asked acts, as the caller knows
-	Leaving         bool              `json:"x,omitempty"` // of a member: its process is about to end
-	DiskGeneration  uint64            `json:"h,omitempty"` // of a replica: the generation of its disk
-	ResetCount      int               `json:"-"`           // the caller's own: how often what it knew was given up
+	From            Member             `json:"f"`
+	Role            string             `json:"r"` // Core or Edge
+	ProtocolVersion int                `json:"g,omitempty"`
+	LegacyVector    map[string]uint64  `json:"v,omitempty"` // how far it has come, by the source's own numbers, with the first version
+	Progress        replication.Vector `json:"u,omitempty"` // how far it has come, by every source's numbers
+	WaitMs          int64              `json:"w"`           // how long the answer may wait for news
+	ListenerAddr    string             `json:"c"`           // where clients reach an edge agent; empty while they should not
+	Incarnation     uint64             `json:"l"`           // the caller's life, and how often its lease has changed
+	Ended           bool               `json:"e,omitempty"`
+	MembersOnly     bool               `json:"m,omitempty"` // asks only who the members are
+	SurveyID        uint64             `json:"k,omitempty"` // the last census of the source that it has answered
+	KnownEpoch      uint64             `json:"b,omitempty"` // of a replica: the newest epoch that it knows
+	Ready           bool               `json:"y,omitempty"` // of one that is no member: it holds all that a member held; see membership.Candidate
+	PeerActiveEpoch uint64             `json:"o,omitempty"` // the epoch in which the member that is asked acts, as the caller knows
+	Leaving         bool               `json:"x,omitempty"` // of a member: its process is about to end
+	DiskGeneration  uint64             `json:"h,omitempty"` // of a replica: the generation of its disk
+	ResetCount      int                `json:"-"`           // the caller's own: how often what it knew was given up
 }
 
 // Roles of agents.
@@ -50,9 +50,9 @@
 	Source           string              `json:"s"`
 	ProtocolVersion  int                 `json:"g,omitempty"`
 	Seq              uint64              `json:"q"`
-	Items            []lore.Item         `json:"i"`
+	Items            []replication.Item  `json:"i"`
 	Origins          []string            `json:"j,omitempty"` // of the items
-	Progress         lore.Vector         `json:"u,omitempty"` // how far one that has taken these has come, where further than it said
+	Progress         replication.Vector  `json:"u,omitempty"` // how far one that has taken these has come, where further than it said
 	DroppedOrigins   []string            `json:"x,omitempty"` // of what an edge agent said: lives of which nothing is left
 	Complete         bool                `json:"w,omitempty"` // all that the source has
 	HasQuorum        bool                `json:"o"`           // the source has caught up and hears more than half of the core
@@ -71,11 +71,11 @@
 //
 //easyjson:json
 type InFlightReport struct {
-	From          Member                 `json:"f"`
-	SurveyID      uint64                 `json:"k"`
-	DrainVersions map[string]uint64      `json:"d,omitempty"` // by zone: the version of the drains that it goes by
-	Rows          []lore.BackendInFlight `json:"o,omitempty"`
-	Loads         []ebb.ServiceLoad      `json:"l,omitempty"`
+	From          Member                        `json:"f"`
+	SurveyID      uint64                        `json:"k"`
+	DrainVersions map[string]uint64             `json:"d,omitempty"` // by zone: the version of the drains that it goes by
+	Rows          []replication.BackendInFlight `json:"o,omitempty"`
+	Loads         []drain.ServiceLoad           `json:"l,omitempty"`
 }
 
 // InFlightSurvey is what a member has heard of the agents that hold a lease from it.
@@ -87,7 +87,7 @@
 }
 
 // OriginOf is who told an item first; the source where the message does not say.
-func (r *PullResponse) OriginOf(item lore.Item) string {
+func (r *PullResponse) OriginOf(item replication.Item) string {
 	if item.OriginIndex >= 0 && item.OriginIndex < len(r.Origins) {
 		return r.Origins[item.OriginIndex]
 	}
@@ -146,7 +146,7 @@
 )
 
 // Unclaim takes back what an answer claims of the items that are left over.
-func (n *PullResponse) Unclaim(left []lore.Item, come lore.Vector) {
+func (n *PullResponse) Unclaim(left []replication.Item, come replication.Vector) {
 	lowest := map[string]uint64{}
 	for _, it := range left {
 		origin := n.OriginOf(it)
@@ -164,9 +164,9 @@
 }
 
 // ProgressReports are a census's answers as a drain's progress is told by them.
-func (s InFlightSurvey) ProgressReports() (reports []ebb.ProxyReport, loads []ebb.ServiceLoad) {
+func (s InFlightSurvey) ProgressReports() (reports []drain.ProxyReport, loads []drain.ServiceLoad) {
 	for _, report := range s.Reports {
-		progress := ebb.ProxyReport{Proxy: report.From.Node, Zone: report.From.Zone, DrainVersions: report.DrainVersions, InFlight: map[string][2]int{}}
+		progress := drain.ProxyReport{Proxy: report.From.Node, Zone: report.From.Zone, DrainVersions: report.DrainVersions, InFlight: map[string][2]int{}}
 		for _, row := range report.Rows {
 			progress.InFlight[row.BackendID] = [2]int{row.Idempotent, row.NonIdempotent}
 		}
--- a/plan/release.go
+++ b/internal/control/release/release.go
@@ -1,10 +1,11 @@
-package plan
+package release
 
 import (
 	"time"
 
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/dedup"
 	"sagelever/internal/control/quorum"
 )
 
@@ -56,7 +57,7 @@
 // StartOnce is Begin for an order that may be one sent again: the same target in the same time, within the term.
 func StartOnce(target string, duration time.Duration, now time.Time, window time.Duration) quorum.UpdateFunc {
 	order := duration.String() + " " + target
-	return ApplyOnce(order, now, window, Start(target, duration, now))
+	return dedup.ApplyOnce(order, now, window, Start(target, duration, now))
 }
 
 // End ends a release that is under way. One that is decided stays as it is, so that of two decisions that race the
--- a/plan/votes.go
+++ b/internal/control/release/votes.go
@@ -1,6 +1,6 @@
-package plan
+package release
 
-import "sagelever/lore"
+import "sagelever/internal/control/replication"
 
 // Votes of an agent on a release.
 const (
@@ -10,7 +10,7 @@
 
 // CountVotes adds the agents' votes up to a phase, or to none. One vote back ends the trial: it is cast on the evidence of all,
 // and the sooner it counts the fewer bad answers come. All who see requests of the service have to vote on.
-func CountVotes(number uint64, tallies []*lore.ReleaseTally) string {
+func CountVotes(number uint64, tallies []*replication.ReleaseTally) string {
 	finishVotes, voters := 0, 0
 	for _, tally := range tallies {
 		if tally.ReleaseNumber != number {
--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -6,21 +6,22 @@
 	"strings"
 	"time"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
-	"sagelever/lore"
-	"sagelever/plan"
+	"sagelever/internal/control/release"
+	"sagelever/internal/control/replication"
 )
 
 // RecordHeartbeat takes an appliance's word of itself; the address of the member where its next had best go, empty for here.
-func (r *Replica) RecordHeartbeat(now time.Time, id string, heartbeat *lore.Heartbeat) (redirect Member) {
-	key := lore.BackendKey + id
+func (r *Replica) RecordHeartbeat(now time.Time, id string, heartbeat *replication.Heartbeat) (redirect message.Member) {
+	key := replication.BackendKey + id
 	current, known := r.items.Get(key)
-	if !known || current.Version < lore.BackendVersion(heartbeat.CallCount, false) { // else late, or from a life that has left
+	if !known || current.Version < replication.BackendVersion(heartbeat.CallCount, false) { // else late, or from a life that has left
 		previous := r.backends[id]
-		if published, ok := lore.ReadBackend(current); known && ok && (previous == nil || published.Owner != r.config.Self.Node || published.Phase != previous.Phase) {
+		if published, ok := replication.ReadBackend(current); known && ok && (previous == nil || published.Owner != r.config.Self.Node || published.Phase != previous.Phase) {
 			previous = published
 		}
-		item, backend, changed := lore.UpdateFromHeartbeat(id, heartbeat, previous, r.config.Self.Node, now)
+		item, backend, changed := replication.UpdateFromHeartbeat(id, heartbeat, previous, r.config.Self.Node, now)
 		if changed {
 			r.mergeLocal(item)
 		} else {
@@ -30,20 +31,20 @@
 		r.liveness.RecordHeartbeat(id, now)
 	}
 	if heartbeat.Zone == r.config.Self.Zone {
-		return Member{}
+		return message.Member{}
 	}
 	for _, peer := range r.OtherMembers() { // the member that stands there, while it is heard
 		if peer.Zone == heartbeat.Zone && r.reachable(peer.Node, now) {
 			return peer
 		}
 	}
-	return Member{}
+	return message.Member{}
 }
 
 // BackendPhase is what is known of an appliance's life; empty for nothing.
 func (r *Replica) BackendPhase(id string) string {
-	item, _ := r.items.Get(lore.BackendKey + id)
-	backend, ok := lore.ReadBackend(item)
+	item, _ := r.items.Get(replication.BackendKey + id)
+	backend, ok := replication.ReadBackend(item)
 	if !ok {
 		return ""
 	}
@@ -52,22 +53,22 @@
 
 // DeregisterBackend takes an appliance's last word.
 func (r *Replica) DeregisterBackend(now time.Time, id string) {
-	key := lore.BackendKey + id
+	key := replication.BackendKey + id
 	current, known := r.items.Get(key)
-	backend, parsed := lore.ReadBackend(current)
+	backend, parsed := replication.ReadBackend(current)
 	if !known || !parsed {
-		backend = &lore.Backend{}
+		backend = &replication.Backend{}
 	}
-	r.mergeLocal(backend.ItemWithPhase(id, lore.PhaseLeft, lore.LeftVersion))
+	r.mergeLocal(backend.ItemWithPhase(id, replication.PhaseLeft, replication.LeftVersion))
 	r.tombstones[key] = now.Add(tombstoneRetention)
 	r.liveness.ForgetBackend(id)
 	delete(r.backends, id)
 }
 
 // MergeTallies takes what an edge agent has seen of releases.
-func (r *Replica) MergeTallies(now time.Time, items []lore.Item) {
+func (r *Replica) MergeTallies(now time.Time, items []replication.Item) {
 	for _, item := range items {
-		if strings.HasPrefix(item.Key, lore.ReleaseTallyKey) {
+		if strings.HasPrefix(item.Key, replication.ReleaseTallyKey) {
 			r.mergeLocal(item)
 		}
 	}
@@ -76,25 +77,25 @@
 
 // decideReleases decides the releases on which the agents' votes say so.
 func (r *Replica) decideReleases(now time.Time) {
-	tallies := map[string][]*lore.ReleaseTally{}
-	r.items.ForEach(lore.ReleaseTallyKey, func(item lore.Item) {
-		service, _, _ := strings.Cut(item.Key[len(lore.ReleaseTallyKey):], "/")
-		if tally, ok := lore.ReadReleaseTally(item); ok {
+	tallies := map[string][]*replication.ReleaseTally{}
+	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
+		service, _, _ := strings.Cut(item.Key[len(replication.ReleaseTallyKey):], "/")
+		if tally, ok := replication.ReadReleaseTally(item); ok {
 			tallies[service] = append(tallies[service], tally)
 		}
 	})
 	for _, service := range slices.Sorted(maps.Keys(tallies)) {
-		rel, ok := plan.Read(r.acceptor.Get(plan.RegisterKey(service)).Value)
-		if !ok || rel.Phase != plan.PhaseInService || r.decidingReleases[service] {
+		rel, ok := release.Read(r.acceptor.Get(release.RegisterKey(service)).Value)
+		if !ok || rel.Phase != release.PhaseInService || r.decidingReleases[service] {
 			continue
 		}
-		phase := plan.CountVotes(rel.Number, tallies[service])
+		phase := release.CountVotes(rel.Number, tallies[service])
 		if phase == "" {
 			continue
 		}
 		r.decidingReleases[service] = true
 		r.logEvent("release decided by votes", "service", service, "phase", phase)
-		keys, decide := quorum.UpdateEach(map[string]quorum.UpdateFunc{plan.RegisterKey(service): plan.End(rel.Number, phase)})
+		keys, decide := quorum.UpdateEach(map[string]quorum.UpdateFunc{release.RegisterKey(service): release.End(rel.Number, phase)})
 		r.startOperation(now, &operation{kind: proposeWrite, expiresAt: now.Add(4 * attemptTimeout), keys: keys, decide: decide,
 			onEnd: func() { delete(r.decidingReleases, service) }}) // without an end the votes stand, and are counted again
 	}
@@ -120,27 +121,27 @@
 	}
 	r.expireLeases(now)
 	for _, id := range r.liveness.ExpireBackends(r.config.BackendTimeout, now) {
-		key := lore.BackendKey + id
+		key := replication.BackendKey + id
 		item, ok := r.items.Get(key)
-		backend, parsed := lore.ReadBackend(item)
+		backend, parsed := replication.ReadBackend(item)
 		delete(r.backends, id)
-		if !ok || !parsed || backend.Owner != r.config.Self.Node || backend.Phase == lore.PhaseLeft {
+		if !ok || !parsed || backend.Owner != r.config.Self.Node || backend.Phase == replication.PhaseLeft {
 			continue
 		}
 		r.mergeLocal(backend.TimedOut(id, item.Version))
 		r.tombstones[key] = now.Add(tombstoneRetention)
 	}
 	r.markOrphansSilent(now)
-	r.items.ForEach(lore.LeaseKey, func(item lore.Item) {
-		if lease, ok := lore.ReadLease(item); ok && !lease.Ended && lease.Role == RoleProxy && r.reachable(lease.Grantor, now) {
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		if lease, ok := replication.ReadLease(item); ok && !lease.Ended && lease.Role == message.RoleProxy && r.reachable(lease.Grantor, now) {
 			r.liveness.ObserveLease(item.Key, lease.Zone, now)
 		}
 	})
-	r.items.ForEach(lore.ReleaseTallyKey, func(item lore.Item) {
-		service, _, _ := strings.Cut(item.Key[len(lore.ReleaseTallyKey):], "/")
-		tally, ok := lore.ReadReleaseTally(item)
-		rel, known := plan.Read(r.acceptor.Get(plan.RegisterKey(service)).Value)
-		if _, noted := r.tombstones[item.Key]; !noted && ok && known && (rel.Phase != plan.PhaseInService || rel.Number > tally.ReleaseNumber) {
+	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
+		service, _, _ := strings.Cut(item.Key[len(replication.ReleaseTallyKey):], "/")
+		tally, ok := replication.ReadReleaseTally(item)
+		rel, known := release.Read(r.acceptor.Get(release.RegisterKey(service)).Value)
+		if _, noted := r.tombstones[item.Key]; !noted && ok && known && (rel.Phase != release.PhaseInService || rel.Number > tally.ReleaseNumber) {
 			r.tombstones[item.Key] = now.Add(tombstoneRetention)
 		}
 	})
@@ -150,7 +151,7 @@
 		}
 		delete(r.tombstones, key)
 		item, ok := r.items.Get(key)
-		if backend, parsed := lore.ReadBackend(item); strings.HasPrefix(key, lore.ReleaseTallyKey) || ok && parsed && (backend.Phase == lore.PhaseLeft || backend.Phase == lore.PhaseTimedOut) {
+		if backend, parsed := replication.ReadBackend(item); strings.HasPrefix(key, replication.ReleaseTallyKey) || ok && parsed && (backend.Phase == replication.PhaseLeft || backend.Phase == replication.PhaseTimedOut) {
 			r.items.Delete(key)
 			r.output.ForgottenKeys = append(r.output.ForgottenKeys, key)
 		}
@@ -173,14 +174,14 @@
 	if !responsible || !r.HasQuorum(now) {
 		return
 	}
-	var silent []lore.Item
-	r.items.ForEach(lore.BackendKey, func(item lore.Item) {
-		backend, ok := lore.ReadBackend(item)
-		if !ok || backend.Phase != lore.PhaseReady && backend.Phase != lore.PhaseDraining {
+	var silent []replication.Item
+	r.items.ForEach(replication.BackendKey, func(item replication.Item) {
+		backend, ok := replication.ReadBackend(item)
+		if !ok || backend.Phase != replication.PhaseReady && backend.Phase != replication.PhaseDraining {
 			return
 		}
 		if since, lost := r.ownerLostSince(now, backend.Owner); lost && now.Sub(since) > r.config.BackendTimeout {
-			silent = append(silent, backend.TimedOut(strings.TrimPrefix(item.Key, lore.BackendKey), item.Version))
+			silent = append(silent, backend.TimedOut(strings.TrimPrefix(item.Key, replication.BackendKey), item.Version))
 		}
 	})
 	for _, item := range silent {
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -7,18 +7,19 @@
 	"time"
 
 	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 )
 
-// Identity is what a replica's disk says of the replica. It is saved whole.
+// Identity is what a replica's disk says of the replica. It is saved whole, as JSON.
 type Identity struct {
-	Disk       string   // of this disk; another one is another member
-	Starts     uint64   // of processes that used it
-	Generation uint64   // counted on once others have confirmed it, and each generationInterval from then on
-	Fresh      bool     // it took part in the first start of the whole system
-	Contacts   []string // the peer addresses of the first contacts at that start
-	Acting     bool     // it has acted, in the epoch Active
-	Active     uint64   // the last epoch for which it held all that was chosen before
+	Disk       string   `json:"Disk"`       // of this disk; another one is another member
+	Starts     uint64   `json:"Starts"`     // of processes that used it
+	Generation uint64   `json:"Generation"` // counted on once others have confirmed it, and each generationInterval from then on
+	Fresh      bool     `json:"Fresh"`      // it took part in the first start of the whole system
+	Contacts   []string `json:"Contacts"`   // the peer addresses of the first contacts at that start
+	Acting     bool     `json:"Acting"`     // it has acted, in the epoch Active
+	Active     uint64   `json:"Active"`     // the last epoch for which it held all that was chosen before
 }
 
 // generationInterval is how often a running replica counts its generation on. A disk from the past is noticed when it is older
@@ -30,7 +31,7 @@
 
 // localMembership is this replica's place among the members.
 type localMembership struct {
-	self                   Member
+	self                   message.Member
 	configuration          membership.Configuration // the newest that is known to be chosen; of epoch 0 the first contacts
 	configurationEntry     quorum.Entry             // as which it was chosen; the zero one in epoch 0
 	identity               Identity
@@ -44,7 +45,7 @@
 	bootstrapPossibleSince time.Time // since when a first set could be proposed
 }
 
-func (l *localMembership) entry() *ConfigurationEntry {
+func (l *localMembership) entry() *message.ConfigurationEntry {
 	if l.configurationEntry.Key == "" {
 		return nil
 	}
@@ -55,7 +56,7 @@
 // isMember tells whether this replica, on this disk, belongs to the set in force.
 func (l *localMembership) isMember() bool {
 	if l.configuration.Epoch == 0 {
-		return l.identity.Fresh && slices.ContainsFunc(l.configuration.Members, func(peer Member) bool { return peer.Addr == l.self.Addr })
+		return l.identity.Fresh && slices.ContainsFunc(l.configuration.Members, func(peer message.Member) bool { return peer.Addr == l.self.Addr })
 	}
 	return l.configuration.Contains(l.self)
 }
@@ -74,7 +75,7 @@
 	local.self.DiskID = local.identity.Disk
 	r.diskGenerations = persisted.Generations
 	if r.diskGenerations == nil {
-		r.diskGenerations = map[string]DiskGeneration{}
+		r.diskGenerations = map[string]message.DiskGeneration{}
 	}
 	local.configuration = initialConfiguration(local.identity.Contacts)
 	held := r.acceptor.Get(membership.RegisterKey)
@@ -91,9 +92,9 @@
 
 // initialConfiguration are the first contacts, which decide the first set of members and nothing else.
 func initialConfiguration(addrs []string) membership.Configuration {
-	var members []Member
+	var members []message.Member
 	for _, addr := range addrs {
-		members = append(members, Member{Node: addr, Addr: addr})
+		members = append(members, message.Member{Node: addr, Addr: addr})
 	}
 	return membership.NewConfiguration(0, members, len(members))
 }
@@ -168,7 +169,7 @@
 }
 
 // concernsOnlyConfiguration tells whether a message of a round is about the set of members alone.
-func concernsOnlyConfiguration(request *PeerRequest) bool {
+func concernsOnlyConfiguration(request *message.PeerRequest) bool {
 	for _, key := range request.Keys {
 		if key != membership.RegisterKey {
 			return false
@@ -210,11 +211,11 @@
 }
 
 // votingPeers are the other members of the epoch in force, where they were last heard.
-func (r *Replica) votingPeers() []Member {
+func (r *Replica) votingPeers() []message.Member {
 	if r.local.configuration.Epoch > 0 {
 		return r.OtherMembers()
 	}
-	return slices.DeleteFunc(slices.Clone(r.local.configuration.Members), func(peer Member) bool { return peer.Addr == r.local.self.Addr })
+	return slices.DeleteFunc(slices.Clone(r.local.configuration.Members), func(peer message.Member) bool { return peer.Addr == r.local.self.Addr })
 }
 
 // adoptConfiguration takes up a set of members that is known to be chosen.
--- a/internal/control/replica/members.go
+++ b/internal/control/replica/members.go
@@ -6,19 +6,20 @@
 	"strings"
 	"time"
 
-	"sagelever/lore"
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
 )
 
 // registerCaller takes up who calls.
-func (r *Replica) registerCaller(now time.Time, request *PullRequest) (knownIncarnation uint64) {
-	if request.Role == RoleController {
+func (r *Replica) registerCaller(now time.Time, request *message.PullRequest) (knownIncarnation uint64) {
+	if request.Role == message.RoleController {
 		r.registerController(now, request)
 		return 0
 	}
-	lease := &lore.Lease{Node: request.From.Node, Role: request.Role, Zone: request.From.Zone, ListenAddress: request.ListenerAddr, Grantor: r.config.Self.Node, Ended: request.Ended}
+	lease := &replication.Lease{Node: request.From.Node, Role: request.Role, Zone: request.From.Zone, ListenAddress: request.ListenerAddr, Grantor: r.config.Self.Node, Ended: request.Ended}
 	item := lease.Item(request.Incarnation << 8)
 	previous, known := r.items.Get(item.Key)
-	previousLease, parsed := lore.ReadLease(previous)
+	previousLease, parsed := replication.ReadLease(previous)
 	if request.Ended {
 		if !known || previous.Version < request.Incarnation<<8|0xff {
 			item.Version = request.Incarnation<<8 | 0xff
@@ -42,7 +43,7 @@
 }
 
 // registerController takes up a replica that calls: a member, where it is in the set with this disk, or a candidate.
-func (r *Replica) registerController(now time.Time, request *PullRequest) {
+func (r *Replica) registerController(now time.Time, request *message.PullRequest) {
 	if request.From.Node == r.config.Self.Node || request.From.Node == "" {
 		return
 	}
@@ -61,8 +62,8 @@
 }
 
 // OtherMembers are those that are known, this one not.
-func (r *Replica) OtherMembers() []Member {
-	others := make([]Member, 0, len(r.peers))
+func (r *Replica) OtherMembers() []message.Member {
+	others := make([]message.Member, 0, len(r.peers))
 	for _, peer := range r.peers {
 		others = append(others, peer.Member)
 	}
@@ -71,26 +72,26 @@
 }
 
 // DiskGenerations are what is known of other replicas' disks, to be kept where it is good to have.
-func (r *Replica) DiskGenerations() map[string]DiskGeneration { return r.diskGenerations }
+func (r *Replica) DiskGenerations() map[string]message.DiskGeneration { return r.diskGenerations }
 
 // trackItem has this member look after an item that came from elsewhere or from its disk: of what it granted or heard in a
 // life before it knows only so.
-func (r *Replica) trackItem(now time.Time, item lore.Item) {
-	if strings.HasPrefix(item.Key, lore.LeaseKey) {
-		if lease, ok := lore.ReadLease(item); ok && lease.Grantor == r.config.Self.Node && !lease.Ended {
+func (r *Replica) trackItem(now time.Time, item replication.Item) {
+	if strings.HasPrefix(item.Key, replication.LeaseKey) {
+		if lease, ok := replication.ReadLease(item); ok && lease.Grantor == r.config.Self.Node && !lease.Ended {
 			r.liveness.RestoreLease(item.Key, lease.Zone, now)
 		}
 		return
 	}
-	id, ok := strings.CutPrefix(item.Key, lore.BackendKey)
+	id, ok := strings.CutPrefix(item.Key, replication.BackendKey)
 	if !ok {
 		return
 	}
-	backend, ok := lore.ReadBackend(item)
+	backend, ok := replication.ReadBackend(item)
 	if !ok {
 		return
 	}
-	ended := backend.Phase == lore.PhaseLeft || backend.Phase == lore.PhaseTimedOut
+	ended := backend.Phase == replication.PhaseLeft || backend.Phase == replication.PhaseTimedOut
 	if ended {
 		r.tombstones[item.Key] = now.Add(tombstoneRetention)
 	}
@@ -164,7 +165,7 @@
 func (r *Replica) expireLeases(now time.Time) {
 	for _, key := range r.liveness.ExpireLeases(now) {
 		item, ok := r.items.Get(key)
-		if lease, parsed := lore.ReadLease(item); ok && parsed && lease.Grantor == r.config.Self.Node && !lease.Ended {
+		if lease, parsed := replication.ReadLease(item); ok && parsed && lease.Grantor == r.config.Self.Node && !lease.Ended {
 			lease.Ended, lease.ListenAddress = true, ""
 			r.mergeLocal(lease.Item(item.Version + 1))
 			r.logEvent("lease ran out", "agent", lease.Node, "role", lease.Role)
@@ -177,9 +178,9 @@
 func (r *Replica) ListenerAddrs(now time.Time, zone, region string, limit int) []string {
 	var sameZone, sameRegion, elsewhere []string
 	r.expireLeases(now)
-	r.items.ForEach(lore.LeaseKey, func(item lore.Item) {
-		lease, ok := lore.ReadLease(item)
-		if !ok || lease.Ended || lease.ListenAddress == "" || lease.Role != RoleProxy {
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		lease, ok := replication.ReadLease(item)
+		if !ok || lease.Ended || lease.ListenAddress == "" || lease.Role != message.RoleProxy {
 			return
 		}
 		if lease.Grantor == r.config.Self.Node && !r.liveness.HasRenewedLease(item.Key) || !r.reachable(lease.Grantor, now) {
--- a/internal/control/replica/operation.go
+++ b/internal/control/replica/operation.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/rangesync"
 )
@@ -26,13 +27,13 @@
 	attempt          int // numbers the attempts, so that late replies are told apart
 	accepting        bool
 	round            *quorum.Round
-	answered         map[string]bool               // members whose answer is whole
-	sessions         map[Member]*rangesync.Session // comparisons with other replicas
-	pendingSaves     int                           // what was learned and is not on the disk yet
-	saveFailed       bool                          // the disk has refused it
-	pendingResponses int                           // replies that are still to come
-	attemptDeadline  time.Time                     // of the attempt
-	retryAt          time.Time                     // when the next attempt begins; zero while one is under way
+	answered         map[string]bool                       // members whose answer is whole
+	sessions         map[message.Member]*rangesync.Session // comparisons with other replicas
+	pendingSaves     int                                   // what was learned and is not on the disk yet
+	saveFailed       bool                                  // the disk has refused it
+	pendingResponses int                                   // replies that are still to come
+	attemptDeadline  time.Time                             // of the attempt
+	retryAt          time.Time                             // when the next attempt begins; zero while one is under way
 }
 
 const (
@@ -51,7 +52,7 @@
 type pendingRequest struct {
 	operationID uint64
 	attempt     int
-	to          Member
+	to          message.Member
 }
 
 // Write makes changes to registers lasting: when it is done without an error, so many disks hold the outcome that
@@ -98,7 +99,7 @@
 	switch op.kind {
 	case proposeWrite, completeRead, repairValues:
 		op.round = quorum.NewRound(r.acceptor.NextProposal(configuration.Epoch, r.local.proposerID()), len(configuration.Members), configuration.MaxFailures, op.keys, op.decide)
-		r.broadcast(now, op, PreparePath, &PeerRequest{Epoch: configuration.Epoch, Proposal: op.round.Proposal, Keys: op.round.Keys()})
+		r.broadcast(now, op, message.PreparePath, &message.PeerRequest{Epoch: configuration.Epoch, Proposal: op.round.Proposal, Keys: op.round.Keys()})
 	case quorumRead:
 		if configuration.MaxFailures == 0 {
 			r.finishRead(now, op)
@@ -106,10 +107,10 @@
 		}
 		peers := r.votingPeers()
 		if len(op.readKeys) > 0 {
-			r.requestFrom(now, op, peers, ReadPath, &PeerRequest{Epoch: configuration.Epoch, Keys: op.readKeys})
+			r.requestFrom(now, op, peers, message.ReadPath, &message.PeerRequest{Epoch: configuration.Epoch, Keys: op.readKeys})
 			return
 		}
-		r.requestFrom(now, op, peers, ReadPath, r.rangesRequest(ReadPath, r.startSessions(op, peers, rangesync.PrefixRange(op.prefix))))
+		r.requestFrom(now, op, peers, message.ReadPath, r.rangesRequest(message.ReadPath, r.startSessions(op, peers, rangesync.PrefixRange(op.prefix))))
 	case confirmDisk:
 		r.requestDiskConfirmation(now, op)
 	case takeOverEpoch:
@@ -133,24 +134,24 @@
 }
 
 // broadcast sends a message to all members, this one too.
-func (r *Replica) broadcast(now time.Time, op *operation, path string, request *PeerRequest) {
+func (r *Replica) broadcast(now time.Time, op *operation, path string, request *message.PeerRequest) {
 	peers := r.votingPeers()
 	r.send(op, peers, path, request)
 	op.pendingResponses = len(peers) + 1
 	attempt := op.attempt
-	r.serveRequest(now, path, request, func(now time.Time, response *PeerResponse, err error) {
+	r.serveRequest(now, path, request, func(now time.Time, response *message.PeerResponse, err error) {
 		if r.operations[op.id] != op || op.attempt != attempt {
 			return
 		}
 		if err != nil {
 			response = nil
 		}
-		r.dispatchResponse(now, op, Member{Node: r.quorumName()}, response)
+		r.dispatchResponse(now, op, message.Member{Node: r.quorumName()}, response)
 	})
 }
 
 // requestFrom sends a message to some others.
-func (r *Replica) requestFrom(now time.Time, op *operation, to []Member, path string, request *PeerRequest) {
+func (r *Replica) requestFrom(now time.Time, op *operation, to []message.Member, path string, request *message.PeerRequest) {
 	r.send(op, to, path, request)
 	op.pendingResponses = len(to)
 	if op.pendingResponses == 0 {
@@ -158,7 +159,7 @@
 	}
 }
 
-func (r *Replica) send(op *operation, to []Member, path string, request *PeerRequest) {
+func (r *Replica) send(op *operation, to []message.Member, path string, request *message.PeerRequest) {
 	for _, peer := range to {
 		r.lastID++
 		r.pendingRequests[r.lastID] = pendingRequest{op.id, op.attempt, peer}
@@ -167,13 +168,13 @@
 }
 
 // requestMore asks one member for the next page of its answer.
-func (r *Replica) requestMore(op *operation, from Member, path string, request *PeerRequest) {
+func (r *Replica) requestMore(op *operation, from message.Member, path string, request *message.PeerRequest) {
 	op.pendingResponses++
-	r.send(op, []Member{from}, path, request)
+	r.send(op, []message.Member{from}, path, request)
 }
 
 // HandleResponse takes the reply to a message, or nil where none came.
-func (r *Replica) HandleResponse(now time.Time, number uint64, response *PeerResponse) {
+func (r *Replica) HandleResponse(now time.Time, number uint64, response *message.PeerResponse) {
 	pending, ok := r.pendingRequests[number]
 	delete(r.pendingRequests, number)
 	if !ok {
@@ -187,7 +188,7 @@
 	}
 }
 
-func (r *Replica) dispatchResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+func (r *Replica) dispatchResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
 	op.pendingResponses--
 	attempt := op.attempt
 	if response != nil {
@@ -210,7 +211,7 @@
 	}
 }
 
-func (r *Replica) handleRoundResponse(now time.Time, op *operation, from string, response *PeerResponse) {
+func (r *Replica) handleRoundResponse(now time.Time, op *operation, from string, response *message.PeerResponse) {
 	if !response.OK {
 		op.round.HandleRejection(response.PromisedProposal)
 		return
@@ -219,7 +220,7 @@
 		if values := op.round.HandlePromise(from, response.Entries); values != nil {
 			op.accepting = true
 			op.attempt++ // promises that come after this are not counted as words
-			r.broadcast(now, op, AcceptPath, &PeerRequest{Epoch: op.round.Proposal.Epoch, Proposal: op.round.Proposal, Entries: values})
+			r.broadcast(now, op, message.AcceptPath, &message.PeerRequest{Epoch: op.round.Proposal.Epoch, Proposal: op.round.Proposal, Entries: values})
 		}
 		return
 	}
--- a/internal/control/replica/pull.go
+++ b/internal/control/replica/pull.go
@@ -9,19 +9,20 @@
 	"github.com/mailru/easyjson"
 
 	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
 )
 
 // peerProgress is how far a member has come that pulls here, and when it last did.
 type peerProgress struct {
-	progress  lore.Vector
+	progress  replication.Vector
 	legacySeq uint64 // by this feed's own numbers, with the first version of the wire
 	at        time.Time
 }
 
 // mergeLocal merges an item that is told here first, and has those woken who wait for news.
-func (r *Replica) mergeLocal(item lore.Item) bool {
+func (r *Replica) mergeLocal(item replication.Item) bool {
 	if !r.items.Publish(item) {
 		return false
 	}
@@ -36,16 +37,16 @@
 }
 
 // notifyDelay is how long an item may wait for others to go with: what agents must stop for goes at once.
-func notifyDelay(item lore.Item) time.Duration {
+func notifyDelay(item replication.Item) time.Duration {
 	switch {
-	case strings.HasPrefix(item.Key, lore.RegisterKey):
+	case strings.HasPrefix(item.Key, replication.RegisterKey):
 		return urgentNotifyDelay
-	case strings.HasPrefix(item.Key, lore.BackendKey):
-		if backend, ok := lore.ReadBackend(item); ok && (backend.Phase == lore.PhaseDraining || backend.Phase == lore.PhaseLeft) {
+	case strings.HasPrefix(item.Key, replication.BackendKey):
+		if backend, ok := replication.ReadBackend(item); ok && (backend.Phase == replication.PhaseDraining || backend.Phase == replication.PhaseLeft) {
 			return urgentNotifyDelay
 		}
-	case strings.HasPrefix(item.Key, lore.ReleaseTallyKey):
-		if tally, ok := lore.ReadReleaseTally(item); ok && tally.Vote != "" {
+	case strings.HasPrefix(item.Key, replication.ReleaseTallyKey):
+		if tally, ok := replication.ReadReleaseTally(item); ok && tally.Vote != "" {
 			return urgentNotifyDelay
 		}
 		return tallyNotifyDelay
@@ -55,18 +56,18 @@
 
 // PendingPull is a pull that waits for news.
 type PendingPull struct {
-	request          *PullRequest
-	seq              uint64      // what came here from other sources later than this is on its way to the caller already
-	progress         lore.Vector // how far that goes
+	request          *message.PullRequest
+	seq              uint64             // what came here from other sources later than this is on its way to the caller already
+	progress         replication.Vector // how far that goes
 	hadQuorum        bool
 	knownIncarnation uint64
 	complete         bool
 }
 
 // HandlePull takes up who calls: a lease for an edge agent, a member of the core. Answer has the news for it.
-func (r *Replica) HandlePull(now time.Time, request *PullRequest) *PendingPull {
+func (r *Replica) HandlePull(now time.Time, request *message.PullRequest) *PendingPull {
 	pending := &PendingPull{request: request, seq: r.items.LocalSequence(), progress: r.items.Vector(), hadQuorum: r.HasQuorum(now), knownIncarnation: r.registerCaller(now, request)}
-	if request.ProtocolVersion >= ProtocolVersion {
+	if request.ProtocolVersion >= message.ProtocolVersion {
 		pending.complete = len(request.Progress) == 0
 	}
 	if peer := r.callingPeer(request); peer != nil && !r.reachable(peer.Node, now) && now.Sub(peer.lastPull) > stuckPullTimeout {
@@ -86,42 +87,42 @@
 }
 
 // callingPeer is the member that pulls; nil where an agent or a candidate does.
-func (r *Replica) callingPeer(request *PullRequest) *peerState {
+func (r *Replica) callingPeer(request *message.PullRequest) *peerState {
 	peer := r.peers[request.From.Node]
-	if request.Role != RoleController || peer == nil || !peer.SameReplica(request.From) {
+	if request.Role != message.RoleController || peer == nil || !peer.SameReplica(request.From) {
 		return nil
 	}
 	return peer
 }
 
 // AnswerPull is the news for a pull, and whether to send it: otherwise there is none, and it may wait unless that is its end.
-func (r *Replica) AnswerPull(now time.Time, pending *PendingPull) (response *PullResponse, ready bool) {
+func (r *Replica) AnswerPull(now time.Time, pending *PendingPull) (response *message.PullResponse, ready bool) {
 	request := pending.request
 	r.expireLeases(now)
 	hasQuorum := r.HasQuorum(now)
-	response = &PullResponse{Source: r.items.Source, ProtocolVersion: ProtocolVersion, Seq: r.items.LocalSequence(), HasQuorum: hasQuorum, KnownIncarnation: pending.knownIncarnation, NowMs: now.UnixMilli()}
+	response = &message.PullResponse{Source: r.items.Source, ProtocolVersion: message.ProtocolVersion, Seq: r.items.LocalSequence(), HasQuorum: hasQuorum, KnownIncarnation: pending.knownIncarnation, NowMs: now.UnixMilli()}
 	response.Proxies, response.ZoneProxies = r.liveness.CountActive(request.From.Zone, now)
-	if request.Role == RoleController {
+	if request.Role == message.RoleController {
 		response.DiskID = r.local.self.DiskID
 		response.ActiveEpoch = r.activeEpoch()
 		if request.KnownEpoch < r.local.configuration.Epoch {
 			response.Configuration = r.local.entry()
 		}
 	}
-	ready = r.leaving || hasQuorum != pending.hadQuorum || pending.knownIncarnation != 0 || response.Configuration != nil || request.Role == RoleController && response.ActiveEpoch != request.PeerActiveEpoch
-	if response.SurveyID = r.activeSurvey(now); request.Role == RoleProxy && response.SurveyID > request.SurveyID {
+	ready = r.leaving || hasQuorum != pending.hadQuorum || pending.knownIncarnation != 0 || response.Configuration != nil || request.Role == message.RoleController && response.ActiveEpoch != request.PeerActiveEpoch
+	if response.SurveyID = r.activeSurvey(now); request.Role == message.RoleProxy && response.SurveyID > request.SurveyID {
 		ready = true
 	}
 	var wanted func(string) bool
-	if request.Role != RoleController { // edge agents need neither leases nor the set of members
+	if request.Role != message.RoleController { // edge agents need neither leases nor the set of members
 		wanted = func(key string) bool {
-			return !strings.HasPrefix(key, lore.LeaseKey) && key != lore.RegisterKey+membership.RegisterKey
+			return !strings.HasPrefix(key, replication.LeaseKey) && key != replication.RegisterKey+membership.RegisterKey
 		}
 	}
 	switch {
 	case request.MembersOnly:
 		ready = true
-	case request.ProtocolVersion < ProtocolVersion:
+	case request.ProtocolVersion < message.ProtocolVersion:
 		since, knows := request.LegacyVector[r.items.Source]
 		response.Items, response.Complete = r.items.Since(since, wanted), since == 0
 		ready = ready || !knows
@@ -130,11 +131,11 @@
 		if pending.complete {
 			progress = nil
 		}
-		if pending.complete || request.Role != RoleController { // a relay pulls from one member alone
+		if pending.complete || request.Role != message.RoleController { // a relay pulls from one member alone
 			seq, reached = r.items.LocalSequence(), r.items.Vector()
 		}
 		response.Items, response.Origins = r.items.Missing(progress, seq, wanted)
-		if request.Role != RoleController { // members prune their own
+		if request.Role != message.RoleController { // members prune their own
 			for origin := range request.Progress {
 				if _, left := reached[origin]; !left {
 					response.DroppedOrigins = append(response.DroppedOrigins, origin)
@@ -150,14 +151,14 @@
 		_, knows := request.Progress[r.items.Origin]
 		ready = ready || !knows || pending.complete
 	}
-	if _, knows := request.Progress[r.items.Origin]; request.MembersOnly || request.Role == RoleProxy && (!knows || len(response.Items) > 0) { // who has heard this life was told
+	if _, knows := request.Progress[r.items.Origin]; request.MembersOnly || request.Role == message.RoleProxy && (!knows || len(response.Items) > 0) { // who has heard this life was told
 		response.Members = r.pullTargets()
 	}
 	return response, ready || len(response.Items) > 0
 }
 
 // pullTargets are the members that agents may pull from: this replica is among them only while it is one.
-func (r *Replica) pullTargets() []Member {
+func (r *Replica) pullTargets() []message.Member {
 	targets := r.OtherMembers()
 	if r.local.isMember() || len(targets) == 0 {
 		targets = append(targets, r.local.self)
@@ -167,8 +168,8 @@
 }
 
 // progressBeyond is what of a vector goes beyond another.
-func progressBeyond(vector, base lore.Vector) lore.Vector {
-	beyond := lore.Vector{}
+func progressBeyond(vector, base replication.Vector) replication.Vector {
+	beyond := replication.Vector{}
 	for origin, number := range vector {
 		if number > base[origin] {
 			beyond[origin] = number
@@ -183,9 +184,9 @@
 
 // NewPullRequest is what this member asks another for: all that it lacks. Where it has not heard of the other lately the answer is
 // not to wait for news, as it is news itself that the other is there.
-func (r *Replica) NewPullRequest(now time.Time, to Member) *PullRequest {
+func (r *Replica) NewPullRequest(now time.Time, to message.Member) *message.PullRequest {
 	local := &r.local
-	request := &PullRequest{From: local.self, Role: RoleController, ProtocolVersion: ProtocolVersion, MembersOnly: to.Node == "", ResetCount: r.resetCount, KnownEpoch: local.configuration.Epoch, Leaving: r.leaving, Ready: local.caughtUp}
+	request := &message.PullRequest{From: local.self, Role: message.RoleController, ProtocolVersion: message.ProtocolVersion, MembersOnly: to.Node == "", ResetCount: r.resetCount, KnownEpoch: local.configuration.Epoch, Leaving: r.leaving, Ready: local.caughtUp}
 	if local.configuration.Epoch == 0 {
 		request.Ready = local.identity.Fresh
 	}
@@ -223,7 +224,7 @@
 
 // DeferPull tells whether to put off pulling a member: at the start one is asked before the others, so that what this one lacks
 // is handed to it once and not by everybody. Where that one does not answer, the others are not held up for long.
-func (r *Replica) DeferPull(now time.Time, to Member) bool {
+func (r *Replica) DeferPull(now time.Time, to message.Member) bool {
 	if r.heardFromPeer || now.Sub(r.startedAt) > firstPullHeadStart {
 		return false
 	}
@@ -236,14 +237,14 @@
 }
 
 // nearer orders members: those of this region first, then by name.
-func (r *Replica) nearer(first, second Member) bool {
+func (r *Replica) nearer(first, second message.Member) bool {
 	region := r.config.RegionByZone[r.config.Self.Zone]
 	firstNear, secondNear := r.config.RegionByZone[first.Zone] == region, r.config.RegionByZone[second.Zone] == region
 	return firstNear && !secondNear || firstNear == secondNear && first.Node < second.Node
 }
 
 // HandlePullResponse takes up what another member has told in answer to a pull.
-func (r *Replica) HandlePullResponse(now time.Time, from Member, request *PullRequest, response *PullResponse) {
+func (r *Replica) HandlePullResponse(now time.Time, from message.Member, request *message.PullRequest, response *message.PullResponse) {
 	// An answer that builds on what was given up meanwhile claims nothing; what it brings is told on as this member's own.
 	keepsProgress := response.Complete || request.ResetCount == r.resetCount
 	var changed []quorum.Entry
@@ -251,7 +252,7 @@
 	for _, item := range response.Items {
 		received[item.Key] = true
 		origin, number := "", item.Sequence
-		if response.ProtocolVersion >= ProtocolVersion && keepsProgress {
+		if response.ProtocolVersion >= message.ProtocolVersion && keepsProgress {
 			origin = response.OriginOf(item)
 		}
 		changed = append(changed, r.mergeRemote(now, item, origin, number)...)
@@ -259,12 +260,12 @@
 	if response.Configuration != nil {
 		changed = append(changed, r.learnEntries(now, []quorum.Entry{*response.Configuration})...)
 	}
-	if response.ProtocolVersion >= ProtocolVersion && !request.MembersOnly {
+	if response.ProtocolVersion >= message.ProtocolVersion && !request.MembersOnly {
 		switch {
 		case response.Complete && !r.progressCurrent(now): // in the place of what was known before, part of which was forgotten since
-			for _, key := range r.items.ReplaceReceived(received, response.Progress, func(item lore.Item) bool { return strings.HasPrefix(item.Key, lore.RegisterKey) }) {
+			for _, key := range r.items.ReplaceReceived(received, response.Progress, func(item replication.Item) bool { return strings.HasPrefix(item.Key, replication.RegisterKey) }) {
 				r.output.ForgottenKeys = append(r.output.ForgottenKeys, key)
-				if id, ok := strings.CutPrefix(key, lore.BackendKey); ok {
+				if id, ok := strings.CutPrefix(key, replication.BackendKey); ok {
 					delete(r.backends, id)
 				}
 			}
@@ -277,14 +278,14 @@
 	if !request.MembersOnly {
 		r.lastPullAt = now
 	}
-	if peer := r.peers[from.Node]; peer != nil && (response.DiskID == peer.DiskID || response.ProtocolVersion < ProtocolVersion) { // else a candidate calls from a member's address
+	if peer := r.peers[from.Node]; peer != nil && (response.DiskID == peer.DiskID || response.ProtocolVersion < message.ProtocolVersion) { // else a candidate calls from a member's address
 		peer.lastHeard, peer.heardOnce, r.heardFromPeer = now, true, true
 		peer.activeEpoch = response.ActiveEpoch
 		peer.legacySource, peer.legacySeq = "", 0
 		if len(response.Origins) > 0 {
 			peer.origin = response.Origins[0]
 		}
-		if response.ProtocolVersion < ProtocolVersion {
+		if response.ProtocolVersion < message.ProtocolVersion {
 			peer.legacySource, peer.legacySeq = response.Source, response.Seq
 		}
 	}
@@ -294,8 +295,8 @@
 
 // mergeRemote merges an item that another agent has told. One without an origin comes from the version before, and is told here
 // first.
-func (r *Replica) mergeRemote(now time.Time, item lore.Item, origin string, number uint64) (changed []quorum.Entry) {
-	if strings.HasPrefix(item.Key, lore.RegisterKey) {
+func (r *Replica) mergeRemote(now time.Time, item replication.Item, origin string, number uint64) (changed []quorum.Entry) {
+	if strings.HasPrefix(item.Key, replication.RegisterKey) {
 		entry := quorum.Entry{}
 		if easyjson.Unmarshal([]byte(item.Body), &entry) != nil || !entry.Chosen {
 			return nil
@@ -314,7 +315,7 @@
 }
 
 // mergeForwarded merges an item that another told first, and wakes edge agents that wait for news.
-func (r *Replica) mergeForwarded(item lore.Item, origin string, number uint64) bool {
+func (r *Replica) mergeForwarded(item replication.Item, origin string, number uint64) bool {
 	if !r.items.Receive(item, origin, number) {
 		return false
 	}
--- a/internal/control/replica/range_sync.go
+++ b/internal/control/replica/range_sync.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/rangesync"
 )
@@ -13,7 +14,7 @@
 // serveRanges answers for the ranges of registers that another replica asks about: that it holds the same, or what it lacks, as
 // far as one message goes. Registers change only to what is newer, so that a comparison misses nothing that was held when it
 // began.
-func (r *Replica) serveRanges(request *PeerRequest, response *PeerResponse) {
+func (r *Replica) serveRanges(request *message.PeerRequest, response *message.PeerResponse) {
 	if request.Ranges == nil {
 		response.OK = false
 		return
@@ -41,9 +42,9 @@
 }
 
 // startSessions begins to compare ranges of registers with some other replicas: the first request is the same for all.
-func (r *Replica) startSessions(op *operation, others []Member, ranges rangesync.Range) *rangesync.Request {
+func (r *Replica) startSessions(op *operation, others []message.Member, ranges rangesync.Range) *rangesync.Request {
 	r.lastID++
-	op.sessions = map[Member]*rangesync.Session{}
+	op.sessions = map[message.Member]*rangesync.Session{}
 	var first *rangesync.Request
 	for _, peer := range others {
 		session := rangesync.NewSession(r.lastID, r.acceptor.Index(), ranges, rangesync.DefaultLimits)
@@ -55,7 +56,7 @@
 
 // handleRanges takes an answer to a comparison, learns what it brings, and asks on; then is called once all is held that the other
 // held when the comparison began, and is on the disk as far as it came by it.
-func (r *Replica) handleRanges(now time.Time, op *operation, from Member, path string, response *PeerResponse, done func(now time.Time)) {
+func (r *Replica) handleRanges(now time.Time, op *operation, from message.Member, path string, response *message.PeerResponse, done func(now time.Time)) {
 	session := op.sessions[from]
 	if session == nil || response.Ranges == nil {
 		return
@@ -74,9 +75,9 @@
 	})
 }
 
-func (r *Replica) rangesRequest(path string, ranges *rangesync.Request) *PeerRequest {
-	request := &PeerRequest{Epoch: r.local.configuration.Epoch, Ranges: ranges}
-	if path == StatePath {
+func (r *Replica) rangesRequest(path string, ranges *rangesync.Request) *message.PeerRequest {
+	request := &message.PeerRequest{Epoch: r.local.configuration.Epoch, Ranges: ranges}
+	if path == message.StatePath {
 		request.Configuration = r.local.entry()
 	}
 	return request
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -4,10 +4,11 @@
 	"slices"
 	"time"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 )
 
-func (r *Replica) handleReadResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+func (r *Replica) handleReadResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
 	if op.answered[from.Node] || !response.OK {
 		return
 	}
@@ -21,7 +22,7 @@
 		r.learnForOperation(now, op, response.Entries, onSaved)
 		return
 	}
-	r.handleRanges(now, op, from, ReadPath, response, onSaved)
+	r.handleRanges(now, op, from, message.ReadPath, response, onSaved)
 }
 
 // finishRead ends a read, once what it tells is chosen.
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 )
 
@@ -34,7 +35,7 @@
 }
 
 // registerCandidate takes up a replica that calls and is no member.
-func (r *Replica) registerCandidate(now time.Time, request *PullRequest) {
+func (r *Replica) registerCandidate(now time.Time, request *message.PullRequest) {
 	local := &r.local
 	ready := request.Ready && request.From.DiskID != "" && !request.Leaving
 	if local.configuration.Epoch > 0 {
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -15,8 +15,9 @@
 	"github.com/mailru/easyjson"
 
 	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
 )
 
 const (
@@ -48,7 +49,7 @@
 
 // Config is what a member is told.
 type Config struct {
-	Self           Member            // without its disk's identity, which the disk holds
+	Self           message.Member    // without its disk's identity, which the disk holds
 	Source         string            // this member and its life, as the version before names it
 	Target         membership.Target // the core that the operator asks for
 	InitialPeers   []string          // where the first contacts' peers call them: they decide the first set
@@ -64,15 +65,15 @@
 	Floor       quorum.ProposalNumber
 	Identity    Identity // the zero one where the disk is empty
 	LegacyDisk  bool     // the disk was written by the version without sets of members, and is whole
-	Generations map[string]DiskGeneration
-	Items       []PersistedItem // what was known
-	Progress    lore.Vector     // and how far that goes
-	ProgressAt  time.Time       // when it was last so
+	Generations map[string]message.DiskGeneration
+	Items       []PersistedItem    // what was known
+	Progress    replication.Vector // and how far that goes
+	ProgressAt  time.Time          // when it was last so
 }
 
 // PersistedItem is an item with where it came from.
 type PersistedItem struct {
-	Item   lore.Item
+	Item   replication.Item
 	Origin string
 	Number uint64
 }
@@ -84,18 +85,18 @@
 	Saves         []Save
 	Responses     []OutgoingResponse
 	Completions   []Completion
-	LogEntries    []LogEntry    // changes of state, for the log
-	ForgottenKeys []string      // items that were forgotten
-	PullNow       []Member      // replicas that are up, though this one has not heard them: they are best pulled from, or asked who the members are, at once
-	NotifyAfter   time.Duration // whoever waits for news is to be woken after so long; below zero: there is none
+	LogEntries    []LogEntry       // changes of state, for the log
+	ForgottenKeys []string         // items that were forgotten
+	PullNow       []message.Member // replicas that are up, though this one has not heard them: they are best pulled from, or asked who the members are, at once
+	NotifyAfter   time.Duration    // whoever waits for news is to be woken after so long; below zero: there is none
 }
 
 // OutgoingRequest is a message to another member; its reply goes to Replied, under the number.
 type OutgoingRequest struct {
 	ID      uint64
-	To      Member
+	To      message.Member
 	Path    string
-	Request *PeerRequest
+	Request *message.PeerRequest
 }
 
 // Save is to be on the disk, whole, before Saved is told so under its number.
@@ -109,7 +110,7 @@
 // OutgoingResponse goes to another member's call.
 type OutgoingResponse struct {
 	CallID   uint64
-	Response *PeerResponse
+	Response *message.PeerResponse
 	Err      error
 }
 
@@ -143,28 +144,28 @@
 	pendingSaves    map[uint64]func(now time.Time, err error)
 	saveFailed      bool // the disk has refused something
 
-	items            *lore.ItemStore
+	items            *replication.ItemStore
 	progressValid    bool      // the feed is as far as its vector says
 	lastPullAt       time.Time // when anyone last told this member news
 	resetCount       int       // how often what was known was given up for what another told
 	heardFromPeer    bool      // in this life
-	liveness         *lore.MemberTable
+	liveness         *replication.MemberTable
 	peers            map[string]*peerState
-	candidates       map[string]*candidate     // by node
-	diskGenerations  map[string]DiskGeneration // by node: of other replicas' disks
-	lastCallbackAt   time.Time                 // when one that knows a newer set was last called for it
-	lostOwners       map[string]time.Time      // by node: since when appliances are known whose home is no member
-	pullProgress     map[string]peerProgress   // how far each member has come that pulls here, by node
+	candidates       map[string]*candidate             // by node
+	diskGenerations  map[string]message.DiskGeneration // by node: of other replicas' disks
+	lastCallbackAt   time.Time                         // when one that knows a newer set was last called for it
+	lostOwners       map[string]time.Time              // by node: since when appliances are known whose home is no member
+	pullProgress     map[string]peerProgress           // how far each member has come that pulls here, by node
 	tombstones       map[string]time.Time
-	backends         map[string]*lore.Backend // the newest of what pulses here have said
-	decidingReleases map[string]bool          // services whose release is being decided
+	backends         map[string]*replication.Backend // the newest of what pulses here have said
+	decidingReleases map[string]bool                 // services whose release is being decided
 	survey           surveyState
 
 	output Output
 }
 
 type peerState struct {
-	Member
+	message.Member
 	legacySource string // as the version before numbers
 	legacySeq    uint64
 	lastHeard    time.Time
@@ -182,9 +183,9 @@
 	r := &Replica{config: cfg, acceptor: quorum.NewAcceptor(persisted.Entries, persisted.Floor), startedAt: now, undecided: map[string]time.Time{},
 		operations: map[uint64]*operation{}, pendingRequests: map[uint64]pendingRequest{}, pendingSaves: map[uint64]func(time.Time, error){},
 		peers: map[string]*peerState{}, candidates: map[string]*candidate{}, lostOwners: map[string]time.Time{}, pullProgress: map[string]peerProgress{}, tombstones: map[string]time.Time{},
-		backends: map[string]*lore.Backend{}, decidingReleases: map[string]bool{}, output: Output{NotifyAfter: -1}}
-	r.items = lore.NewItemStore(cfg.Source, newOrigin(cfg.Self.Node, now, cfg.Random()))
-	r.liveness = lore.NewMemberTable(LeaseTerm, proxyRetention)
+		backends: map[string]*replication.Backend{}, decidingReleases: map[string]bool{}, output: Output{NotifyAfter: -1}}
+	r.items = replication.NewItemStore(cfg.Source, newOrigin(cfg.Self.Node, now, cfg.Random()))
+	r.liveness = replication.NewMemberTable(LeaseTerm, proxyRetention)
 	r.loadMembership(now, persisted)
 	r.restoreItems(persisted, now)
 	entries := r.acceptor.AcceptedEntries()
@@ -261,38 +262,38 @@
 
 // HandleRequest takes another member's message, or this one's own; the answer comes under the call's number. What it says is on the
 // disk by then.
-func (r *Replica) HandleRequest(now time.Time, call uint64, path string, request *PeerRequest) {
-	r.serveRequest(now, path, request, func(_ time.Time, response *PeerResponse, err error) {
+func (r *Replica) HandleRequest(now time.Time, call uint64, path string, request *message.PeerRequest) {
+	r.serveRequest(now, path, request, func(_ time.Time, response *message.PeerResponse, err error) {
 		r.output.Responses = append(r.output.Responses, OutgoingResponse{call, response, err})
 	})
 }
 
-func (r *Replica) serveRequest(now time.Time, path string, request *PeerRequest, respond func(now time.Time, response *PeerResponse, err error)) {
+func (r *Replica) serveRequest(now time.Time, path string, request *message.PeerRequest, respond func(now time.Time, response *message.PeerResponse, err error)) {
 	switch path {
-	case GenerationPath:
+	case message.GenerationPath:
 		respond(now, r.serveGeneration(request), nil)
 		return
-	case StatePath:
+	case message.StatePath:
 		r.serveState(now, request, respond)
 		return
 	}
 	if request.Epoch < r.local.configuration.Epoch { // it is told which set is in force
-		respond(now, &PeerResponse{Configuration: r.local.entry()}, nil)
+		respond(now, &message.PeerResponse{Configuration: r.local.entry()}, nil)
 		return
 	}
 	if request.Epoch > r.local.configuration.Epoch || !r.Active() {
 		respond(now, nil, ErrCatchingUp)
 		return
 	}
-	response := &PeerResponse{OK: true}
+	response := &message.PeerResponse{OK: true}
 	var changed []quorum.Entry
 	switch path {
-	case PreparePath, AcceptPath:
+	case message.PreparePath, message.AcceptPath:
 		if r.epochClosed() && !concernsOnlyConfiguration(request) {
-			respond(now, &PeerResponse{}, nil)
+			respond(now, &message.PeerResponse{}, nil)
 			return
 		}
-		if path == PreparePath {
+		if path == message.PreparePath {
 			response.Entries, changed, response.PromisedProposal = r.acceptor.Prepare(request.Proposal, request.Keys)
 		} else {
 			changed, response.PromisedProposal = r.acceptor.Accept(request.Proposal, request.Entries)
@@ -302,10 +303,10 @@
 			respond(now, response, nil)
 			return
 		}
-	case ReadPath:
+	case message.ReadPath:
 		// The next set may be in force already, and have decided what this member does not know of.
 		if r.epochClosed() {
-			respond(now, &PeerResponse{}, nil)
+			respond(now, &message.PeerResponse{}, nil)
 			return
 		}
 		if len(request.Keys) > 0 {
@@ -356,7 +357,7 @@
 
 // publishEntry tells a chosen value.
 func (r *Replica) publishEntry(entry quorum.Entry) {
-	r.mergeLocal(lore.Item{Key: lore.RegisterKey + entry.Key, Version: entry.Value.Version, Body: entryBody(entry)})
+	r.mergeLocal(replication.Item{Key: replication.RegisterKey + entry.Key, Version: entry.Value.Version, Body: entryBody(entry)})
 }
 
 func entryBody(entry quorum.Entry) string {
--- a/internal/control/replica/survey.go
+++ b/internal/control/replica/survey.go
@@ -6,7 +6,8 @@
 	"strings"
 	"time"
 
-	"sagelever/lore"
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
 )
 
 // surveyState is a count of what agents have out at appliances that leave. It is taken when an operator asks: in calm times
@@ -14,7 +15,7 @@
 type surveyState struct {
 	id        uint64 // the time of day at which it began, in Unix milliseconds
 	startedAt time.Time
-	reports   map[string]InFlightReport
+	reports   map[string]message.InFlightReport
 }
 
 const (
@@ -25,7 +26,7 @@
 // StartInFlightSurvey begins a census among the agents that hold a lease from here, or joins one that has just begun.
 func (r *Replica) StartInFlightSurvey(now time.Time) {
 	if r.survey.reports == nil || now.Sub(r.survey.startedAt) > surveySharePeriod {
-		r.survey = surveyState{id: max(r.survey.id+1, uint64(now.UnixMilli())), startedAt: now, reports: map[string]InFlightReport{}}
+		r.survey = surveyState{id: max(r.survey.id+1, uint64(now.UnixMilli())), startedAt: now, reports: map[string]message.InFlightReport{}}
 		r.notifyAfter(0)
 	}
 }
@@ -39,7 +40,7 @@
 }
 
 // RecordInFlightReport takes an agent's answer. One to an earlier census says nothing of now.
-func (r *Replica) RecordInFlightReport(report *InFlightReport) {
+func (r *Replica) RecordInFlightReport(report *message.InFlightReport) {
 	if report.SurveyID == r.survey.id && r.survey.reports != nil && (len(r.survey.reports) < maxSurveyReports || r.survey.reports[report.From.Node].SurveyID > 0) {
 		r.survey.reports[report.From.Node] = *report
 	}
@@ -50,13 +51,13 @@
 
 // SurveyResult is what has been heard in a census, or in a later one that has taken its place; missing are the agents with a
 // lease from here that have not answered.
-func (r *Replica) SurveyResult() (survey InFlightSurvey) {
+func (r *Replica) SurveyResult() (survey message.InFlightSurvey) {
 	for _, node := range slices.Sorted(maps.Keys(r.survey.reports)) {
 		survey.Reports = append(survey.Reports, r.survey.reports[node])
 	}
-	r.items.ForEach(lore.LeaseKey, func(item lore.Item) {
-		lease, ok := lore.ReadLease(item)
-		if ok && lease.Role == RoleProxy && !lease.Ended && lease.Grantor == r.config.Self.Node && r.survey.reports[lease.Node].SurveyID == 0 {
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		lease, ok := replication.ReadLease(item)
+		if ok && lease.Role == message.RoleProxy && !lease.Ended && lease.Grantor == r.config.Self.Node && r.survey.reports[lease.Node].SurveyID == 0 {
 			survey.Missing = append(survey.Missing, lease.Node)
 		}
 	})
@@ -67,9 +68,9 @@
 // RecentProxies lists the edge agents that may have something out: those that hold a lease, and those whose lease ran out lately
 // without a word that they have ended.
 func (r *Replica) RecentProxies(now time.Time) (nodes []string) {
-	r.items.ForEach(lore.LeaseKey, func(item lore.Item) {
-		lease, ok := lore.ReadLease(item)
-		if ok && lease.Role == RoleProxy && item.Version&0xff != 0xff && r.liveness.IsActive(item.Key, now) {
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		lease, ok := replication.ReadLease(item)
+		if ok && lease.Role == message.RoleProxy && item.Version&0xff != 0xff && r.liveness.IsActive(item.Key, now) {
 			nodes = append(nodes, lease.Node)
 		}
 	})
@@ -78,11 +79,11 @@
 }
 
 // Backends are the appliances that are known and have not left, by id.
-func (r *Replica) Backends() map[string]*lore.Backend {
-	backends := map[string]*lore.Backend{}
-	r.items.ForEach(lore.BackendKey, func(item lore.Item) {
-		if backend, ok := lore.ReadBackend(item); ok && backend.Phase != lore.PhaseLeft {
-			backends[strings.TrimPrefix(item.Key, lore.BackendKey)] = backend
+func (r *Replica) Backends() map[string]*replication.Backend {
+	backends := map[string]*replication.Backend{}
+	r.items.ForEach(replication.BackendKey, func(item replication.Item) {
+		if backend, ok := replication.ReadBackend(item); ok && backend.Phase != replication.PhaseLeft {
+			backends[strings.TrimPrefix(item.Key, replication.BackendKey)] = backend
 		}
 	})
 	return backends
@@ -91,5 +92,5 @@
 // BackendEnded tells whether an appliance's life is known to have ended, or nothing is known of it.
 func (r *Replica) BackendEnded(id string) bool {
 	phase := r.BackendPhase(id)
-	return phase == "" || phase == lore.PhaseLeft
+	return phase == "" || phase == replication.PhaseLeft
 }
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/rangesync"
 )
@@ -17,13 +18,13 @@
 	if !local.isMember() {
 		others = r.takeoverSources()
 	}
-	r.requestFrom(now, op, others, GenerationPath, &PeerRequest{Epoch: local.configuration.Epoch, From: local.self, Generation: local.identity.Generation})
+	r.requestFrom(now, op, others, message.GenerationPath, &message.PeerRequest{Epoch: local.configuration.Epoch, From: local.self, Generation: local.identity.Generation})
 }
 
 // serveGeneration says which generation of a disk was known here, and notes the one that is told. It says so whether or not
 // this replica acts itself: after a loss of all power none does yet.
-func (r *Replica) serveGeneration(request *PeerRequest) *PeerResponse {
-	response := &PeerResponse{OK: true, DiskID: r.local.self.DiskID}
+func (r *Replica) serveGeneration(request *message.PeerRequest) *message.PeerResponse {
+	response := &message.PeerResponse{OK: true, DiskID: r.local.self.DiskID}
 	if known := r.diskGenerations[request.From.Node]; known.DiskID == request.From.DiskID {
 		response.Generation = known.Number
 	}
@@ -31,7 +32,7 @@
 	return response
 }
 
-func (r *Replica) recordGeneration(owner Member, number uint64) {
+func (r *Replica) recordGeneration(owner message.Member, number uint64) {
 	if owner.DiskID == "" || number == 0 {
 		return
 	}
@@ -42,11 +43,11 @@
 	if member, ok := r.local.configuration.Find(owner.Node); ok && member.DiskID != owner.DiskID && known.DiskID == member.DiskID {
 		return // a candidate takes no member's place
 	}
-	r.diskGenerations[owner.Node] = DiskGeneration{DiskID: owner.DiskID, Number: number}
+	r.diskGenerations[owner.Node] = message.DiskGeneration{DiskID: owner.DiskID, Number: number}
 }
 
 // handleGenerationResponse takes another's word on this disk.
-func (r *Replica) handleGenerationResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+func (r *Replica) handleGenerationResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
 	local := &r.local
 	if !response.OK || op.answered[from.Node] || response.DiskID != from.DiskID { // a member that lost its disk knows nothing
 		return
@@ -75,11 +76,11 @@
 		return
 	}
 	sources := r.takeoverSources()
-	r.requestFrom(now, op, sources, StatePath, r.rangesRequest(StatePath, r.startSessions(op, sources, rangesync.Range{})))
+	r.requestFrom(now, op, sources, message.StatePath, r.rangesRequest(message.StatePath, r.startSessions(op, sources, rangesync.Range{})))
 }
 
 // takeoverSources are the other members of the epoch before and of this one.
-func (r *Replica) takeoverSources() (sources []Member) {
+func (r *Replica) takeoverSources() (sources []message.Member) {
 	local := &r.local
 	for _, peer := range append(slices.Clone(local.configuration.Previous), local.configuration.Members...) {
 		if peer.SameReplica(local.self) || slices.ContainsFunc(sources, peer.SameReplica) {
@@ -106,27 +107,27 @@
 		r.scheduleRetry(now, op)
 		return
 	}
-	source := []Member{peers[op.attempt%len(peers)]}
-	r.requestFrom(now, op, source, StatePath, r.rangesRequest(StatePath, r.startSessions(op, source, rangesync.Range{})))
+	source := []message.Member{peers[op.attempt%len(peers)]}
+	r.requestFrom(now, op, source, message.StatePath, r.rangesRequest(message.StatePath, r.startSessions(op, source, rangesync.Range{})))
 }
 
 // serveState tells what this replica holds. One that is asked about an epoch that it did not know of adopts it first, and
 // has that on its disk before it answers: from then on what it holds of the epoch before does not change any more.
-func (r *Replica) serveState(now time.Time, request *PeerRequest, respond func(now time.Time, response *PeerResponse, err error)) {
+func (r *Replica) serveState(now time.Time, request *message.PeerRequest, respond func(now time.Time, response *message.PeerResponse, err error)) {
 	var changed []quorum.Entry
 	if request.Configuration != nil {
 		changed = r.learnEntries(now, []quorum.Entry{*request.Configuration})
 	}
 	local := &r.local
 	if request.Epoch < local.configuration.Epoch {
-		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, &PeerResponse{Configuration: local.entry()}, nil) })
+		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, &message.PeerResponse{Configuration: local.entry()}, nil) })
 		return
 	}
 	if !local.diskConfirmed || !local.identity.Acting || request.Epoch != local.configuration.Epoch {
 		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, nil, ErrCatchingUp) })
 		return
 	}
-	response := &PeerResponse{OK: true, DiskID: local.self.DiskID, ActiveEpoch: local.identity.Active, DiskGenerations: maps.Clone(r.diskGenerations)}
+	response := &message.PeerResponse{OK: true, DiskID: local.self.DiskID, ActiveEpoch: local.identity.Active, DiskGenerations: maps.Clone(r.diskGenerations)}
 	r.serveRanges(request, response)
 	r.save(now, Save{Entries: changed}, func(now time.Time, err error) {
 		if err != nil {
@@ -137,15 +138,15 @@
 }
 
 // handleStateResponse takes what another replica holds.
-func (r *Replica) handleStateResponse(now time.Time, op *operation, from Member, response *PeerResponse) {
+func (r *Replica) handleStateResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
 	if !response.OK || op.answered[from.Node+from.DiskID] || response.DiskID != from.DiskID {
 		return
 	}
 	// Who comes new into the set is asked for its word on disks like those whose place it takes.
 	for node, generation := range response.DiskGenerations {
-		r.recordGeneration(Member{Node: node, DiskID: generation.DiskID}, generation.Number)
+		r.recordGeneration(message.Member{Node: node, DiskID: generation.DiskID}, generation.Number)
 	}
-	r.handleRanges(now, op, from, StatePath, response, func(now time.Time) {
+	r.handleRanges(now, op, from, message.StatePath, response, func(now time.Time) {
 		if op.kind == catchUp {
 			r.finishCatchUp(now, op, response)
 			return
@@ -213,7 +214,7 @@
 }
 
 // finishCatchUp makes a candidate ready to be voted in.
-func (r *Replica) finishCatchUp(now time.Time, op *operation, response *PeerResponse) {
+func (r *Replica) finishCatchUp(now time.Time, op *operation, response *message.PeerResponse) {
 	if response.ActiveEpoch != r.local.configuration.Epoch {
 		r.scheduleRetry(now, op)
 		return
--- a/lore/item_store.go
+++ b/internal/control/replication/item_store.go
@@ -1,7 +1,7 @@
 // Package lore is what agents know of one another and of the appliances: items, each with a version of its own, that any
 // agent takes and that copies merge item by item. Each source numbers what it tells first; an agent pulls what it lacks by a
 // vector of these numbers, one for each source, from whichever agent it asks. It is pure.
-package lore
+package replication
 
 import (
 	"maps"
--- a/lore/member_table.go
+++ b/internal/control/replication/member_table.go
@@ -1,4 +1,4 @@
-package lore
+package replication
 
 import (
 	"slices"
--- a/lore/records.go
+++ b/internal/control/replication/records.go
@@ -1,4 +1,4 @@
-package lore
+package replication
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
-	"sagelever/boot"
+	"sagelever/internal/settings"
 )
 
 // Heartbeat is what an appliance says of itself.
@@ -87,7 +87,7 @@
 	if heartbeat.WarmUpLeft == "" {
 		heartbeat.WarmUpLeft = "0ms"
 	}
-	if _, err := boot.ParseDuration(heartbeat.WarmUpLeft); err != nil {
+	if _, err := settings.ParseDuration(heartbeat.WarmUpLeft); err != nil {
 		return nil, errors.Wrap(err, "warmLeft")
 	}
 	return heartbeat, nil
@@ -96,7 +96,7 @@
 // UpdateFromHeartbeat says whether a pulse has to be told to others, and the item to tell. A pulse that only says again what is known is
 // kept by the agent that hears it; of the last of them others need to know nothing.
 func UpdateFromHeartbeat(id string, heartbeat *Heartbeat, known *Backend, owner string, now time.Time) (Item, *Backend, bool) {
-	warmUpLeft, _ := boot.ParseDuration(heartbeat.WarmUpLeft)
+	warmUpLeft, _ := settings.ParseDuration(heartbeat.WarmUpLeft)
 	backend := &Backend{Service: heartbeat.Service, Address: heartbeat.Address, Zone: heartbeat.Zone, Version: heartbeat.Version, Capacity: heartbeat.Capacity, Phase: heartbeat.Phase,
 		Owner: owner, HeartbeatMs: now.UnixMilli()}
 	if warmUpLeft > 0 {
--- a/plan/table.go
+++ b/internal/control/routing/table.go
@@ -1,4 +1,4 @@
-package plan
+package routing
 
 import (
 	"maps"
@@ -9,8 +9,11 @@
 
 	"github.com/mailru/easyjson"
 
-	"sagelever/boot"
+	"sagelever/internal/control/config"
+	"sagelever/internal/control/drain"
 	"sagelever/internal/control/quorum"
+	"sagelever/internal/control/release"
+	"sagelever/internal/settings"
 )
 
 // Table is the configuration as a relay uses it: immutable, swapped whole.
@@ -18,10 +21,10 @@
 	routes        map[string]map[string]*Route
 	prefixLengths map[string][]int // of each host's prefixes, the longest first
 	Services      map[string]*Service
-	Evacuated     map[string]bool     // zones to which nothing may be sent
-	Drains        map[string][]Drain  // what operators drain, by zone
-	DrainVersions map[string]uint64   // the versions of these registers, by zone, where there is one
-	Releases      map[string]*Release // by service
+	Evacuated     map[string]bool             // zones to which nothing may be sent
+	Drains        map[string][]drain.Drain    // what operators drain, by zone
+	DrainVersions map[string]uint64           // the versions of these registers, by zone, where there is one
+	Releases      map[string]*release.Release // by service
 	Limits        RequestLimits
 	ItemCount     int
 }
@@ -32,7 +35,7 @@
 	Idempotent             bool
 	Timeout, LatencyTarget time.Duration
 	Priority, MaxAttempts  int
-	WeightedServices       []WeightedService
+	WeightedServices       []config.WeightedService
 	HomeRegions            map[string]bool // nil: anywhere
 	HomeRegionList         string          // the same: sorted, with commas
 	totalWeight            float64
@@ -67,7 +70,7 @@
 // NewTable reads the registers into a table. What can't be read is passed over: it was checked when it was taken.
 func NewTable(values map[string]quorum.Value) *Table {
 	table := &Table{routes: map[string]map[string]*Route{}, prefixLengths: map[string][]int{}, Services: map[string]*Service{},
-		Evacuated: map[string]bool{}, Drains: map[string][]Drain{}, DrainVersions: map[string]uint64{}, Releases: map[string]*Release{}}
+		Evacuated: map[string]bool{}, Drains: map[string][]drain.Drain{}, DrainVersions: map[string]uint64{}, Releases: map[string]*release.Release{}}
 	tenantRegions := map[string]map[string]bool{}
 	keys := make([]string, 0, len(values))
 	for key := range values {
@@ -79,44 +82,44 @@
 		if value.Deleted {
 			continue
 		}
-		if zone, ok := strings.CutPrefix(key, EvacuationKeyPrefix); ok {
-			table.Evacuated[zone] = ReadEvacuation(value.Body).Orders > 0
+		if zone, ok := strings.CutPrefix(key, drain.EvacuationKeyPrefix); ok {
+			table.Evacuated[zone] = drain.ReadEvacuation(value.Body).Orders > 0
 			continue
 		}
-		if zone, ok := strings.CutPrefix(key, ListKeyPrefix); ok {
+		if zone, ok := strings.CutPrefix(key, drain.ListKeyPrefix); ok {
 			table.DrainVersions[zone] = value.Version
-			if drainList := ReadList(value); len(drainList) > 0 {
+			if drainList := drain.ReadList(value); len(drainList) > 0 {
 				table.Drains[zone] = drainList
 			}
 			continue
 		}
-		if service, ok := strings.CutPrefix(key, RegisterKeyPrefix); ok {
-			serviceRelease := &Release{}
+		if service, ok := strings.CutPrefix(key, release.RegisterKeyPrefix); ok {
+			serviceRelease := &release.Release{}
 			if easyjson.Unmarshal([]byte(value.Body), serviceRelease) == nil {
 				table.Releases[service] = serviceRelease
 			}
 			continue
 		}
-		kind, name, ok := SplitKey(key)
+		kind, name, ok := config.SplitKey(key)
 		if !ok {
 			continue
 		}
 		table.ItemCount++
-		decoded, err := ReadBody(kind, name, value.Body)
+		decoded, err := config.ReadBody(kind, name, value.Body)
 		if err != nil {
 			continue
 		}
 		switch body := decoded.(type) {
-		case *ServiceBody:
-			warmUp, _ := boot.ParseDuration(SpanOrZero(body.WarmUp))
+		case *config.ServiceBody:
+			warmUp, _ := settings.ParseDuration(config.SpanOrZero(body.WarmUp))
 			table.Services[name] = &Service{body.HealthCheckPath, body.MaxConnections, warmUp, body.WarmUpRatePerSecond}
-		case *LimitsBody:
+		case *config.LimitsBody:
 			table.Limits = RequestLimits{MaxHeaderBytes: body.MaxHeaderBytes, MaxBodyBytes: body.MaxBodyBytes}
-			table.Limits.HeaderTimeout, _ = boot.ParseDuration(body.HeaderTimeout)
-			table.Limits.IdleTimeout, _ = boot.ParseDuration(body.IdleTimeout)
-		case *TenantBody:
+			table.Limits.HeaderTimeout, _ = settings.ParseDuration(body.HeaderTimeout)
+			table.Limits.IdleTimeout, _ = settings.ParseDuration(body.IdleTimeout)
+		case *config.TenantBody:
 			tenantRegions[name] = newSet(body.HomeRegions)
-		case *RouteBody:
+		case *config.RouteBody:
 			table.addRoute(name, body)
 		}
 	}
@@ -147,7 +150,7 @@
 	return false
 }
 
-func (t *Table) addRoute(name string, body *RouteBody) {
+func (t *Table) addRoute(name string, body *config.RouteBody) {
 	host := strings.ToLower(body.Host)
 	if t.routes[host] == nil {
 		t.routes[host] = map[string]*Route{}
@@ -157,10 +160,10 @@
 	}
 	route := &Route{Name: name, Idempotent: body.Kind == "harmless", Priority: body.Priority, MaxAttempts: max(1, body.MaxAttempts), WeightedServices: body.WeightedServices,
 		HomeRegions: newSet(body.HomeRegions), tenant: body.Tenant}
-	route.Timeout, _ = boot.ParseDuration(body.Timeout)
-	route.LatencyTarget, _ = boot.ParseDuration(SpanOrZero(body.LatencyTarget))
+	route.Timeout, _ = settings.ParseDuration(body.Timeout)
+	route.LatencyTarget, _ = settings.ParseDuration(config.SpanOrZero(body.LatencyTarget))
 	if body.Service != "" {
-		route.WeightedServices = []WeightedService{{body.Service, 1}}
+		route.WeightedServices = []config.WeightedService{{Service: body.Service, Weight: 1}}
 	}
 	for _, share := range route.WeightedServices {
 		route.totalWeight += share.Weight
--- a/steward/api.go
+++ b/internal/control/server/api.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"bytes"
