--- a/steward/clear_out.go
+++ b/internal/control/server/clear_out.go
@@ -1,12 +1,13 @@
-package steward
+package server
 
 import (
 	"context"
 	"net/http"
 	"time"
 
+	"sagelever/internal/control/dedup"
+	"sagelever/internal/control/drain"
 	"sagelever/internal/control/quorum"
-	"sagelever/plan"
 )
 
 // ackDeliveryTime is the time within which an answer that is given has reached its caller before the caller goes on to ask another
@@ -15,7 +16,7 @@
 
 // resendWindow is for how long an order that has no version may be the same one again.
 func (s *Server) resendWindow() time.Duration {
-	return plan.ResendWindow(s.settings.RuleLimits.ConfirmTimeout)
+	return dedup.ResendWindow(s.settings.RuleLimits.ConfirmTimeout)
 }
 
 // clearOutHandler begins or ends the clearing out of a zone.
@@ -44,7 +45,7 @@
 			return
 		}
 		if begin {
-			s.awaitPropagation(ctx, plan.EvacuationKey(zone))
+			s.awaitPropagation(ctx, drain.EvacuationKey(zone))
 		}
 		writeOK(w)
 		if s.now().Sub(started) < ackDeliveryTime && http.NewResponseController(w).Flush() == nil {
@@ -57,13 +58,13 @@
 func (s *Server) proposeClearOut(ctx context.Context, zone string, begin bool) (version uint64, err error) {
 	now := s.now()
 	err = retryWithoutQuorum(ctx, callTimeout, func(ctx context.Context) error {
-		values, err := s.readPrefix(ctx, plan.AcknowledgedKey(zone))
+		values, err := s.readPrefix(ctx, drain.AcknowledgedKey(zone))
 		if err != nil {
 			return err
 		}
-		key := plan.EvacuationKey(zone)
-		acknowledged := plan.ReadAcknowledged(values[plan.AcknowledgedKey(zone)])
-		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: plan.SetEvacuationOnce(begin, acknowledged, now, s.resendWindow())})
+		key := drain.EvacuationKey(zone)
+		acknowledged := drain.ReadAcknowledged(values[drain.AcknowledgedKey(zone)])
+		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: drain.SetEvacuationOnce(begin, acknowledged, now, s.resendWindow())})
 		version = chosen[key].Version
 		return err
 	})
@@ -75,5 +76,5 @@
 func (s *Server) recordAcknowledged(zone string, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
-	_, _ = s.propose(ctx, map[string]quorum.UpdateFunc{plan.AcknowledgedKey(zone): plan.Acknowledge(version)})
+	_, _ = s.propose(ctx, map[string]quorum.UpdateFunc{drain.AcknowledgedKey(zone): drain.Acknowledge(version)})
 }
--- a/steward/configuration.go
+++ b/internal/control/server/configuration.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/config"
 	"sagelever/internal/control/quorum"
-	"sagelever/plan"
 )
 
 const (
@@ -41,13 +41,13 @@
 
 // parseChange reads a configuration and checks what can be said of it by itself.
 func parseChange(data []byte) (map[string]quorum.Value, error) {
-	call, err := plan.ParseChangeRequest(data)
+	call, err := config.ParseChangeRequest(data)
 	if err != nil {
-		return nil, &plan.InvalidError{Err: err}
+		return nil, &config.InvalidError{Err: err}
 	}
 	values, err := call.Values()
 	if err != nil {
-		return nil, &plan.InvalidError{Err: err}
+		return nil, &config.InvalidError{Err: err}
 	}
 	return values, nil
 }
@@ -69,7 +69,7 @@
 	timeout := callTimeout + time.Duration(len(values))*timePerItem
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	_, err = s.operations.join(ctx, "settings.change "+plan.ChangeText(values), len(data), func(ctx context.Context) (uint64, error) {
+	_, err = s.operations.join(ctx, "settings.change "+config.ChangeText(values), len(data), func(ctx context.Context) (uint64, error) {
 		return 0, retryWithoutQuorum(ctx, timeout, func(ctx context.Context) error { return s.commitChange(ctx, values) })
 	})
 	writeResult(w, err)
@@ -79,25 +79,25 @@
 // depends on it: a read costs a message to all members, and by the size of the configuration.
 func (s *Server) commitChange(ctx context.Context, values map[string]quorum.Value) error {
 	keys := slices.Sorted(maps.Keys(values))
-	if !plan.DependsOnOtherItems(values) {
-		return s.commitWith(ctx, keys, plan.Commit(values), values)
+	if !config.DependsOnOtherItems(values) {
+		return s.commitWith(ctx, keys, config.Commit(values), values)
 	}
 	if ended, err := s.commitIndependent(ctx, keys, values); ended {
 		return err
 	}
-	current, err := s.readPrefix(ctx, plan.KeyPrefix)
+	current, err := s.readPrefix(ctx, config.KeyPrefix)
 	if err != nil {
 		return err
 	}
 	if err := s.configIndex.check(current, values); err != nil {
 		return err
 	}
-	return s.commitWith(ctx, keys, plan.Commit(values), values)
+	return s.commitWith(ctx, keys, config.Commit(values), values)
 }
 
 // commitIndependent has a round decide on a call that stands alone; ended is false where it doesn't.
 func (s *Server) commitIndependent(ctx context.Context, keys []string, values map[string]quorum.Value) (ended bool, err error) {
-	missing, independent := plan.RequiredServices(s.localValues(keys), values)
+	missing, independent := config.RequiredServices(s.localValues(keys), values)
 	if !independent {
 		return false, nil
 	}
@@ -107,8 +107,8 @@
 			return true, err
 		}
 	}
-	err = s.commitWith(ctx, keys, plan.CommitSelfContained(services, values), values)
-	_, inconclusive := errors.Into[*plan.IndeterminateError](err)
+	err = s.commitWith(ctx, keys, config.CommitSelfContained(services, values), values)
+	_, inconclusive := errors.Into[*config.IndeterminateError](err)
 	return !inconclusive, err
 }
 
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	return plan.Outcome(chosen, values)
+	return config.Outcome(chosen, values)
 }
 
 // localValues is what this member holds of some registers, which others may have changed since.
@@ -139,14 +139,14 @@
 // sharedIndex is the index of what is in force, for calls that come at once.
 type sharedIndex struct {
 	mu    sync.Mutex
-	index *plan.Index
+	index *config.Index
 }
 
 func (x *sharedIndex) check(current, values map[string]quorum.Value) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.index == nil {
-		x.index = plan.NewIndex()
+		x.index = config.NewIndex()
 	}
 	x.index.Update(current)
 	return x.index.Check(values)
@@ -159,7 +159,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	values, err := s.readPrefix(ctx, plan.KeyPrefix)
+	values, err := s.readPrefix(ctx, config.KeyPrefix)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -173,12 +173,12 @@
 }
 
 // currentItems are the items that stand, in a fixed order.
-func currentItems(values map[string]quorum.Value) plan.ItemList {
-	out := plan.ItemList{Items: []plan.Item{}}
+func currentItems(values map[string]quorum.Value) config.ItemList {
+	out := config.ItemList{Items: []config.Item{}}
 	for key, value := range values {
-		if kind, name, ok := plan.SplitKey(key); ok && !value.Deleted {
-			meta := plan.Metadata{Name: name, Version: plan.FormatVersion(value.Version)}
-			out.Items = append(out.Items, plan.Item{Type: kind, Metadata: meta, Body: json.RawMessage(value.Body)})
+		if kind, name, ok := config.SplitKey(key); ok && !value.Deleted {
+			meta := config.Metadata{Name: name, Version: config.FormatVersion(value.Version)}
+			out.Items = append(out.Items, config.Item{Type: kind, Metadata: meta, Body: json.RawMessage(value.Body)})
 		}
 	}
 	sort.Slice(out.Items, func(i, j int) bool {
--- a/steward/drain.go
+++ b/internal/control/server/drain.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"context"
@@ -10,11 +10,12 @@
 
 	"github.com/mailru/easyjson"
 
-	"sagelever/ebb"
+	"sagelever/internal/control/drain"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
-	"sagelever/internal/control/replica"
-	"sagelever/lore"
-	"sagelever/plan"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/control/routing"
+	"sagelever/internal/rpc"
 )
 
 const (
@@ -24,8 +25,8 @@
 
 // handleInFlightReport takes an agent's answer to a census.
 func (s *Server) handleInFlightReport(w http.ResponseWriter, r *http.Request) {
-	report := &replica.InFlightReport{}
-	if !ReadRequest(w, r, report) {
+	report := &message.InFlightReport{}
+	if !rpc.ReadRequest(w, r, report) {
 		return
 	}
 	s.mu.Lock()
@@ -36,11 +37,11 @@
 // handleInFlightSurvey counts among the agents that hold a lease from here.
 func (s *Server) handleInFlightSurvey(w http.ResponseWriter, r *http.Request) {
 	survey := s.surveyLocal(r.Context())
-	WriteResponse(w, &survey)
+	rpc.WriteResponse(w, &survey)
 }
 
 // surveyLocal waits until all have answered, or for surveyTimeout.
-func (s *Server) surveyLocal(ctx context.Context) (survey replica.InFlightSurvey) {
+func (s *Server) surveyLocal(ctx context.Context) (survey message.InFlightSurvey) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
 	s.step(func(now time.Time) { s.replica.StartInFlightSurvey(now) })
@@ -60,20 +61,20 @@
 }
 
 // surveyAll asks every member for what its agents say. Unheard are agents that may have something out and have not answered.
-func (s *Server) surveyAll(ctx context.Context) (survey replica.InFlightSurvey, unreachable []string) {
+func (s *Server) surveyAll(ctx context.Context) (survey message.InFlightSurvey, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout+callTimeout/2) // a member that hangs holds up no operator
 	defer cancel()
 	s.mu.Lock()
 	members := s.replica.OtherMembers()
 	s.mu.Unlock()
-	surveys := make(chan replica.InFlightSurvey, len(members)+1)
+	surveys := make(chan message.InFlightSurvey, len(members)+1)
 	var wg sync.WaitGroup
 	for _, member := range members {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := replica.InFlightSurvey{}
-			if Post(ctx, s.peerClient, member.Addr, replica.InFlightSurveyPath, []byte("{}"), &c) == nil {
+			c := message.InFlightSurvey{}
+			if rpc.Post(ctx, s.peerClient, member.Addr, message.InFlightSurveyPath, []byte("{}"), &c) == nil {
 				surveys <- c
 			}
 		}()
@@ -88,7 +89,7 @@
 	proxies := s.replica.RecentProxies(s.now())
 	s.mu.Unlock()
 	for _, node := range proxies {
-		if !slices.ContainsFunc(survey.Reports, func(w replica.InFlightReport) bool { return w.From.Node == node }) {
+		if !slices.ContainsFunc(survey.Reports, func(w message.InFlightReport) bool { return w.From.Node == node }) {
 			unreachable = append(unreachable, node)
 		}
 	}
@@ -102,7 +103,7 @@
 	if !ok {
 		return
 	}
-	order := &plan.BeginRequest{}
+	order := &drain.BeginRequest{}
 	if err := easyjson.Unmarshal(data, order); err != nil {
 		writeInvalid(w, err)
 		return
@@ -123,45 +124,45 @@
 }
 
 // startDrain begins a drain, unless it stands or was begun lately: then the order is the same one again.
-func (s *Server) startDrain(ctx context.Context, order *plan.BeginRequest) (ebb.Response, error) {
+func (s *Server) startDrain(ctx context.Context, order *drain.BeginRequest) (drain.Response, error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	values, err := s.readPrefix(readCtx, "")
 	if err != nil {
-		return ebb.Response{}, err
+		return drain.Response{}, err
 	}
-	if key, _, exists := plan.Find(values, order.Target); exists {
+	if key, _, exists := drain.Find(values, order.Target); exists {
 		s.awaitPropagation(ctx, key)
-		return ebb.Response{Target: order.Target, AlreadyActive: true}, nil
+		return drain.Response{Target: order.Target, AlreadyActive: true}, nil
 	}
 	s.mu.Lock()
 	backends := s.replica.Backends()
 	s.mu.Unlock()
 	zone, drainOrder, err := s.parseDrainTarget(order.Target, backends)
 	if err != nil {
-		if plan.AddedRecently(values, order.Target, s.now(), s.resendWindow()) {
-			return ebb.Response{Target: order.Target}, nil // it has left since, and its drain with it
+		if drain.AddedRecently(values, order.Target, s.now(), s.resendWindow()) {
+			return drain.Response{Target: order.Target}, nil // it has left since, and its drain with it
 		}
-		return ebb.Response{}, err
+		return drain.Response{}, err
 	}
-	response := ebb.Response{Target: drainOrder.TargetName(zone)}
+	response := drain.Response{Target: drainOrder.TargetName(zone)}
 	if !order.Force {
 		response = s.checkCapacity(ctx, zone, drainOrder, values, backends)
 		if len(response.Shortfalls) > 0 {
-			return ebb.Response{}, &insufficientCapacityError{response}
+			return drain.Response{}, &insufficientCapacityError{response}
 		}
 	}
-	key := plan.ListKey(zone)
+	key := drain.ListKey(zone)
 	if err := s.proposeDrain(ctx, zone, drainOrder, values); err != nil {
-		return ebb.Response{}, err
+		return drain.Response{}, err
 	}
 	s.awaitPropagation(ctx, key)
 	return response, nil
 }
 
 // parseDrainTarget reads what a word is about; *notFoundError where there is no such thing.
-func (s *Server) parseDrainTarget(name string, backends map[string]*lore.Backend) (zone string, drainOrder plan.Drain, err error) {
-	zone, drainOrder, err = plan.ParseTarget(name, s.settings.Zones, func(id string) string {
+func (s *Server) parseDrainTarget(name string, backends map[string]*replication.Backend) (zone string, drainOrder drain.Drain, err error) {
+	zone, drainOrder, err = drain.ParseTarget(name, s.settings.Zones, func(id string) string {
 		if a := backends[id]; a != nil {
 			return a.Zone
 		}
@@ -170,7 +171,7 @@
 	if err != nil {
 		return "", drainOrder, &notFoundError{"target: " + err.Error()}
 	}
-	serves := func(a *lore.Backend) bool { return a.Service == drainOrder.Service }
+	serves := func(a *replication.Backend) bool { return a.Service == drainOrder.Service }
 	if drainOrder.Service != "" && !slices.ContainsFunc(slices.Collect(maps.Values(backends)), serves) {
 		return "", drainOrder, &notFoundError{"target: no appliance of such a service is known"}
 	}
@@ -178,12 +179,12 @@
 }
 
 // checkCapacity tells what would be short, and which appliances go, if a drain were begun.
-func (s *Server) checkCapacity(ctx context.Context, zone string, drainOrder plan.Drain, values map[string]quorum.Value, backends map[string]*lore.Backend) ebb.Response {
+func (s *Server) checkCapacity(ctx context.Context, zone string, drainOrder drain.Drain, values map[string]quorum.Value, backends map[string]*replication.Backend) drain.Response {
 	survey, unreachable := s.surveyAll(ctx)
 	_, loads := survey.ProgressReports()
-	order := replica.NewDrainOrder(zone, drainOrder, 0)
-	capacities := replica.BackendCapacities(plan.NewTable(values), backends, s.settings.Zones, s.now())
-	response := ebb.Response{Target: drainOrder.TargetName(zone), Shortfalls: ebb.CapacityShortfalls(loads, capacities, order.Covers), Unresponsive: unreachable}
+	order := drain.NewActiveDrain(zone, drainOrder, 0)
+	capacities := routing.BackendCapacities(routing.NewTable(values), backends, s.settings.Zones, s.now())
+	response := drain.Response{Target: drainOrder.TargetName(zone), Shortfalls: drain.CapacityShortfalls(loads, capacities, order.Covers), Unresponsive: unreachable}
 	if len(response.Shortfalls) == 0 {
 		return response
 	}
@@ -196,15 +197,15 @@
 }
 
 // proposeDrain has a drain's beginning decided.
-func (s *Server) proposeDrain(ctx context.Context, zone string, drainOrder plan.Drain, values map[string]quorum.Value) error {
-	key, now := plan.ListKey(zone), s.now()
-	ended := s.endedBackends(plan.ReadList(values[key]))
-	change := plan.AddRecorded(zone, drainOrder, func(id string) bool { return ended[id] }, now, s.resendWindow())
+func (s *Server) proposeDrain(ctx context.Context, zone string, drainOrder drain.Drain, values map[string]quorum.Value) error {
+	key, now := drain.ListKey(zone), s.now()
+	ended := s.endedBackends(drain.ReadList(values[key]))
+	change := drain.AddRecorded(zone, drainOrder, func(id string) bool { return ended[id] }, now, s.resendWindow())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := s.operations.join(ctx, "drains.begin "+zone+" "+drainOrder.TargetName(zone), 0, func(ctx context.Context) (uint64, error) {
 		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
-		if err == nil && !slices.ContainsFunc(plan.ReadList(chosen[key]), drainOrder.SameTarget) {
+		if err == nil && !slices.ContainsFunc(drain.ReadList(chosen[key]), drainOrder.SameTarget) {
 			err = &tooManyDrainsError{}
 		}
 		return 0, err
@@ -213,7 +214,7 @@
 }
 
 // endedBackends tells of which drains the appliance's life is over.
-func (s *Server) endedBackends(drains []plan.Drain) map[string]bool {
+func (s *Server) endedBackends(drains []drain.Drain) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := map[string]bool{}
@@ -235,24 +236,24 @@
 		writeError(w, err)
 		return
 	}
-	writeValue(w, http.StatusOK, ebb.Response{Target: name})
+	writeValue(w, http.StatusOK, drain.Response{Target: name})
 }
 
 // stopDrain has the end of a drain decided; one that was withdrawn lately is withdrawn.
 func (s *Server) stopDrain(ctx context.Context, name string) error {
-	values, err := s.readPrefix(ctx, plan.ListKey(""))
+	values, err := s.readPrefix(ctx, drain.ListKey(""))
 	if err != nil {
 		return err
 	}
 	now := s.now()
-	key, drainOrder, exists := plan.Find(values, name)
+	key, drainOrder, exists := drain.Find(values, name)
 	if !exists {
-		if plan.RemovedRecently(values, name, now, s.resendWindow()) {
+		if drain.RemovedRecently(values, name, now, s.resendWindow()) {
 			return nil
 		}
 		return &notFoundError{"of: no such drain stands"}
 	}
-	change := plan.RemoveRecorded(plan.ZoneOfListKey(key), drainOrder, now, s.resendWindow())
+	change := drain.RemoveRecorded(drain.ZoneOfListKey(key), drainOrder, now, s.resendWindow())
 	_, err = s.operations.join(ctx, "drains.end "+name, 0, func(ctx context.Context) (uint64, error) {
 		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
 		return 0, err
@@ -267,28 +268,28 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	values, err := s.readPrefix(ctx, plan.ListKey(""))
+	values, err := s.readPrefix(ctx, drain.ListKey(""))
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	orders := replica.DrainOrders(values)
+	orders := drain.ActiveDrains(values)
 	if name := r.URL.Query().Get("of"); name != "" {
-		orders = slices.DeleteFunc(orders, func(o ebb.ActiveDrain) bool { return o.Target != name })
+		orders = slices.DeleteFunc(orders, func(o drain.ActiveDrain) bool { return o.Target != name })
 		if len(orders) == 0 {
 			writeError(w, &notFoundError{"of: no such drain stands"})
 			return
 		}
 	}
-	response := ebb.ProgressList{Drains: []ebb.Progress{}}
+	response := drain.ProgressList{Drains: []drain.Progress{}}
 	if len(orders) > 0 {
 		survey, unreachable := s.surveyAll(r.Context())
 		reports, _ := survey.ProgressReports()
 		s.mu.Lock()
 		backends := s.replica.Backends()
 		s.mu.Unlock()
-		capacities := replica.BackendCapacities(plan.NewTable(values), backends, s.settings.Zones, s.now())
-		response.Drains = ebb.MeasureProgress(orders, capacities, reports, unreachable, s.now())
+		capacities := routing.BackendCapacities(routing.NewTable(values), backends, s.settings.Zones, s.now())
+		response.Drains = drain.MeasureProgress(orders, capacities, reports, unreachable, s.now())
 	}
 	writeValue(w, http.StatusOK, response)
 }
--- a/steward/driver.go
+++ b/internal/control/server/driver.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"context"
@@ -11,9 +11,11 @@
 	"github.com/mailru/easyjson"
 	"go.uber.org/zap"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/replica"
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/rpc"
 )
 
 // Keys in the vault. The disk keeps a beginning of what is noted together, in the order of the keys: progressKey is the last,
@@ -57,7 +59,7 @@
 			s.step(func(now time.Time) { s.replica.HandleSaved(now, x.ID, err) })
 		}()
 	}
-	bodies := map[*replica.PeerRequest][]byte{}
+	bodies := map[*message.PeerRequest][]byte{}
 	for _, x := range output.Requests {
 		body := bodies[x.Request]
 		if body == nil {
@@ -85,7 +87,7 @@
 		if cancel := s.cancelPulls[x.Addr]; cancel != nil {
 			cancel()
 		} else { // no member that is known: it is asked who the members are
-			go s.pullOnce(context.Background(), replica.Member{Addr: x.Addr})
+			go s.pullOnce(context.Background(), message.Member{Addr: x.Addr})
 		}
 	}
 	if output.NotifyAfter >= 0 {
@@ -111,7 +113,7 @@
 		records[entryPrefix+entry.Key] = string(data)
 	}
 	if save.Floor != nil {
-		data, _ := easyjson.Marshal(&replica.PeerRequest{Proposal: *save.Floor})
+		data, _ := easyjson.Marshal(&message.PeerRequest{Proposal: *save.Floor})
 		records[floorKey] = string(data)
 	}
 	if save.Identity != nil {
@@ -122,18 +124,18 @@
 }
 
 // sendRequest carries a message to another member, and its reply back.
-func (s *Server) sendRequest(message replica.OutgoingRequest, body []byte) {
+func (s *Server) sendRequest(outgoing replica.OutgoingRequest, body []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
-	response := &replica.PeerResponse{}
-	if Post(ctx, s.peerClient, message.To.Addr, message.Path, body, response) != nil {
+	response := &message.PeerResponse{}
+	if rpc.Post(ctx, s.peerClient, outgoing.To.Addr, outgoing.Path, body, response) != nil {
 		response = nil
 	}
-	s.step(func(now time.Time) { s.replica.HandleResponse(now, message.ID, response) })
+	s.step(func(now time.Time) { s.replica.HandleResponse(now, outgoing.ID, response) })
 }
 
 // handleRequest is this member's part in what another has under way.
-func (s *Server) handleRequest(ctx context.Context, path string, request *replica.PeerRequest) (*replica.PeerResponse, error) {
+func (s *Server) handleRequest(ctx context.Context, path string, request *message.PeerRequest) (*message.PeerResponse, error) {
 	done := make(chan replica.OutgoingResponse, 1)
 	s.step(func(now time.Time) {
 		s.lastCallID++
@@ -232,7 +234,7 @@
 // it remembers is.
 const maxSaveInterval = 5 * time.Second
 
-func formatProgress(progress lore.Vector, now time.Time) string {
+func formatProgress(progress replication.Vector, now time.Time) string {
 	parts := []string{strconv.FormatInt(now.UnixMilli(), 10)}
 	for origin, number := range progress {
 		parts = append(parts, origin+"="+strconv.FormatUint(number, 16))
@@ -250,7 +252,7 @@
 		memory.Entries = append(memory.Entries, entry)
 	}
 	if text, ok := s.store.Load(floorKey)[""]; ok {
-		floor := &replica.PeerRequest{}
+		floor := &message.PeerRequest{}
 		if err := easyjson.Unmarshal([]byte(text), floor); err != nil {
 			return memory, err
 		}
@@ -263,15 +265,15 @@
 	} else {
 		_, memory.LegacyDisk = s.store.Load(legacyBirthKey)[""]
 	}
-	memory.Generations = map[string]replica.DiskGeneration{}
+	memory.Generations = map[string]message.DiskGeneration{}
 	for node, text := range s.store.Load(generationPrefix) {
-		generation := replica.DiskGeneration{}
+		generation := message.DiskGeneration{}
 		if _, err := fmt.Sscan(text, &generation.DiskID, &generation.Number); err == nil {
 			memory.Generations[node] = generation
 			s.savedGenerations[node] = text
 		}
 	}
-	memory.Progress = lore.Vector{}
+	memory.Progress = replication.Vector{}
 	for i, part := range strings.Fields(s.store.Load(progressKey)[""]) {
 		if i == 0 {
 			milliseconds, _ := strconv.ParseInt(part, 10, 64)
@@ -291,13 +293,13 @@
 		version, err := strconv.ParseUint(parts[0], 16, 64)
 		number, err2 := strconv.ParseUint(parts[2], 16, 64)
 		if err == nil && err2 == nil {
-			memory.Items = append(memory.Items, replica.PersistedItem{Item: lore.Item{Key: key, Version: version, Body: parts[3]}, Origin: parts[1], Number: number})
+			memory.Items = append(memory.Items, replica.PersistedItem{Item: replication.Item{Key: key, Version: version, Body: parts[3]}, Origin: parts[1], Number: number})
 		}
 	}
 	for key, text := range s.store.Load(legacyBackendPrefix) {
 		number, body, _ := strings.Cut(text, " ")
 		if version, err := strconv.ParseUint(number, 16, 64); err == nil {
-			memory.Items = append(memory.Items, replica.PersistedItem{Item: lore.Item{Key: key, Version: version, Body: body}})
+			memory.Items = append(memory.Items, replica.PersistedItem{Item: replication.Item{Key: key, Version: version, Body: body}})
 		}
 		s.unsavedRecords[legacyBackendPrefix+key] = ""
 	}
--- a/steward/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
-	"sagelever/internal/control/replica"
-	"sagelever/lore"
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
 )
 
 // handleHeartbeat takes an appliance's word of itself.
@@ -21,7 +21,7 @@
 	if !ok {
 		return
 	}
-	heartbeat, err := lore.ParseHeartbeat(data)
+	heartbeat, err := replication.ParseHeartbeat(data)
 	if err != nil {
 		writeInvalid(w, err)
 		return
@@ -30,12 +30,12 @@
 		return
 	}
 	s.counters.heartbeats.Add(1)
-	var nearest replica.Member
+	var nearest message.Member
 	s.step(func(now time.Time) { nearest = s.replica.RecordHeartbeat(now, id, heartbeat) })
-	if heartbeat.Phase == lore.PhaseDraining {
+	if heartbeat.Phase == replication.PhaseDraining {
 		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 		defer cancel()
-		if !s.awaitReplication(ctx, lore.BackendKey+id) {
+		if !s.awaitReplication(ctx, replication.BackendKey+id) {
 			writeUnavailable(w, "too few other agents hold this yet")
 			return
 		}
@@ -48,7 +48,7 @@
 }
 
 // controlAddress is where a member takes the calls of appliances: all machines of a system have the same ports.
-func (s *Server) controlAddress(member replica.Member) string {
+func (s *Server) controlAddress(member message.Member) string {
 	_, port, err := net.SplitHostPort(s.settings.ListenAddresses["control"])
 	host, _, memberErr := net.SplitHostPort(member.Addr)
 	if err != nil || memberErr != nil {
@@ -62,7 +62,7 @@
 	if !ok || !s.requireQuorum(w) {
 		return
 	}
-	key := lore.BackendKey + id
+	key := replication.BackendKey + id
 	s.step(func(now time.Time) { s.replica.DeregisterBackend(now, id) })
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
--- a/steward/peers.go
+++ b/internal/control/server/peers.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"context"
@@ -8,8 +8,10 @@
 
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/replica"
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/rpc"
 )
 
 const peerCallTimeout = 4 * time.Second
@@ -26,14 +28,14 @@
 			handler(&countingWriter{w, counter}, r)
 		})
 	}
-	register(replica.PullPath, s.handlePull)
-	register(replica.TallyPath, s.handleTally)
-	register(replica.InFlightReportPath, s.handleInFlightReport)
-	register(replica.InFlightSurveyPath, s.handleInFlightSurvey)
-	for _, path := range []string{replica.PreparePath, replica.AcceptPath, replica.ReadPath, replica.StatePath, replica.GenerationPath} {
+	register(message.PullPath, s.handlePull)
+	register(message.TallyPath, s.handleTally)
+	register(message.InFlightReportPath, s.handleInFlightReport)
+	register(message.InFlightSurveyPath, s.handleInFlightSurvey)
+	for _, path := range []string{message.PreparePath, message.AcceptPath, message.ReadPath, message.StatePath, message.GenerationPath} {
 		register(path, func(w http.ResponseWriter, r *http.Request) {
-			request := &replica.PeerRequest{}
-			if !ReadRequest(w, r, request) {
+			request := &message.PeerRequest{}
+			if !rpc.ReadRequest(w, r, request) {
 				return
 			}
 			response, err := s.handleRequest(r.Context(), path, request)
@@ -41,7 +43,7 @@
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 				return
 			}
-			WriteResponse(w, response)
+			rpc.WriteResponse(w, response)
 			s.counters.peerCalls.Add(1)
 		})
 	}
@@ -63,8 +65,8 @@
 
 // handlePull answers with what is new, at once or when there is some.
 func (s *Server) handlePull(w http.ResponseWriter, r *http.Request) {
-	request := &replica.PullRequest{}
-	if !ReadRequest(w, r, request) {
+	request := &message.PullRequest{}
+	if !rpc.ReadRequest(w, r, request) {
 		return
 	}
 	deadline := time.NewTimer(time.Duration(max(0, min(request.WaitMs, 10_000))) * time.Millisecond)
@@ -90,7 +92,7 @@
 	}
 	s.mu.Unlock()
 	s.counters.pulls.Add(1)
-	s.countSent(request.From.Zone, WriteResponse(w, response))
+	s.countSent(request.From.Zone, rpc.WriteResponse(w, response))
 }
 
 // discoverMembers keeps a pull going to every member known, and to the first contacts until this replica is one of the members and
@@ -109,7 +111,7 @@
 		if !healthy || len(members) == 0 {
 			for _, address := range s.peerAddresses(contacts) {
 				if address != s.self.Addr {
-					go s.pullOnce(ctx, replica.Member{Addr: address})
+					go s.pullOnce(ctx, message.Member{Addr: address})
 				}
 			}
 		}
@@ -121,7 +123,7 @@
 }
 
 // updatePullers begins to pull from members that are new, and ends it for those that are none any more.
-func (s *Server) updatePullers(ctx context.Context, following map[string]context.CancelFunc, members []replica.Member) {
+func (s *Server) updatePullers(ctx context.Context, following map[string]context.CancelFunc, members []message.Member) {
 	present := map[string]bool{}
 	for _, member := range members {
 		present[member.Addr] = true
@@ -141,7 +143,7 @@
 
 // pullLoop pulls one member's news for as long as this agent runs. A member that answers at once without news, twice running,
 // is not asked without end.
-func (s *Server) pullLoop(ctx context.Context, member replica.Member) {
+func (s *Server) pullLoop(ctx context.Context, member message.Member) {
 	emptyPulls := 0
 	deferred := func() bool {
 		s.mu.Lock()
@@ -174,7 +176,7 @@
 }
 
 // pullOnce asks one agent once and takes up what it tells.
-func (s *Server) pullOnce(ctx context.Context, source replica.Member) (items int, err error) {
+func (s *Server) pullOnce(ctx context.Context, source message.Member) (items int, err error) {
 	s.mu.Lock()
 	request := s.replica.NewPullRequest(s.now(), source)
 	s.mu.Unlock()
@@ -184,8 +186,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+time.Second)
 	defer cancel()
-	response := &replica.PullResponse{}
-	if err := Post(ctx, s.peerClient, source.Addr, replica.PullPath, body, response); err != nil {
+	response := &message.PullResponse{}
+	if err := rpc.Post(ctx, s.peerClient, source.Addr, message.PullPath, body, response); err != nil {
 		return 0, err
 	}
 	s.step(func(now time.Time) { s.replica.HandlePullResponse(now, source, request, response) })
@@ -214,13 +216,13 @@
 func (s *Server) awaitPropagation(ctx context.Context, register string) {
 	ctx, cancel := context.WithTimeout(ctx, replica.RemovalReplicationWait)
 	defer cancel()
-	s.awaitReplication(ctx, lore.RegisterKey+register)
+	s.awaitReplication(ctx, replication.RegisterKey+register)
 }
 
 // handleTally takes what an edge agent has seen of a release.
 func (s *Server) handleTally(w http.ResponseWriter, r *http.Request) {
-	message := &replica.PullResponse{}
-	if !ReadRequest(w, r, message) {
+	message := &message.PullResponse{}
+	if !rpc.ReadRequest(w, r, message) {
 		return
 	}
 	s.step(func(now time.Time) { s.replica.MergeTallies(now, message.Items) })
--- a/steward/release.go
+++ b/internal/control/server/release.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 
 	"github.com/mailru/easyjson"
 
-	"sagelever/boot"
 	"sagelever/internal/control/quorum"
-	"sagelever/plan"
+	"sagelever/internal/control/release"
+	"sagelever/internal/settings"
 )
 
 // handleReleaseBegin takes an order to bring in a version. The same order again is acknowledged again, and begins nothing.
@@ -18,12 +18,12 @@
 	if !ok {
 		return
 	}
-	order := &plan.StartRequest{}
+	order := &release.StartRequest{}
 	if err := easyjson.Unmarshal(data, order); err != nil {
 		writeInvalid(w, err)
 		return
 	}
-	duration, err := boot.ParseDuration(order.Duration)
+	duration, err := settings.ParseDuration(order.Duration)
 	if err != nil || duration == 0 || order.Service == "" || order.Target == "" {
 		writeError(w, invalidRequest("service, target, over: want a service, a version and a time"))
 		return
@@ -32,12 +32,12 @@
 		return
 	}
 	now := s.now() // of the order's coming: the term of a resend counts from there, however long the rounds take
-	change := plan.StartOnce(order.Target, duration, now, s.resendWindow())
+	change := release.StartOnce(order.Target, duration, now, s.resendWindow())
 	key := "releases.begin " + order.Service + "\x00" + order.Target + "\x00" + duration.String()
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	_, err = s.operations.join(ctx, key, len(data), func(ctx context.Context) (uint64, error) {
-		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{plan.RegisterKey(order.Service): change})
+		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{release.RegisterKey(order.Service): change})
 		return 0, err
 	})
 	writeResult(w, err)
@@ -51,13 +51,13 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	key := plan.RegisterKey(service)
+	key := release.RegisterKey(service)
 	values, err := s.readPrefix(ctx, key)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	current, ok := plan.Read(values[key])
+	current, ok := release.Read(values[key])
 	if !ok {
 		writeError(w, &notFoundError{"there is no release of this service"})
 		return
--- a/steward/responses.go
+++ b/internal/control/server/responses.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
-	"sagelever/plan"
+	"sagelever/internal/control/config"
 )
 
 const (
@@ -40,15 +40,15 @@
 func (e *tooManyDrainsError) Error() string { return "too many drains stand in this zone" }
 
 // invalidRequest is a call that can't be taken by its own words.
-func invalidRequest(text string) error { return &plan.InvalidError{Err: errors.New(text)} }
+func invalidRequest(text string) error { return &config.InvalidError{Err: errors.New(text)} }
 
 // statusOf maps the reason why a call was not done to the status of its answer. A refusal is said only for what is known to
 // be refused; whatever else hinders promises nothing, so that the caller asks again, here or at another agent.
 func statusOf(err error) int {
-	if _, is := errors.Into[*plan.InvalidError](err); is {
+	if _, is := errors.Into[*config.InvalidError](err); is {
 		return http.StatusBadRequest
 	}
-	if _, is := errors.Into[*plan.ConflictError](err); is {
+	if _, is := errors.Into[*config.ConflictError](err); is {
 		return http.StatusConflict
 	}
 	if _, is := errors.Into[*insufficientCapacityError](err); is {
@@ -131,9 +131,9 @@
 	if _, tooLarge := errors.Into[*http.MaxBytesError](err); tooLarge {
 		writeError(w, &tooLargeError{err})
 	} else {
-		writeError(w, &plan.InvalidError{Err: err})
+		writeError(w, &config.InvalidError{Err: err})
 	}
 	return nil, false
 }
 
-func writeInvalid(w http.ResponseWriter, err error) { writeError(w, &plan.InvalidError{Err: err}) }
+func writeInvalid(w http.ResponseWriter, err error) { writeError(w, &config.InvalidError{Err: err}) }
--- a/steward/steward.go
+++ b/internal/control/server/server.go
@@ -1,6 +1,6 @@
 // Package steward is the control plane of one machine: the sockets, the disk and the clock of a member of the core. What
 // the member does is decided by replica.
-package steward
+package server
 
 import (
 	"context"
@@ -16,36 +16,38 @@
 	"github.com/go-faster/errors"
 	"go.uber.org/zap"
 
-	"sagelever/boot"
 	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/replica"
-	"sagelever/strand"
-	"sagelever/vault"
+	"sagelever/internal/control/storage"
+	"sagelever/internal/rpc"
+	"sagelever/internal/settings"
+	"sagelever/internal/tcp"
 )
 
 const (
-	tickInterval = 250 * time.Millisecond
-	userTimeout  = strand.UserTimeout(1500 * time.Millisecond)
+	tickInterval      = 250 * time.Millisecond
+	listenUserTimeout = tcp.UserTimeout(1500 * time.Millisecond)
 )
 
 // Options of a steward.
 type Options struct {
-	Settings       *boot.Settings
+	Settings       *settings.Settings
 	MembersPerZone int // members of the core in each zone, as the deploy file has it
 	Log            *zap.Logger
 	Now            func() time.Time // the time of day; time.Now where nil
-	Dial           DialFunc         // how other agents are reached; nil: as usual
+	Dial           rpc.DialFunc     // how other agents are reached; nil: as usual
 }
 
 // Server is one member.
 type Server struct {
-	settings   *boot.Settings
+	settings   *settings.Settings
 	log        *zap.Logger
 	now        func() time.Time
 	target     membership.Target
-	store      *vault.Store
+	store      *storage.Store
 	peerClient *http.Client
-	self       replica.Member
+	self       message.Member
 
 	mu               sync.Mutex
 	replica          *replica.Replica
@@ -76,18 +78,18 @@
 	cfg := options.Settings
 	folder := cfg.DataDir
 	if folder == "" {
-		dir, err := os.MkdirTemp("", "steward")
+		dir, err := os.MkdirTemp("", "controller")
 		if err != nil {
 			return nil, err
 		}
 		folder = dir
 	}
-	store, err := vault.Open(folder)
+	store, err := storage.Open(folder)
 	if err != nil {
 		return nil, err
 	}
 	server := &Server{settings: cfg, log: options.Log, now: options.Now, target: cfg.ControlGroup(options.MembersPerZone), store: store,
-		peerClient: NewClient(options.Dial), self: replica.Member{Node: cfg.Node, Zone: cfg.Zone, Addr: net.JoinHostPort(cfg.IP, cfg.PeerPort())},
+		peerClient: rpc.NewClient(options.Dial), self: message.Member{Node: cfg.Node, Zone: cfg.Zone, Addr: net.JoinHostPort(cfg.IP, cfg.PeerPort())},
 		pendingCalls: map[uint64]chan replica.OutgoingResponse{}, pendingTasks: map[uint64]chan replica.Completion{}, cancelPulls: map[string]context.CancelFunc{}, updated: make(chan struct{}),
 		unsavedRecords: map[string]string{}, savedGenerations: map[string]string{}, contacts: cfg.SeedAddresses, pathCounters: map[string]*pathCounters{}}
 	server.diskFailures.log = options.Log
@@ -121,9 +123,9 @@
 		if address == "" {
 			continue
 		}
-		listener, err := userTimeout.Listen(address)
+		listener, err := listenUserTimeout.Listen(address)
 		if err != nil {
-			return errors.Wrap(err, "steward")
+			return errors.Wrap(err, "controller")
 		}
 		httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, ErrorLog: zap.NewStdLog(s.log)}
 		servers = append(servers, httpServer)
@@ -151,7 +153,7 @@
 			}
 		}
 	}()
-	s.log.Info("steward started", zap.String("node", s.settings.Node))
+	s.log.Info("controller started", zap.String("node", s.settings.Node))
 	<-ctx.Done()
 	s.step(func(now time.Time) { s.replica.Leave(now) })
 	s.awaitHandover(workCtx)
@@ -250,7 +252,7 @@
 }
 
 // Reload takes the first contacts of changed settings; all else is taken at the next start.
-func (s *Server) Reload(cfg *boot.Settings) {
+func (s *Server) Reload(cfg *settings.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.contacts = cfg.SeedAddresses
--- a/vault/store.go
+++ b/internal/control/storage/store.go
@@ -5,7 +5,7 @@
 // over itself and its key. A tail that a loss of power has torn or left full of holes is cut off when the file is opened:
 // what stands behind the first flaw was written after the last sync and was never spoken of. Where a later mark says that
 // the flawed part had been synced, the file is put aside: its member has lost its disk.
-package vault
+package storage
 
 import (
 	"bytes"
--- a/vault/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
--- a/ebb/lease.go
+++ b/internal/lease/lease.go
@@ -1,4 +1,4 @@
-package ebb
+package lease
 
 import "time"
 
--- a/relay/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 
 	"github.com/go-faster/errors"
 
-	"sagelever/strand"
-	"sagelever/verdict"
+	"sagelever/internal/proxy/retry"
+	"sagelever/internal/upstream"
 )
 
 // attempt is one send of a request to one appliance, and how far it has come. Its phase may be asked for at any time.
 type attempt struct {
-	exchange   strand.Exchange
+	exchange   upstream.Exchange
 	method     string
-	tryID      string                        // of the try, as the client sent it
-	withheldBy atomic.Pointer[verdict.Event] // why nothing was written
+	tryID      string                      // of the try, as the client sent it
+	withheldBy atomic.Pointer[retry.Event] // why nothing was written
 
 	connected, reused               atomic.Bool // it has a connection; one that has carried a request before
 	headerWritten, requestWritten   atomic.Bool // handed to the connection whole: its head, all of it
@@ -27,7 +27,7 @@
 }
 
 // newAttempt makes an attempt; gate is asked before its first byte is written, and gives the event that forbids it.
-func newAttempt(r *http.Request, gate func() (verdict.Event, bool)) *attempt {
+func newAttempt(r *http.Request, gate func() (retry.Event, bool)) *attempt {
 	a := &attempt{method: r.Method, tryID: r.Header.Get(headerTryID)}
 	a.exchange.MatchesResponse = func(h http.Header) bool { return h.Get(headerTryID) == a.tryID || h.Get(headerTryID) == "" }
 	a.exchange.ValidateResponse = a.validateResponse
@@ -77,7 +77,7 @@
 		GotConn: func(info httptrace.GotConnInfo) {
 			a.connected.Store(true)
 			a.reused.Store(info.Reused)
-			info.Conn.(*strand.Conn).Assign(&a.exchange)
+			info.Conn.(*upstream.Conn).Assign(&a.exchange)
 		},
 		WroteHeaders: func() { a.headerWritten.Store(true) },
 		WroteRequest: func(info httptrace.WroteRequestInfo) { a.requestWritten.Store(info.Err == nil) },
@@ -85,57 +85,57 @@
 }
 
 // phase tells how far the attempt has come. What waits in a buffer in front of the connection is not yet written.
-func (a *attempt) phase() verdict.Phase {
+func (a *attempt) phase() retry.Phase {
 	switch {
 	case a.complete.Load():
-		return verdict.Complete
+		return retry.Complete
 	case a.streaming.Load():
-		return verdict.Streaming
+		return retry.Streaming
 	case a.headerRead.Load():
-		return verdict.ReadingBody
+		return retry.ReadingBody
 	case a.exchange.ResponseStarted():
-		return verdict.ReadingHeader
+		return retry.ReadingHeader
 	case !a.connected.Load():
-		return verdict.Dialing
+		return retry.Dialing
 	case !a.exchange.WriteStarted():
-		return verdict.Connected
+		return retry.Connected
 	case !a.headerWritten.Load():
-		return verdict.WritingHeader
+		return retry.WritingHeader
 	case !a.requestWritten.Load():
-		return verdict.WritingBody
+		return retry.WritingBody
 	}
-	return verdict.AwaitingResponse
+	return retry.AwaitingResponse
 }
 
 // failureEvent reads the event that ended an attempt without a whole answer.
-func (a *attempt) failureEvent(ctx context.Context, err error) verdict.Event {
+func (a *attempt) failureEvent(ctx context.Context, err error) retry.Event {
 	if event := a.withheldBy.Load(); event != nil {
 		return *event
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdict.Timeout
+		return retry.Timeout
 	case ctx.Err() != nil:
-		return verdict.ClientDisconnected
+		return retry.ClientDisconnected
 	case errors.Is(err, errUnidentifiedResponse):
-		return verdict.UnidentifiedResponse
+		return retry.UnidentifiedResponse
 	case errors.Is(err, errMissingSeal):
-		return verdict.UnsealedResponse
-	case errors.Is(err, strand.ErrMalformedResponse):
-		return verdict.MalformedResponse
+		return retry.UnsealedResponse
+	case errors.Is(err, upstream.ErrMalformedResponse):
+		return retry.MalformedResponse
 	}
-	if a.phase() == verdict.Dialing {
+	if a.phase() == retry.Dialing {
 		if netErr, ok := errors.Into[net.Error](err); ok && netErr.Timeout() {
-			return verdict.Timeout
+			return retry.Timeout
 		}
-		return verdict.ConnectionReset
+		return retry.ConnectionReset
 	}
 	for _, connErr := range []error{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
 		if errors.Is(err, connErr) {
-			return verdict.ConnectionReset
+			return retry.ConnectionReset
 		}
 	}
-	return verdict.ConnectionClosed
+	return retry.ConnectionClosed
 }
 
 // refusalStatuses are the statuses which tell a client that its request has not run and never will.
@@ -143,18 +143,18 @@
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
 
 // responseEvent reads the event of a whole answer. Only the header, and 421, say that the request did not run.
-func responseEvent(status int, header http.Header) verdict.Event {
+func responseEvent(status int, header http.Header) retry.Event {
 	switch {
 	case header.Get(headerNotExecuted) != "" && status/100 == 4 && !refusalStatuses[status]:
-		return verdict.RequestRejected
+		return retry.RequestRejected
 	case header.Get(headerNotExecuted) != "":
-		return verdict.Declined
+		return retry.Declined
 	case status == http.StatusMisdirectedRequest:
-		return verdict.Misdirected
+		return retry.Misdirected
 	case refusalStatuses[status]:
-		return verdict.UnconfirmedRefusal
+		return retry.UnconfirmedRefusal
 	case status >= http.StatusInternalServerError:
-		return verdict.ServerError
+		return retry.ServerError
 	}
-	return verdict.ResponseReceived
+	return retry.ResponseReceived
 }
--- a/relay/backendrequest.go
+++ b/internal/proxy/backendrequest.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"sagelever/sway"
+	"sagelever/internal/proxy/balancer"
 )
 
 // newBackendRequest makes the request that an appliance gets: method, path, query and body as they came.
-func newBackendRequest(r *http.Request, req *sway.Request, body []byte, remainder io.Reader) *http.Request {
+func newBackendRequest(r *http.Request, req *balancer.Request, body []byte, remainder io.Reader) *http.Request {
 	outbound := &http.Request{Method: r.Method, URL: backendURL(r, req.SentTo.Address), Host: r.Host, Header: make(http.Header, len(r.Header)+2)}
 	for k, v := range r.Header {
 		if !hopByHopHeaders[k] {
--- a/sway/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -1,45 +1,46 @@
 // Package sway holds what a relay decides on each request: which appliance gets it and when, whether it may be sent again,
 // how fast a cold appliance is fed, and which build serves while a release is under way. It is pure: the time and the luck
 // are handed in, and whoever calls guards it against two calls at once.
-package sway
+package balancer
 
 import (
 	"sort"
 	"time"
 
-	"sagelever/boot"
-	"sagelever/ebb"
-	"sagelever/gauge"
-	"sagelever/lore"
-	"sagelever/plan"
-	"sagelever/verdict"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/control/routing"
+	"sagelever/internal/lease"
+	"sagelever/internal/proxy/draining"
+	"sagelever/internal/proxy/retry"
+	"sagelever/internal/settings"
+	"sagelever/internal/stats/decay"
 )
 
 // Backend is an appliance as this relay sees it.
 type Backend struct {
 	ID string
-	lore.Backend
-	Drain           ebb.Tracker // whether it leaves, and what of this relay is out there
-	Distance        int         // 0 in this zone, 1 in this region, 2 beyond
+	replication.Backend
+	Drain           draining.Tracker // whether it leaves, and what of this relay is out there
+	Distance        int              // 0 in this zone, 1 in this region, 2 beyond
 	firstSeen       time.Time
 	healthCheckedAt time.Time // when it was last asked whether it serves
 	version         uint64
 	warmingUntil    time.Time // until when it is cold
 	nextWarmUpSend  time.Time // when a cold one may be sent the next request
 	health          passiveHealth
-	relativeLatency gauge.Mean // answer times against what the route usually takes
+	relativeLatency decay.Mean // answer times against what the route usually takes
 }
 
 // Request is one client's try.
 type Request struct {
-	Route     *plan.Route
+	Route     *routing.Route
 	Service   string
 	ArrivedAt time.Time
 	Deadline  time.Time
-	Sends     int               // to appliances, so far
-	Delivered int               // of these, the ones that reached their appliance or may have
-	Execution verdict.Execution // over all sends; NeverRan while there is none
-	SentTo    Destination       // of the send that is out
+	Sends     int             // to appliances, so far
+	Delivered int             // of these, the ones that reached their appliance or may have
+	Execution retry.Execution // over all sends; NeverRan while there is none
+	SentTo    Destination     // of the send that is out
 	tried     []string
 	toCanary  bool // the send that is out goes to the build on trial
 	queued    bool
@@ -58,9 +59,9 @@
 	queue        []*Request
 	retryTokens  float64 // further tries that are left
 	canary       *canaryRelease
-	latency      gauge.Mean            // seconds that an answer takes
+	latency      decay.Mean            // seconds that an answer takes
 	stableBuild  string                // the build in force, as far as it is known
-	requestRates map[string]*gauge.Sum // requests taken of late, by the regions in which they may be served
+	requestRates map[string]*decay.Sum // requests taken of late, by the regions in which they may be served
 }
 
 // Balancer is a relay's view.
@@ -69,17 +70,17 @@
 	zone          string
 	region        string
 	regionByZone  map[string]string
-	bounds        boot.RuleLimits
+	bounds        settings.RuleLimits
 	random        func() float64
-	table         *plan.Table
+	table         *routing.Table
 	backends      map[string]*Backend
 	services      map[string]*serviceState
 	proxies       int // n, never below what it is
 	zoneProxies   int // agents in this zone
 	proxiesAt     time.Time
 	zoneProxiesAt time.Time
-	tallies       map[string]*lore.ReleaseTally
-	lease         ebb.SendLease
+	tallies       map[string]*replication.ReleaseTally
+	lease         lease.SendLease
 	departed      map[string]*Backend // whose life is over, while something is out there
 	tombstones    tombstones          // lives of appliances that are over
 	healthChecks  []HealthCheck
@@ -87,10 +88,10 @@
 }
 
 // New begins a view that knows nothing.
-func New(nodeSettings *boot.Settings, random func() float64) *Balancer {
+func New(nodeSettings *settings.Settings, random func() float64) *Balancer {
 	return &Balancer{node: nodeSettings.Node, zone: nodeSettings.Zone, region: nodeSettings.Region, regionByZone: nodeSettings.Zones, bounds: nodeSettings.RuleLimits, random: random,
-		backends: map[string]*Backend{}, services: map[string]*serviceState{}, tallies: map[string]*lore.ReleaseTally{},
-		lease: ebb.NewSendLease(nodeSettings.RuleLimits.DrainTime), departed: map[string]*Backend{}}
+		backends: map[string]*Backend{}, services: map[string]*serviceState{}, tallies: map[string]*replication.ReleaseTally{},
+		lease: lease.NewSendLease(nodeSettings.RuleLimits.DrainTime), departed: map[string]*Backend{}}
 }
 
 // SetProxyCounts takes n, the agents that may be sending, and how many of them stand in this zone. A source that has just started
@@ -110,7 +111,7 @@
 const proxyCountRetention = 10 * time.Second
 
 // Configure takes a new table.
-func (b *Balancer) Configure(table *plan.Table, now time.Time) {
+func (b *Balancer) Configure(table *routing.Table, now time.Time) {
 	previous := b.table
 	b.table = table
 	for name := range table.Services {
@@ -171,12 +172,12 @@
 }
 
 // UpdateBackend takes what the core tells of an appliance, under a version: an older one changes nothing.
-func (b *Balancer) UpdateBackend(id string, version uint64, update *lore.Backend, now time.Time) {
+func (b *Balancer) UpdateBackend(id string, version uint64, update *replication.Backend, now time.Time) {
 	backend := b.backends[id]
 	if backend != nil && backend.version >= version {
 		return // an older word, by another way
 	}
-	if update.Phase == lore.PhaseLeft {
+	if update.Phase == replication.PhaseLeft {
 		b.removeBackend(id, now)
 		b.tombstones.add(id, now)
 		return
@@ -202,7 +203,7 @@
 	}
 	if warmingUntil := time.UnixMilli(update.WarmAtMs).Add(maxClockSkew); update.WarmAtMs != 0 && warmingUntil.After(now) {
 		backend.extendWarmUp(warmingUntil, now)
-	} else if update.WarmAtMs == 0 && update.Phase == lore.PhaseReady && backend.health.refusedAt.Before(time.UnixMilli(update.HeartbeatMs).Add(-maxClockSkew)) {
+	} else if update.WarmAtMs == 0 && update.Phase == replication.PhaseReady && backend.health.refusedAt.Before(time.UnixMilli(update.HeartbeatMs).Add(-maxClockSkew)) {
 		backend.warmingUntil = time.Time{} // its own word, and newer than what made us doubt
 	}
 	b.reviewDrains(b.service(backend.Service), now)
@@ -248,7 +249,7 @@
 // StartRequest counts a request that a client has sent for a service, and says which service that is.
 func (b *Balancer) StartRequest(request *Request, now time.Time) {
 	request.Service = request.Route.PickService(b.random())
-	request.Execution = verdict.NotExecuted
+	request.Execution = retry.NotExecuted
 	svc := b.service(request.Service)
 	svc.countRequest(request.Route.HomeRegionList, now)
 	svc.earnRetryTokens(b.bounds, b.proxies)
@@ -363,7 +364,7 @@
 
 // eligible tells whether an appliance may have a request now, as far as the appliance, the request and the build go.
 func (b *Balancer) eligible(svc *serviceState, request *Request, backend *Backend, arm int, now time.Time) bool {
-	if backend.Drain.State() != ebb.Serving || svc.armOf(backend) != arm {
+	if backend.Drain.State() != draining.Serving || svc.armOf(backend) != arm {
 		return false
 	}
 	if request.Route.HomeRegions != nil && !request.Route.HomeRegions[b.regionByZone[backend.Zone]] {
@@ -410,7 +411,7 @@
 		cost += 0.2 // what is far is spread: others far from it think the same
 	}
 	cost *= max(1, backend.relativeLatency.Estimate(sinceOrigin(now), statsHalfLife, 1, 4))
-	if backend.Phase == lore.PhaseTimedOut {
+	if backend.Phase == replication.PhaseTimedOut {
 		cost += 3
 	}
 	return cost + 0.05*b.random()
@@ -444,7 +445,7 @@
 
 // Outcome is how a send ended.
 type Outcome struct {
-	Execution        verdict.Execution
+	Execution        retry.Execution
 	Status           int  // of the appliance's answer, 0 where there is none
 	Succeeded        bool // a success with its stamp and its whole body
 	Connected        bool // a connection was there
@@ -470,7 +471,7 @@
 	if outcome.Status != 0 {
 		backend.Drain.ObserveResponse(now.Add(-outcome.Latency), outcome.ClosesConnection)
 	}
-	request.Execution = verdict.Combine(request.Execution, outcome.Execution)
+	request.Execution = retry.Combine(request.Execution, outcome.Execution)
 	if outcome.Connected {
 		request.Delivered++
 	}
--- a/sway/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -1,29 +1,29 @@
-package sway
+package balancer
 
 import (
 	"time"
 
-	"sagelever/arms"
-	"sagelever/lore"
-	"sagelever/plan"
+	"sagelever/internal/control/release"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/stats/bestarm"
 )
 
 // canaryRelease is a release under way as this relay tracks it, by the design: D-Tracking picks the build for each request, under
 // a cap that holds over all agents; Z over the counts of all agents against log(2t·n/δ) decides its vote.
 type canaryRelease struct {
-	release   plan.Release
+	release   release.Release
 	startedAt time.Time // when this relay heard of the order
-	tally     lore.ReleaseTally
+	tally     replication.ReleaseTally
 	received  float64
 }
 
 // followRelease takes up a release as it stands.
-func (s *serviceState) followRelease(latest *plan.Release, now time.Time) {
+func (s *serviceState) followRelease(latest *release.Release, now time.Time) {
 	switch {
-	case latest.Phase == plan.PhaseFinished:
+	case latest.Phase == release.PhaseFinished:
 		s.stableBuild, s.canary = latest.Target, nil
 	case s.canary == nil || s.canary.release.Number != latest.Number:
-		s.canary = &canaryRelease{release: *latest, startedAt: now, tally: lore.ReleaseTally{ReleaseNumber: latest.Number}}
+		s.canary = &canaryRelease{release: *latest, startedAt: now, tally: replication.ReleaseTally{ReleaseNumber: latest.Number}}
 	default:
 		s.canary.release = *latest
 	}
@@ -32,7 +32,7 @@
 // armOf is 1 for an appliance of the build on trial, 0 for one of the build in force, and -1 for one that may get
 // nothing: of a build that was sent back, or that no order has named.
 func (s *serviceState) armOf(backend *Backend) int {
-	if s.canary != nil && backend.Version == s.canary.release.Target && s.canary.release.Phase == plan.PhaseInService {
+	if s.canary != nil && backend.Version == s.canary.release.Target && s.canary.release.Phase == release.PhaseInService {
 		return 1
 	}
 	if s.stableBuild == "" { // asked for a request: by now the appliances have been heard of
@@ -48,7 +48,7 @@
 // it is asked while appliances are heard of one by one.
 func (s *serviceState) buildRetired(backend *Backend) bool {
 	if s.canary != nil && backend.Version == s.canary.release.Target {
-		return s.canary.release.Phase != plan.PhaseInService
+		return s.canary.release.Phase != release.PhaseInService
 	}
 	return s.stableBuild != "" && backend.Version != s.stableBuild && s.hasReadyBackend(s.stableBuild)
 }
@@ -70,7 +70,7 @@
 // hasReadyBackend tells whether any appliance of a build is ready.
 func (s *serviceState) hasReadyBackend(build string) bool {
 	for _, backend := range s.backends {
-		if backend.Version == build && (backend.Phase == lore.PhaseReady || backend.Phase == lore.PhaseTimedOut) {
+		if backend.Version == build && (backend.Phase == replication.PhaseReady || backend.Phase == replication.PhaseTimedOut) {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 // chooseArm is the build that a request goes to, and whether the other must not serve instead.
 func (b *Balancer) chooseArm(svc *serviceState, request *Request, now time.Time) (arm int, fixed bool) {
 	canary := svc.canary
-	if canary == nil || canary.release.Phase != plan.PhaseInService {
+	if canary == nil || canary.release.Phase != release.PhaseInService {
 		return 0, true
 	}
 	tally := canary.tally
@@ -112,24 +112,24 @@
 	if request.Delivered > 0 {
 		return 0, true // a further try is not for the trial
 	}
-	if arms.PullSecond(tallyArm(tally, 0), tallyArm(tally, 1)) {
+	if bestarm.PullSecond(tallyArm(tally, 0), tallyArm(tally, 1)) {
 		return 1, false
 	}
 	return 0, true
 }
 
-func tallyArm(tally lore.ReleaseTally, arm int) arms.Arm {
+func tallyArm(tally replication.ReleaseTally, arm int) bestarm.Arm {
 	pulls := tally.NewBuildRequests
 	if arm == 0 {
 		pulls = tally.ServiceRequests - tally.NewBuildRequests
 	}
-	return arms.Arm{Pulls: max(0, pulls), Observations: tally.Attempts[arm], Reward: tally.Payoffs[arm]}
+	return bestarm.Arm{Pulls: max(0, pulls), Observations: tally.Attempts[arm], Reward: tally.Payoffs[arm]}
 }
 
 // countSend counts a send; it tells whether it goes to the trial.
 func (s *serviceState) countSend(backend *Backend) bool {
 	canary := s.canary
-	if canary == nil || canary.release.Phase != plan.PhaseInService {
+	if canary == nil || canary.release.Phase != release.PhaseInService {
 		return false
 	}
 	canary.tally.ServiceRequests++
@@ -166,20 +166,20 @@
 }
 
 // UpdateTally takes what another agent has seen of a release, by the key of its item.
-func (b *Balancer) UpdateTally(key string, tally *lore.ReleaseTally) {
+func (b *Balancer) UpdateTally(key string, tally *replication.ReleaseTally) {
 	if len(b.tallies) < 4096 {
 		b.tallies[key] = tally
 	}
 }
 
 // Tallies are this relay's own counts of the releases under way, by service, with its vote as it stands.
-func (b *Balancer) Tallies(incarnation string, now time.Time) map[string]*lore.ReleaseTally {
-	tallies := map[string]*lore.ReleaseTally{}
+func (b *Balancer) Tallies(incarnation string, now time.Time) map[string]*replication.ReleaseTally {
+	tallies := map[string]*replication.ReleaseTally{}
 	for name, svc := range b.services {
 		if svc.canary == nil {
 			continue
 		}
-		if svc.canary.release.Phase != plan.PhaseInService {
+		if svc.canary.release.Phase != release.PhaseInService {
 			for key, tally := range b.tallies {
 				if tally.ReleaseNumber <= svc.canary.release.Number && len(key) > len(name) && key[:len(name)+1] == name+"/" {
 					delete(b.tallies, key)
@@ -198,8 +198,8 @@
 // vote is what the counts of all agents say of the trial.
 func (b *Balancer) vote(name string, svc *serviceState, incarnation string, now time.Time) string {
 	canary := svc.canary
-	payoffs := [2]arms.Arm{tallyArm(canary.tally, 0), tallyArm(canary.tally, 1)}
-	faults, loaded := canary.tally.Failures, arms.Arm{Observations: canary.tally.SingleBackend[0], Reward: canary.tally.SingleBackend[1]}
+	payoffs := [2]bestarm.Arm{tallyArm(canary.tally, 0), tallyArm(canary.tally, 1)}
+	faults, loaded := canary.tally.Failures, bestarm.Arm{Observations: canary.tally.SingleBackend[0], Reward: canary.tally.SingleBackend[1]}
 	for key, other := range b.tallies {
 		if other.ReleaseNumber != canary.release.Number || other.Reporter == incarnation || len(key) <= len(name) || key[:len(name)+1] != name+"/" {
 			continue
@@ -214,14 +214,14 @@
 		loaded.Observations += other.SingleBackend[0]
 		loaded.Reward += other.SingleBackend[1]
 	}
-	threshold := arms.StoppingThreshold(payoffs[0].Pulls+payoffs[1].Pulls, float64(b.proxies), errorProbability)
-	successes := [2]arms.Arm{payoffs[0], payoffs[1]}
+	threshold := bestarm.StoppingThreshold(payoffs[0].Pulls+payoffs[1].Pulls, float64(b.proxies), errorProbability)
+	successes := [2]bestarm.Arm{payoffs[0], payoffs[1]}
 	for arm := range successes {
 		successes[arm].Reward = successes[arm].Observations - faults[arm]
 	}
-	for _, pair := range [][2]arms.Arm{payoffs, successes} {
-		if pair[1].Mean()+meanMargin < pair[0].Mean() && arms.LikelihoodRatio(pair[0], pair[1], meanMargin) > threshold {
-			return plan.VoteRevert
+	for _, pair := range [][2]bestarm.Arm{payoffs, successes} {
+		if pair[1].Mean()+meanMargin < pair[0].Mean() && bestarm.LikelihoodRatio(pair[0], pair[1], meanMargin) > threshold {
+			return release.VoteRevert
 		}
 	}
 	duration := time.Duration(canary.release.DurationMs) * time.Millisecond
@@ -231,10 +231,10 @@
 		return ""
 	}
 	// No worse: the trial is ahead of an earlier build that did worse by the slack, and Z says so.
-	for _, pair := range [][2]arms.Arm{payoffs, successes} {
-		if pair[1].Mean() < pair[0].Mean()-toleratedRegression || arms.LikelihoodRatio(pair[1], pair[0], -toleratedRegression) < threshold {
+	for _, pair := range [][2]bestarm.Arm{payoffs, successes} {
+		if pair[1].Mean() < pair[0].Mean()-toleratedRegression || bestarm.LikelihoodRatio(pair[1], pair[0], -toleratedRegression) < threshold {
 			return ""
 		}
 	}
-	return plan.VoteFinish
+	return release.VoteFinish
 }
--- a/sway/draining.go
+++ b/internal/proxy/balancer/draining.go
@@ -1,20 +1,21 @@
-package sway
+package balancer
 
 import (
 	"math"
 	"sort"
 	"time"
 
-	"sagelever/ebb"
-	"sagelever/gauge"
-	"sagelever/lore"
+	"sagelever/internal/control/drain"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/proxy/draining"
+	"sagelever/internal/stats/decay"
 )
 
 // reviewDrains takes up for what reasons each appliance of a service gets nothing new, as they stand.
 func (b *Balancer) reviewDrains(svc *serviceState, now time.Time) {
 	displaced := 0 // requests that will go elsewhere from now on, at one moment
 	for _, backend := range svc.backends {
-		if backend.Drain.SetReasons(b.drainReasons(svc, backend), now) && backend.Drain.State() == ebb.Draining {
+		if backend.Drain.SetReasons(b.drainReasons(svc, backend), now) && backend.Drain.State() == draining.Draining {
 			displaced += backend.Drain.InFlight()
 		}
 	}
@@ -39,7 +40,7 @@
 	}
 	var candidates []candidate
 	for _, a := range svc.backends {
-		if a.Drain.State() == ebb.Serving && svc.armOf(a) == 0 && !a.warmingUntil.After(now) && !a.health.pausedUntil.After(now) && a.Drain.InFlight() < b.inFlightLimit(a) {
+		if a.Drain.State() == draining.Serving && svc.armOf(a) == 0 && !a.warmingUntil.After(now) && !a.health.pausedUntil.After(now) && a.Drain.InFlight() < b.inFlightLimit(a) {
 			candidates = append(candidates, candidate{a, b.cost(a, now)})
 		}
 	}
@@ -56,18 +57,18 @@
 	return targets
 }
 
-func (b *Balancer) drainReasons(svc *serviceState, backend *Backend) (reasons ebb.Reasons) {
-	if backend.Phase != lore.PhaseReady && backend.Phase != lore.PhaseTimedOut {
-		reasons |= ebb.SelfReported
+func (b *Balancer) drainReasons(svc *serviceState, backend *Backend) (reasons draining.Reasons) {
+	if backend.Phase != replication.PhaseReady && backend.Phase != replication.PhaseTimedOut {
+		reasons |= draining.SelfReported
 	}
 	if b.table != nil && b.table.Evacuated[backend.Zone] {
-		reasons |= ebb.ZoneEvacuated
+		reasons |= draining.ZoneEvacuated
 	}
 	if b.table != nil && b.table.IsDrained(backend.Service, backend.ID, backend.Zone) {
-		reasons |= ebb.OperatorDrain
+		reasons |= draining.OperatorDrain
 	}
 	if svc.buildRetired(backend) {
-		reasons |= ebb.BuildRetired
+		reasons |= draining.BuildRetired
 	}
 	return reasons
 }
@@ -81,7 +82,7 @@
 // MayWrite tells whether a request that was given to an appliance may still be written to it: it may have begun to leave while
 // the connection came up, or the leave to send has run out meanwhile.
 func (b *Balancer) MayWrite(backend *Backend, now time.Time) bool {
-	return backend.Drain.State() == ebb.Serving && backend.Drain.Covered(&b.lease, now)
+	return backend.Drain.State() == draining.Serving && backend.Drain.Covered(&b.lease, now)
 }
 
 // undoSend undoes what was noted of a send that never was.
@@ -150,11 +151,11 @@
 // countRequest counts a request of a kind of traffic.
 func (s *serviceState) countRequest(homeRegions string, now time.Time) {
 	if s.requestRates == nil {
-		s.requestRates = map[string]*gauge.Sum{}
+		s.requestRates = map[string]*decay.Sum{}
 	}
 	rate := s.requestRates[homeRegions]
 	if rate == nil {
-		rate = &gauge.Sum{}
+		rate = &decay.Sum{}
 		s.requestRates[homeRegions] = rate
 	}
 	rate.Add(sinceOrigin(now), statsHalfLife, 1)
@@ -162,15 +163,15 @@
 
 // InFlightReport is what this relay has out at appliances that leave, what traffic it carries, and by which versions of the zones'
 // drains it goes: for operators.
-func (b *Balancer) InFlightReport(now time.Time) (rows []lore.BackendInFlight, loads []ebb.ServiceLoad, drainVersions map[string]uint64) {
+func (b *Balancer) InFlightReport(now time.Time) (rows []replication.BackendInFlight, loads []drain.ServiceLoad, drainVersions map[string]uint64) {
 	if b.table != nil {
 		drainVersions = b.table.DrainVersions
 	}
 	addRow := func(a *Backend) {
-		rows = append(rows, lore.BackendInFlight{BackendID: a.ID, Idempotent: a.Drain.InFlight() - a.Drain.NonIdempotentInFlight(), NonIdempotent: a.Drain.NonIdempotentInFlight()})
+		rows = append(rows, replication.BackendInFlight{BackendID: a.ID, Idempotent: a.Drain.InFlight() - a.Drain.NonIdempotentInFlight(), NonIdempotent: a.Drain.NonIdempotentInFlight()})
 	}
 	for _, a := range b.backends {
-		if a.Drain.State() != ebb.Serving && a.Drain.InFlight() > 0 {
+		if a.Drain.State() != draining.Serving && a.Drain.InFlight() > 0 {
 			addRow(a)
 		}
 	}
@@ -186,7 +187,7 @@
 				delete(svc.requestRates, homeRegions)
 				continue
 			}
-			loads = append(loads, ebb.ServiceLoad{Service: name, HomeRegions: homeRegions, RequestsPerSecond: rate, ServiceSeconds: serviceTime})
+			loads = append(loads, drain.ServiceLoad{Service: name, HomeRegions: homeRegions, RequestsPerSecond: rate, ServiceSeconds: serviceTime})
 		}
 	}
 	sort.Slice(loads, func(i, j int) bool {
--- a/sway/passivehealth.go
+++ b/internal/proxy/balancer/passivehealth.go
@@ -1,9 +1,9 @@
-package sway
+package balancer
 
 import (
 	"time"
 
-	"sagelever/verdict"
+	"sagelever/internal/proxy/retry"
 )
 
 // passiveHealth is what a relay holds against an appliance. One that takes no connection rests, each time longer, and is then
@@ -38,18 +38,18 @@
 func (h *passiveHealth) observe(backend *Backend, outcome Outcome, now time.Time) {
 	switch {
 	case outcome.Cancelled && !outcome.TimedOut:
-	case !outcome.Connected && outcome.Execution == verdict.NotExecuted:
+	case !outcome.Connected && outcome.Execution == retry.NotExecuted:
 		h.refusing, h.refusedAt = true, now
 		h.recordFailure(now)
-	case outcome.Execution == verdict.Executed && outcome.Status < 500, outcome.Succeeded:
+	case outcome.Execution == retry.Executed && outcome.Status < 500, outcome.Succeeded:
 		if h.refusing {
 			h.refusing = false
 			backend.extendWarmUp(now.Add(reconnectWarmUp), now)
 		}
 		h.failures, h.pausedUntil = 0, time.Time{}
-	case outcome.Execution == verdict.NotExecuted: // it is full, and says so
+	case outcome.Execution == retry.NotExecuted: // it is full, and says so
 		h.pausedUntil = now.Add(initialPause)
-	case outcome.Execution == verdict.MaybeExecuted:
+	case outcome.Execution == retry.MaybeExecuted:
 		h.recordFailure(now)
 	}
 }
--- a/sway/retrybudget.go
+++ b/internal/proxy/balancer/retrybudget.go
@@ -1,17 +1,17 @@
-package sway
+package balancer
 
 import (
 	"time"
 
-	"sagelever/boot"
-	"sagelever/verdict"
+	"sagelever/internal/proxy/retry"
+	"sagelever/internal/settings"
 )
 
 // earnRetryTokens lets a request add its share to the further tries that this relay may make. The allowance beside the share is
 // split over the agents that there may be, with room for some that are not yet known; it is a cap on what is saved up and
 // never given anew, so that in any period all relays together send again at most the share of what was asked in it, and
 // the allowance once. A relay that starts has saved nothing: its life before may have spent all.
-func (s *serviceState) earnRetryTokens(bounds boot.RuleLimits, proxies int) {
+func (s *serviceState) earnRetryTokens(bounds settings.RuleLimits, proxies int) {
 	s.retryTokens = min(s.retryTokens+bounds.RetryBudgetRatio, bounds.MaxExtraRetries/float64(proxies+unseenProxies(proxies)))
 }
 
@@ -27,10 +27,10 @@
 	if outcome.Succeeded || outcome.Cancelled || !now.Before(request.Deadline) {
 		return false
 	}
-	if !request.Route.Idempotent && request.Execution != verdict.NotExecuted {
+	if !request.Route.Idempotent && request.Execution != retry.NotExecuted {
 		return false // it may have run: it is never sent again
 	}
-	if outcome.Execution == verdict.Executed && outcome.Status < 500 {
+	if outcome.Execution == retry.Executed && outcome.Status < 500 {
 		return false // an answer like any other, or its own fault wherever it is sent
 	}
 	if request.Delivered >= request.Route.MaxAttempts || request.Sends >= request.Route.MaxAttempts+2 {
--- a/sway/tombstones.go
+++ b/internal/proxy/balancer/tombstones.go
@@ -1,4 +1,4 @@
-package sway
+package balancer
 
 import "time"
 
--- a/relay/connpool.go
+++ b/internal/proxy/connpool.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -6,15 +6,15 @@
 	"sync"
 	"time"
 
-	"sagelever/strand"
-	"sagelever/sway"
+	"sagelever/internal/proxy/balancer"
+	"sagelever/internal/upstream"
 )
 
 // connPool are the connections to appliances: how many are open to each, and those that were opened ahead and wait for a first
 // request.
 type connPool struct {
 	dialer  *net.Dialer
-	options strand.Options
+	options upstream.Options
 	onDial  func()
 
 	mu           sync.Mutex
@@ -30,7 +30,7 @@
 	expiresAt time.Time
 }
 
-func newConnPool(options strand.Options, onDial func()) *connPool {
+func newConnPool(options upstream.Options, onDial func()) *connPool {
 	return &connPool{dialer: userTimeout.Dialer(dialTimeout), options: options, onDial: onDial, openCount: map[string]int{}, preconnected: map[string]*preconnection{}}
 }
 
@@ -58,7 +58,7 @@
 	p.adjustOpenCount(address, 1)
 	options := p.options
 	options.OnClose = func() { p.adjustOpenCount(address, -1) }
-	return strand.NewConn(conn.(*net.TCPConn), &options), nil
+	return upstream.NewConn(conn.(*net.TCPConn), &options), nil
 }
 
 func (p *connPool) adjustOpenCount(address string, delta int) {
@@ -70,7 +70,7 @@
 }
 
 // preconnect opens a connection to each that has none at rest.
-func (p *connPool) preconnect(hints []sway.PreconnectTarget) {
+func (p *connPool) preconnect(hints []balancer.PreconnectTarget) {
 	for _, hint := range hints {
 		p.mu.Lock()
 		hasSpare := p.openCount[hint.Address] > hint.InUse || p.preconnected[hint.Address] != nil
--- a/ebb/word.go
+++ b/internal/proxy/draining/permission.go
@@ -1,11 +1,14 @@
-package ebb
+package draining
 
 import "time"
+import (
+	"sagelever/internal/lease"
+)
 
 // Covered tells whether a request may go to the appliance now, as far as the leave goes: by the core's word, or by its own.
 // One that has closed its connection behind two answers running may be leaving before the core has said so: then its own
 // word counts alone.
-func (s *Tracker) Covered(l *SendLease, now time.Time) bool {
+func (s *Tracker) Covered(l *lease.SendLease, now time.Time) bool {
 	if s.consecutiveCloses >= drainingCloseCount && !s.closesWhileServing {
 		return false
 	}
--- a/ebb/tracker.go
+++ b/internal/proxy/draining/tracker.go
@@ -14,7 +14,7 @@
 //	serving  the leave to send runs out              serving   nothing new until the core or it itself has said a word
 //
 // docs/leaving.md has the arithmetic of the times.
-package ebb
+package draining
 
 import (
 	"strings"
--- a/relay/handler.go
+++ b/internal/proxy/handler.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"sagelever/plan"
-	"sagelever/sway"
-	"sagelever/verdict"
+	"sagelever/internal/control/routing"
+	"sagelever/internal/proxy/balancer"
+	"sagelever/internal/proxy/retry"
 )
 
 const (
@@ -45,7 +45,7 @@
 		p.replyNoRoute(w)
 		return
 	}
-	req := &sway.Request{Route: route, ArrivedAt: now, Deadline: now.Add(requestTimeout(r, route)), Granted: make(chan *sway.Backend, 1)}
+	req := &balancer.Request{Route: route, ArrivedAt: now, Deadline: now.Add(requestTimeout(r, route)), Granted: make(chan *balancer.Backend, 1)}
 	body, remainder, ok := p.readRequestBody(w, r, table.Limits)
 	if !ok {
 		return
@@ -67,7 +67,7 @@
 }
 
 // requestTimeout is how long a request may take: as long as its route says, and no longer than its client waits.
-func requestTimeout(r *http.Request, route *plan.Route) time.Duration {
+func requestTimeout(r *http.Request, route *routing.Route) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(headerTimeLeft), 10, 64)
 	if err == nil && ms >= 0 && ms < route.Timeout.Milliseconds() {
 		return time.Duration(ms) * time.Millisecond
@@ -76,7 +76,7 @@
 }
 
 // forward has a request served: it asks for an appliance, sends, and again while that is allowed.
-func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, req *sway.Request, body []byte, remainder io.Reader) {
+func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, req *balancer.Request, body []byte, remainder io.Reader) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), req.Deadline)
 	defer cancel()
 	stopWatching := context.AfterFunc(r.Context(), func() {
@@ -89,7 +89,7 @@
 	for {
 		backend, event := p.acquireBackend(ctx, r, req, queueUntil)
 		if backend == nil {
-			p.respond(w, req, &sendResult{rule: verdict.Decide(verdict.Queued, event)})
+			p.respond(w, req, &sendResult{rule: retry.Decide(retry.Queued, event)})
 			return
 		}
 		result := p.send(ctx, r, req, backend, body, remainder)
@@ -104,7 +104,7 @@
 }
 
 // acquireBackend finds an appliance for a request, or gives the event that ended its wait for one.
-func (p *Proxy) acquireBackend(ctx context.Context, r *http.Request, req *sway.Request, queueUntil time.Time) (*sway.Backend, verdict.Event) {
+func (p *Proxy) acquireBackend(ctx context.Context, r *http.Request, req *balancer.Request, queueUntil time.Time) (*balancer.Backend, retry.Event) {
 	now := time.Now()
 	p.mu.Lock()
 	backend := p.balancer.Pick(req, now)
@@ -121,7 +121,7 @@
 }
 
 // shouldRetry notes what came of a send and tells whether the request is sent again.
-func (p *Proxy) shouldRetry(req *sway.Request, backend *sway.Backend, result *sendResult) bool {
+func (p *Proxy) shouldRetry(req *balancer.Request, backend *balancer.Backend, result *sendResult) bool {
 	now := time.Now()
 	p.mu.Lock()
 	p.balancer.ReportOutcome(req, backend, result.Outcome, now)
@@ -138,7 +138,7 @@
 
 // queueDeadline is how long a request may wait for a place: a quarter of its target, as one refused within it may be served
 // in time from its next try.
-func (p *Proxy) queueDeadline(req *sway.Request) time.Time {
+func (p *Proxy) queueDeadline(req *balancer.Request) time.Time {
 	target := req.Route.LatencyTarget
 	if target <= 0 {
 		target = req.Route.Timeout
@@ -151,7 +151,7 @@
 }
 
 // waitForBackend waits in line for a place, or gives the event that ended the wait.
-func (p *Proxy) waitForBackend(ctx context.Context, r *http.Request, req *sway.Request, queueUntil time.Time) (*sway.Backend, verdict.Event) {
+func (p *Proxy) waitForBackend(ctx context.Context, r *http.Request, req *balancer.Request, queueUntil time.Time) (*balancer.Backend, retry.Event) {
 	p.counters.queued.Add(1)
 	select {
 	case p.requestQueued <- struct{}{}:
@@ -159,14 +159,14 @@
 	}
 	timer := time.NewTimer(time.Until(queueUntil))
 	defer timer.Stop()
-	event := verdict.Timeout
+	event := retry.Timeout
 	select {
 	case backend := <-req.Granted:
 		return backend, event
 	case <-timer.C:
 	case <-ctx.Done():
 	case <-r.Context().Done(): // nothing is begun for a client that is gone
-		event = verdict.ClientDisconnected
+		event = retry.ClientDisconnected
 	}
 	p.mu.Lock()
 	removed := p.balancer.Dequeue(req)
--- a/relay/headers.go
+++ b/internal/proxy/headers.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net/http"
--- a/relay/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"strconv"
 	"time"
 
-	"sagelever/strand"
-	"sagelever/sway"
+	"sagelever/internal/proxy/balancer"
+	"sagelever/internal/upstream"
 )
 
 // startHealthChecks puts questions, each by itself.
-func (p *Proxy) startHealthChecks(checks []sway.HealthCheck) {
+func (p *Proxy) startHealthChecks(checks []balancer.HealthCheck) {
 	for _, check := range checks {
 		go p.checkHealth(check)
 	}
@@ -23,20 +23,20 @@
 const healthCheckTimeout = time.Second
 
 // checkHealth asks an appliance whether it serves.
-func (p *Proxy) checkHealth(check sway.HealthCheck) {
+func (p *Proxy) checkHealth(check balancer.HealthCheck) {
 	p.counters.healthChecks.Add(1)
-	result := sway.HealthCheckResult{SentAt: time.Now()}
+	result := balancer.HealthCheckResult{SentAt: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), healthCheckTimeout)
 	defer cancel()
 	// An answer with the id of a try is a late one to a request that had this connection before.
-	exchange := &strand.Exchange{MatchesResponse: func(h http.Header) bool { return h.Get(headerTryID) == "" }}
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { info.Conn.(*strand.Conn).Assign(exchange) }}
+	exchange := &upstream.Exchange{MatchesResponse: func(h http.Header) bool { return h.Get(headerTryID) == "" }}
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { info.Conn.(*upstream.Conn).Assign(exchange) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, "http://"+check.Address+check.Path, nil)
 	if err != nil {
 		return
 	}
 	if resp, err := p.transport.RoundTrip(req); err == nil {
-		io.CopyN(io.Discard, resp.Body, strand.MaxHeaderBytes)
+		io.CopyN(io.Discard, resp.Body, upstream.MaxHeaderBytes)
 		resp.Body.Close()
 		parseHealthResponse(&result, check, resp)
 	}
@@ -46,7 +46,7 @@
 }
 
 // parseHealthResponse reads what an appliance says of itself.
-func parseHealthResponse(result *sway.HealthCheckResult, check sway.HealthCheck, resp *http.Response) {
+func parseHealthResponse(result *balancer.HealthCheckResult, check balancer.HealthCheck, resp *http.Response) {
 	id := resp.Header.Get(headerServerID)
 	result.Reachable, result.WrongBackend = true, id != "" && id != check.BackendID
 	result.Serving = resp.StatusCode == http.StatusOK && id == check.BackendID
--- a/relay/listener.go
+++ b/internal/proxy/listener.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"github.com/go-faster/errors"
 	"go.uber.org/zap"
 
-	"sagelever/plan"
+	"sagelever/internal/control/routing"
 )
 
 // defaultLimits is what clients may send before the first configuration tells.
-var defaultLimits = plan.RequestLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+var defaultLimits = routing.RequestLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // listener listens for clients. Its server takes the limits when it is made, so that a change of them puts a new server on
 // the same listener; the old one goes on with the connections that it has.
@@ -24,7 +24,7 @@
 	mu          sync.Mutex
 	current     *serverListener
 	servers     []*http.Server
-	limits      plan.RequestLimits
+	limits      routing.RequestLimits
 }
 
 // serverListener hands a listener's connections to a server until it is turned off.
@@ -86,7 +86,7 @@
 }
 
 // applyLimits puts a server with these limits in front.
-func (l *listener) applyLimits(limits plan.RequestLimits) {
+func (l *listener) applyLimits(limits routing.RequestLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if limits == l.limits || l.tcpListener == nil {
--- a/relay/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package relay is the data plane of one machine: it takes clients' requests, has sway decide where each goes, and carries
 // it there and its answer back. What it knows it pulls from the core.
-package relay
+package proxy
 
 import (
 	"context"
@@ -13,39 +13,40 @@
 	"github.com/go-faster/errors"
 	"go.uber.org/zap"
 
-	"sagelever/boot"
-	"sagelever/plan"
-	"sagelever/steward"
-	"sagelever/strand"
-	"sagelever/sway"
+	"sagelever/internal/control/routing"
+	"sagelever/internal/proxy/balancer"
+	"sagelever/internal/rpc"
+	"sagelever/internal/settings"
+	"sagelever/internal/tcp"
+	"sagelever/internal/upstream"
 )
 
-const userTimeout = strand.UserTimeout(1500 * time.Millisecond)
+const userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
 
 // Options of a relay.
 type Options struct {
-	Settings *boot.Settings
+	Settings *settings.Settings
 	Log      *zap.Logger
-	Dial     steward.DialFunc // how members of the core are reached; nil: as usual
+	Dial     rpc.DialFunc // how members of the core are reached; nil: as usual
 }
 
 // Proxy is one edge agent.
 type Proxy struct {
-	settings      *boot.Settings
+	settings      *settings.Settings
 	log           *zap.Logger
-	routingTable  atomic.Pointer[plan.Table]
+	routingTable  atomic.Pointer[routing.Table]
 	synced        atomic.Bool // the table was told whole by a sound source in this life
 	draining      atomic.Bool
 	bufferedBytes atomic.Int64 // bytes of bodies in memory
 	bufferLimit   int64        // for them
 	mu            sync.Mutex   // guards sway
-	balancer      *sway.Balancer
+	balancer      *balancer.Balancer
 	transport     *http.Transport
 	connPool      *connPool
 	subscription  *subscription
 	listener      *listener
 	startedAt     time.Time
-	dial          steward.DialFunc
+	dial          rpc.DialFunc
 	requestQueued chan struct{}                 // told when a request begins to wait
 	onAttempt     func(*http.Request, *attempt) // told of each send as it begins; tests set it
 	counters      counters
@@ -53,17 +54,17 @@
 
 // New makes a relay.
 func New(options Options) *Proxy {
-	p := &Proxy{settings: options.Settings, dial: options.Dial, log: options.Log, startedAt: time.Now(), balancer: sway.New(options.Settings, rand.Float64), requestQueued: make(chan struct{}, 1)}
+	p := &Proxy{settings: options.Settings, dial: options.Dial, log: options.Log, startedAt: time.Now(), balancer: balancer.New(options.Settings, rand.Float64), requestQueued: make(chan struct{}, 1)}
 	memoryLimit := int64(options.Settings.Resources.RAMMb) << 20
 	if memoryLimit <= 0 {
 		memoryLimit = 256 << 20
 	}
 	p.bufferLimit = memoryLimit / 4
-	p.connPool = newConnPool(strand.Options{MaxResponseBytes: memoryLimit / 8}, func() { p.counters.dials.Add(1) })
+	p.connPool = newConnPool(upstream.Options{MaxResponseBytes: memoryLimit / 8}, func() { p.counters.dials.Add(1) })
 	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    64,
-		MaxResponseHeaderBytes: 2 * strand.MaxHeaderBytes,
+		MaxResponseHeaderBytes: 2 * upstream.MaxHeaderBytes,
 		ReadBufferSize:         2 << 10,
 		WriteBufferSize:        2 << 10,
 		IdleConnTimeout:        idleConnTimeout,
@@ -88,16 +89,16 @@
 	defer cancel()
 	readyListener, err := userTimeout.Listen(p.settings.ListenAddresses["readyCheck"])
 	if err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrap(err, "proxy")
 	}
 	readyServer := &http.Server{Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
 	go readyServer.Serve(readyListener)
 	if err := p.listener.open(p.settings.ListenAddresses["front"]); err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrap(err, "proxy")
 	}
 	go p.subscription.run(workCtx)
 	go p.runTicker(workCtx)
-	p.log.Info("relay started", zap.String("node", p.settings.Node))
+	p.log.Info("proxy started", zap.String("node", p.settings.Node))
 	<-ctx.Done()
 	p.draining.Store(true)
 	p.subscription.announceLease(workCtx)
@@ -187,7 +188,9 @@
 }
 
 // Reload takes the first contacts of changed settings; all else is taken at the next start.
-func (p *Proxy) Reload(changed *boot.Settings) { p.subscription.addControllers(changed.SeedAddresses) }
+func (p *Proxy) Reload(changed *settings.Settings) {
+	p.subscription.addControllers(changed.SeedAddresses)
+}
 
 func loadAll(values *[3]atomic.Int64) []int64 {
 	return []int64{values[0].Load(), values[1].Load(), values[2].Load()}
--- a/relay/pull.go
+++ b/internal/proxy/pull.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"github.com/mailru/easyjson"
 	"go.uber.org/zap"
 
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
-	"sagelever/internal/control/replica"
-	"sagelever/lore"
-	"sagelever/plan"
-	"sagelever/steward"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/control/routing"
+	"sagelever/internal/rpc"
 )
 
 // newPullRequest is this relay's word to the core.
-func (s *subscription) newPullRequest(addr string, wait time.Duration) *replica.PullRequest {
+func (s *subscription) newPullRequest(addr string, wait time.Duration) *message.PullRequest {
 	front := ""
 	if s.proxy.ready() {
 		front = s.proxy.settings.ListenAddresses["front"]
@@ -29,8 +29,8 @@
 		s.advertisedAddr = front
 		s.advertVersion = max(s.advertVersion+1, uint64(time.Now().UnixMilli()))
 	}
-	request := &replica.PullRequest{From: replica.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}, Role: replica.RoleProxy,
-		ProtocolVersion: replica.ProtocolVersion, WaitMs: wait.Milliseconds(), ListenerAddr: s.advertisedAddr, Incarnation: s.advertVersion}
+	request := &message.PullRequest{From: message.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}, Role: message.RoleProxy,
+		ProtocolVersion: message.ProtocolVersion, WaitMs: wait.Milliseconds(), ListenerAddr: s.advertisedAddr, Incarnation: s.advertVersion}
 	if time.Since(s.lastUpdate) < fullSyncAfter {
 		request.Progress = maps.Clone(s.progress)
 	}
@@ -51,7 +51,7 @@
 	errStaleResponse = errors.New("the answer was given too long ago")
 )
 
-func (s *subscription) pull(ctx context.Context, addr string, wait time.Duration) (*replica.PullResponse, error) {
+func (s *subscription) pull(ctx context.Context, addr string, wait time.Duration) (*message.PullResponse, error) {
 	s.mu.Lock()
 	released := s.leaseReleased
 	s.mu.Unlock()
@@ -65,8 +65,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
-	response, askedAt := &replica.PullResponse{}, time.Now()
-	if err := steward.Post(ctx, s.client, addr, replica.PullPath, body, response); err != nil {
+	response, askedAt := &message.PullResponse{}, time.Now()
+	if err := rpc.Post(ctx, s.client, addr, message.PullPath, body, response); err != nil {
 		return nil, err
 	}
 	if err := s.apply(addr, request, response, askedAt, time.Now()); err != nil {
@@ -78,7 +78,7 @@
 // apply takes up news: the configuration as a table swapped whole, the appliances, and what others count of releases. News
 // that has lain here while the process stood still is not taken: when it was told can't be said any more, and what has been
 // forgotten since would stay.
-func (s *subscription) apply(addr string, request *replica.PullRequest, response *replica.PullResponse, askedAt, now time.Time) error {
+func (s *subscription) apply(addr string, request *message.PullRequest, response *message.PullResponse, askedAt, now time.Time) error {
 	if now.Sub(askedAt) > time.Duration(request.WaitMs)*time.Millisecond+responseTimeout {
 		return errStaleResponse
 	}
@@ -103,7 +103,7 @@
 	hints := p.balancer.TakePreconnects()
 	p.mu.Unlock()
 	p.connPool.preconnect(hints)
-	if table != nil && table.Limits != (plan.RequestLimits{}) {
+	if table != nil && table.Limits != (routing.RequestLimits{}) {
 		p.listener.applyLimits(table.Limits)
 	}
 	if response.HasQuorum && !p.synced.Load() {
@@ -114,7 +114,7 @@
 }
 
 // applyConfiguration takes up what concerns members and the configuration; table is nil where the latter has not changed.
-func (s *subscription) applyConfiguration(addr string, request *replica.PullRequest, response *replica.PullResponse, askedAt time.Time) (fullSync bool, table *plan.Table) {
+func (s *subscription) applyConfiguration(addr string, request *message.PullRequest, response *message.PullResponse, askedAt time.Time) (fullSync bool, table *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fullSync = s.recordProgress(addr, request, response, askedAt)
@@ -128,15 +128,15 @@
 		go s.reportInFlight(addr, response.SurveyID)
 	}
 	if s.mergeItems(response.Items) || s.proxy.routingTable.Load() == nil && response.HasQuorum {
-		table = plan.NewTable(s.values)
+		table = routing.NewTable(s.values)
 	}
 	return fullSync, table
 }
 
 // mergeItems takes up items of the configuration, and tells whether any is newer than what was known; under the lock.
-func (s *subscription) mergeItems(items []lore.Item) (changed bool) {
+func (s *subscription) mergeItems(items []replication.Item) (changed bool) {
 	for _, item := range items {
-		if !strings.HasPrefix(item.Key, lore.RegisterKey) {
+		if !strings.HasPrefix(item.Key, replication.RegisterKey) {
 			continue
 		}
 		entry := quorum.Entry{}
@@ -150,17 +150,17 @@
 }
 
 // applyBackends takes up appliances and counts of releases, under the relay's lock; all are the appliances that were told.
-func (s *subscription) applyBackends(response *replica.PullResponse, now time.Time) (backends map[string]bool) {
+func (s *subscription) applyBackends(response *message.PullResponse, now time.Time) (backends map[string]bool) {
 	backends = map[string]bool{}
 	for _, item := range response.Items {
-		if id, ok := strings.CutPrefix(item.Key, lore.BackendKey); ok {
-			if backend, ok := lore.ReadBackend(item); ok {
+		if id, ok := strings.CutPrefix(item.Key, replication.BackendKey); ok {
+			if backend, ok := replication.ReadBackend(item); ok {
 				toLocalTime(backend, response, now)
 				s.proxy.balancer.UpdateBackend(id, item.Version, backend, now)
 				backends[id] = true
 			}
-		} else if key, ok := strings.CutPrefix(item.Key, lore.ReleaseTallyKey); ok {
-			if tally, ok := lore.ReadReleaseTally(item); ok {
+		} else if key, ok := strings.CutPrefix(item.Key, replication.ReleaseTallyKey); ok {
+			if tally, ok := replication.ReadReleaseTally(item); ok {
 				s.proxy.balancer.UpdateTally(key, tally)
 			}
 		}
@@ -169,7 +169,7 @@
 }
 
 // toLocalTime puts the moments that an appliance's entry holds into this machine's time of day: the member's may stand apart.
-func toLocalTime(backend *lore.Backend, response *replica.PullResponse, now time.Time) {
+func toLocalTime(backend *replication.Backend, response *message.PullResponse, now time.Time) {
 	if response.NowMs <= 0 {
 		return
 	}
@@ -183,7 +183,7 @@
 // recordProgress notes how far this relay has come with what an address has told, and tells whether that takes the place of what it
 // knew; under the lock. Several may be asked at once: an answer that builds on what was given up meanwhile claims nothing. It
 // tells of the moment at which it was asked for, not of that at which it is read.
-func (s *subscription) recordProgress(addr string, request *replica.PullRequest, response *replica.PullResponse, askedAt time.Time) (fullSync bool) {
+func (s *subscription) recordProgress(addr string, request *message.PullRequest, response *message.PullResponse, askedAt time.Time) (fullSync bool) {
 	stale := len(s.progress) == 0 || askedAt.Sub(s.lastUpdate) >= fullSyncAfter
 	if addr != s.sourceAddr {
 		s.lastSurvey = 0
@@ -195,7 +195,7 @@
 	delete(s.legacyProgress, s.legacySources[addr])
 	delete(s.legacySources, addr)
 	switch {
-	case response.ProtocolVersion < replica.ProtocolVersion:
+	case response.ProtocolVersion < message.ProtocolVersion:
 		s.legacySources[addr], s.legacyProgress[response.Source] = response.Source, response.Seq
 		return response.Complete
 	case response.Complete && stale:
@@ -208,7 +208,7 @@
 }
 
 // advanceProgress adds what an answer has told to how far this relay has come; under the lock.
-func (s *subscription) advanceProgress(response *replica.PullResponse) {
+func (s *subscription) advanceProgress(response *message.PullResponse) {
 	for origin, seq := range response.Progress {
 		s.progress[origin] = max(s.progress[origin], seq)
 	}
--- a/relay/report.go
+++ b/internal/proxy/report.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 
 	"github.com/mailru/easyjson"
 
-	"sagelever/internal/control/replica"
-	"sagelever/steward"
+	"sagelever/internal/control/message"
+	"sagelever/internal/rpc"
 )
 
 // announceLease tells the core at once that the lease has changed.
@@ -34,13 +34,13 @@
 	if body, err := easyjson.Marshal(request); err == nil {
 		ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 		defer cancel()
-		_ = steward.Post(ctx, s.client, addr, replica.PullPath, body, nil)
+		_ = rpc.Post(ctx, s.client, addr, message.PullPath, body, nil)
 	}
 }
 
 // reportInFlight answers a census of the core: what is out at appliances that leave, and what traffic is carried.
 func (s *subscription) reportInFlight(addr string, surveyID uint64) {
-	report := &replica.InFlightReport{From: replica.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}, SurveyID: surveyID}
+	report := &message.InFlightReport{From: message.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}, SurveyID: surveyID}
 	s.proxy.mu.Lock()
 	report.Rows, report.Loads, report.DrainVersions = s.proxy.balancer.InFlightReport(time.Now())
 	s.proxy.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = steward.Post(ctx, s.client, addr, replica.InFlightReportPath, body, nil) // one that is lost is told as unheard
+	_ = rpc.Post(ctx, s.client, addr, message.InFlightReportPath, body, nil) // one that is lost is told as unheard
 }
 
 // reportTallies tells this relay's counts of releases, where they have changed.
@@ -63,7 +63,7 @@
 	}
 	s.mu.Lock()
 	addr := s.sourceAddr
-	update := &replica.PullResponse{}
+	update := &message.PullResponse{}
 	for service, tally := range tallies {
 		s.tallyVersion++
 		item := tally.Item(service, s.tallyVersion)
@@ -82,7 +82,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if steward.Post(ctx, s.client, addr, replica.TallyPath, body, nil) != nil {
+	if rpc.Post(ctx, s.client, addr, message.TallyPath, body, nil) != nil {
 		s.mu.Lock()
 		clear(s.reportedTallies)
 		s.mu.Unlock()
--- a/relay/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"io"
@@ -7,11 +7,11 @@
 
 	"github.com/go-faster/errors"
 
-	"sagelever/plan"
+	"sagelever/internal/control/routing"
 )
 
 // readRequestBody reads a request's body whole, up to a bound; rest is what is left of a longer one.
-func (p *Proxy) readRequestBody(w http.ResponseWriter, r *http.Request, limits plan.RequestLimits) (body []byte, remainder io.Reader, ok bool) {
+func (p *Proxy) readRequestBody(w http.ResponseWriter, r *http.Request, limits routing.RequestLimits) (body []byte, remainder io.Reader, ok bool) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, nil, true
 	}
--- a/relay/response.go
+++ b/internal/proxy/response.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"io"
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"sagelever/sway"
-	"sagelever/verdict"
+	"sagelever/internal/proxy/balancer"
+	"sagelever/internal/proxy/retry"
 )
 
 // replyUnavailable answers with the promise that the request has not run and never will, and when to come again.
@@ -31,15 +31,15 @@
 }
 
 // respond gives the client what the rule of the last send says. What an earlier send may have run is never refused.
-func (p *Proxy) respond(w http.ResponseWriter, req *sway.Request, result *sendResult) {
+func (p *Proxy) respond(w http.ResponseWriter, req *balancer.Request, result *sendResult) {
 	defer result.close()
-	notExecuted := req.Execution == verdict.NotExecuted
+	notExecuted := req.Execution == retry.NotExecuted
 	switch {
-	case result.rule.Response == verdict.Forwarded && (notExecuted || result.rule.Execution != verdict.NotExecuted):
+	case result.rule.Response == retry.Forwarded && (notExecuted || result.rule.Execution != retry.NotExecuted):
 		p.forwardResponse(w, result)
-	case result.rule.Response == verdict.ServiceUnavailable && notExecuted:
+	case result.rule.Response == retry.ServiceUnavailable && notExecuted:
 		p.replyNoCapacity(w, req)
-	case result.rule.Response == verdict.GatewayTimeout:
+	case result.rule.Response == retry.GatewayTimeout:
 		p.replyFailed(w, http.StatusGatewayTimeout, "no answer in time")
 	default:
 		p.replyFailed(w, http.StatusBadGateway, "its answer was lost")
@@ -47,7 +47,7 @@
 }
 
 // replyNoCapacity refuses a request that has not run, with the time after which places have usually come free.
-func (p *Proxy) replyNoCapacity(w http.ResponseWriter, req *sway.Request) {
+func (p *Proxy) replyNoCapacity(w http.ResponseWriter, req *balancer.Request) {
 	p.mu.Lock()
 	retryAfter := p.balancer.TypicalLatency(req.Service, time.Now())
 	p.mu.Unlock()
--- a/verdict/execution.go
+++ b/internal/proxy/retry/execution.go
@@ -1,6 +1,6 @@
 // Package verdict says of every send to an appliance whether its request may have run there. All that a relay may do
 // next hangs on it: a risky request is sent again, or refused with the promise that it has not run, only after NotExecuted.
-package verdict
+package retry
 
 import "github.com/go-faster/errors"
 
--- a/verdict/execution_test.go
+++ b/internal/proxy/retry/execution_test.go
@@ -1,4 +1,4 @@
-package verdict
+package retry
 
 import (
 	"io"
--- a/verdict/phase.go
+++ b/internal/proxy/retry/phase.go
@@ -1,4 +1,4 @@
-package verdict
+package retry
 
 // Phase is how far one send of a request to an appliance has come.
 type Phase uint8
--- a/verdict/rule.go
+++ b/internal/proxy/retry/rule.go
@@ -1,4 +1,4 @@
-package verdict
+package retry
 
 // Rule is what follows when an event befalls a send in some phase.
 type Rule struct {
--- a/relay/send.go
+++ b/internal/proxy/send.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 
 	"github.com/go-faster/errors"
 
-	"sagelever/strand"
-	"sagelever/sway"
-	"sagelever/verdict"
+	"sagelever/internal/proxy/balancer"
+	"sagelever/internal/proxy/retry"
+	"sagelever/internal/upstream"
 )
 
 // sendResult is what came of a send.
 type sendResult struct {
-	sway.Outcome
-	rule              verdict.Rule // what follows
+	balancer.Outcome
+	rule              retry.Rule // what follows
 	attempt           *attempt
 	header            http.Header
 	body              []byte
@@ -38,9 +38,9 @@
 }
 
 // send carries a request to an appliance once and reads the answer. It never sends by itself a second time.
-func (p *Proxy) send(ctx context.Context, r *http.Request, req *sway.Request, backend *sway.Backend, body []byte, remainder io.Reader) *sendResult {
+func (p *Proxy) send(ctx context.Context, r *http.Request, req *balancer.Request, backend *balancer.Backend, body []byte, remainder io.Reader) *sendResult {
 	startedAt := time.Now()
-	attempt := newAttempt(r, func() (verdict.Event, bool) { return p.writeGate(r, backend) })
+	attempt := newAttempt(r, func() (retry.Event, bool) { return p.writeGate(r, backend) })
 	if p.onAttempt != nil {
 		p.onAttempt(r, attempt)
 	}
@@ -67,14 +67,14 @@
 
 // writeGate is asked before the first byte of a send: nothing is begun for a client that is gone, or at an appliance that
 // leaves meanwhile.
-func (p *Proxy) writeGate(r *http.Request, backend *sway.Backend) (event verdict.Event, forbidden bool) {
+func (p *Proxy) writeGate(r *http.Request, backend *balancer.Backend) (event retry.Event, forbidden bool) {
 	p.mu.Lock()
 	open := p.balancer.MayWrite(backend, time.Now())
 	p.mu.Unlock()
 	if r.Context().Err() != nil {
-		return verdict.ClientDisconnected, true
+		return retry.ClientDisconnected, true
 	}
-	return verdict.PermissionRevoked, !open
+	return retry.PermissionRevoked, !open
 }
 
 // maxNewConns is how many new connections one send may use up: one that was opened ahead may have ended since.
@@ -86,7 +86,7 @@
 	outbound = outbound.WithContext(httptrace.WithClientTrace(ctx, a.clientTrace()))
 	for newConns := 0; ; {
 		if !streamed {
-			strand.SetNonReplayableBody(outbound, body)
+			upstream.SetNonReplayableBody(outbound, body)
 		}
 		a.resetConnection()
 		resp, err := p.transport.RoundTrip(outbound)
@@ -102,8 +102,8 @@
 }
 
 // recordFailure notes what follows from an event that left no whole answer.
-func (p *Proxy) recordFailure(ctx context.Context, result *sendResult, event verdict.Event) {
-	result.rule = verdict.Decide(result.attempt.phase(), event)
+func (p *Proxy) recordFailure(ctx context.Context, result *sendResult, event retry.Event) {
+	result.rule = retry.Decide(result.attempt.phase(), event)
 	result.Execution = result.rule.Execution
 	result.Withheld = result.attempt.withheldBy.Load() != nil
 	result.Cancelled = ctx.Err() != nil
@@ -111,14 +111,14 @@
 }
 
 // recordResponse notes what follows from an answer.
-func (p *Proxy) recordResponse(result *sendResult, event verdict.Event) {
+func (p *Proxy) recordResponse(result *sendResult, event retry.Event) {
 	phase := result.attempt.phase()
 	if !result.attempt.requestWritten.Load() { // it has come early
-		phase = verdict.WritingBody
+		phase = retry.WritingBody
 	}
-	result.rule = verdict.Decide(phase, event)
+	result.rule = retry.Decide(phase, event)
 	result.Execution = result.rule.Execution
-	result.Succeeded = event == verdict.ResponseReceived && result.Status/100 == 2
+	result.Succeeded = event == retry.ResponseReceived && result.Status/100 == 2
 	result.attempt.complete.Store(result.remainder == nil)
 }
 
--- a/relay/subscription.go
+++ b/internal/proxy/subscription.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 
 	"go.uber.org/zap"
 
-	"sagelever/ebb"
+	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
-	"sagelever/internal/control/replica"
-	"sagelever/lore"
-	"sagelever/steward"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/lease"
+	"sagelever/internal/rpc"
 )
 
 const (
@@ -34,9 +34,9 @@
 	pollTimeout time.Duration // how long a pull waits for news
 
 	mu              sync.Mutex
-	controllers     map[string]replica.Member // by address
+	controllers     map[string]message.Member // by address
 	lastUpdate      time.Time                 // when it last heard news
-	progress        lore.Vector               // how far this relay has come, by every source's numbers
+	progress        replication.Vector        // how far this relay has come, by every source's numbers
 	legacyProgress  map[string]uint64         // the same for a source that speaks the version before, by its own
 	legacySources   map[string]string         // which such a source an address was last
 	backoffUntil    map[string]time.Time      // until when an address is passed over
@@ -51,10 +51,10 @@
 }
 
 func newSubscription(proxy *Proxy) *subscription {
-	s := &subscription{proxy: proxy, pollTimeout: ebb.PullWait(proxy.settings.RuleLimits.DrainTime), incarnation: proxy.settings.Node + "@" + strconv.FormatInt(time.Now().UnixNano(), 36),
-		controllers: map[string]replica.Member{}, progress: lore.Vector{}, legacyProgress: map[string]uint64{}, legacySources: map[string]string{}, backoffUntil: map[string]time.Time{},
+	s := &subscription{proxy: proxy, pollTimeout: lease.PullWait(proxy.settings.RuleLimits.DrainTime), incarnation: proxy.settings.Node + "@" + strconv.FormatInt(time.Now().UnixNano(), 36),
+		controllers: map[string]message.Member{}, progress: replication.Vector{}, legacyProgress: map[string]uint64{}, legacySources: map[string]string{}, backoffUntil: map[string]time.Time{},
 		values: map[string]quorum.Value{}, reportedTallies: map[string]string{}, advertVersion: uint64(time.Now().UnixMilli())}
-	s.client = steward.NewClient(proxy.dial)
+	s.client = rpc.NewClient(proxy.dial)
 	s.addControllers(append([]string{net.JoinHostPort(proxy.settings.IP, "0")}, proxy.settings.SeedAddresses...)) // there may be a steward here
 	return s
 }
@@ -67,7 +67,7 @@
 		if host, _, err := net.SplitHostPort(contact); err == nil {
 			addr := net.JoinHostPort(host, s.proxy.settings.PeerPort())
 			if _, known := s.controllers[addr]; !known {
-				s.controllers[addr] = replica.Member{Addr: addr}
+				s.controllers[addr] = message.Member{Addr: addr}
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 const unknownDistance = 3
 
 // distance is 0 for a member in this zone, 1 in the region, 2 beyond it.
-func (s *subscription) distance(controller replica.Member) int {
+func (s *subscription) distance(controller message.Member) int {
 	switch {
 	case controller.Zone == "":
 		return unknownDistance
--- a/steward/packing.go
+++ b/internal/rpc/compression.go
@@ -1,4 +1,4 @@
-package steward
+package rpc
 
 import (
 	"bytes"
--- a/steward/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,4 +1,4 @@
-package steward
+package rpc
 
 import (
 	"bytes"
@@ -7,6 +7,8 @@
 	"net/http"
 	"time"
 
+	"sagelever/internal/tcp"
+
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 )
@@ -17,6 +19,9 @@
 // DialFunc opens a connection.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
+// userTimeout is for how long a connection between nodes stays up without any acknowledgement from the other machine.
+const userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+
 // NewClient is what agents call one another with; dial is the way that connections take, nil for the usual one.
 func NewClient(dial DialFunc) *http.Client {
 	if dial == nil {
--- a/terms/deployment.go
+++ b/internal/settings/deployment/deployment.go
@@ -1,6 +1,6 @@
 // Package terms turns the settings of a deployment, as JSON, into the plain map of names to values that the module
 // reads. The simulator's adapter and the agent on sockets are handed the same object, so both use it.
-package terms
+package deployment
 
 import (
 	"encoding/json"
--- a/terms/deployment_test.go
+++ b/internal/settings/deployment/deployment_test.go
@@ -1,4 +1,4 @@
-package terms
+package deployment
 
 import (
 	"reflect"
--- a/operator/operatorfile.go
+++ b/internal/settings/operatorfile/operatorfile.go
@@ -1,6 +1,6 @@
 // Package operator reads the operator's own file: an INI of settings beside what the platform hands an agent. What is
 // unknown in it, or wrong, is an error with line and column, so that a slip of the pen never passes for a default.
-package operator
+package operatorfile
 
 import (
 	"errors"
--- a/operator/operatorfile_test.go
+++ b/internal/settings/operatorfile/operatorfile_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorfile
 
 import (
 	"errors"
--- a/boot/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package boot reads the settings file that a process is started with, and says what is wrong with it and where.
-package boot
+package settings
 
 import (
 	"cmp"
--- a/boot/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package boot
+package settings
 
 import (
 	"strings"
