--- a/lab/simulation.go
+++ b/internal/sim/fleet/simulation.go
@@ -1,7 +1,7 @@
 // Package lab steps a whole fleet in one process: agents with the real decision module, appliances, clients, discovery and
 // the platform, on one heap of moments. The clock and the seed are handed in, so that the same scenario gives the same
 // figures every time. It is a model: it shows what agents that are harmless alone do together, and nothing about sockets.
-package lab
+package fleet
 
 import (
 	"container/heap"
@@ -9,13 +9,13 @@
 	"math/rand/v2"
 	"time"
 
-	"sagelever/agent"
-	"sagelever/decide"
+	"sagelever/internal/agent/api"
+	"sagelever/internal/agent/policy"
 )
 
 // Workload is what clients ask for.
 type Workload struct {
-	Name          agent.Workload
+	Name          api.Workload
 	Share         float64 // of all transactions
 	Work          time.Duration
 	Goal, Abandon time.Duration
@@ -49,9 +49,9 @@
 type Counts struct {
 	Accepted, InGoal, Late, Deferred, Failed, Unanswered int
 	Offered, Earned                                      float64 // payoff
-	Reasons                                              [agent.ReasonCount]int
-	Attempts                                             [agent.InvalidRequest + 1]int
-	Votes                                                [agent.VerdictRollBack + 1]int
+	Reasons                                              [api.ReasonCount]int
+	Attempts                                             [api.InvalidRequest + 1]int
+	Votes                                                [api.VerdictRollBack + 1]int
 	Messages                                             int // messages between agents
 }
 
@@ -115,9 +115,9 @@
 func Run(scenario Scenario) *Simulation {
 	simulation := &Simulation{Scenario: scenario, random: rand.New(rand.NewPCG(scenario.Seed, scenario.Seed+1)), Seconds: make([]Counts, int(scenario.Duration/time.Second)+1)}
 	for i := range scenario.Backends {
-		simulation.Fleet = append(simulation.Fleet, simulation.newBackend(i, 1, agent.UnknownStart))
+		simulation.Fleet = append(simulation.Fleet, simulation.newBackend(i, 1, api.UnknownStart))
 	}
-	simulation.Platform.rollout = agent.RolloutUpdate{Result: agent.VoteCounted, Build: 1, Stage: 0, Cap: 1, Phase: agent.PhaseReleased}
+	simulation.Platform.rollout = api.RolloutUpdate{Result: api.VoteCounted, Build: 1, Stage: 0, Cap: 1, Phase: api.PhaseReleased}
 	for i := range scenario.Agents {
 		n := &Node{simulation: simulation, number: i}
 		simulation.Nodes = append(simulation.Nodes, n)
@@ -209,6 +209,6 @@
 }
 
 // newPolicy is the module, as an agent has it.
-func (w *Simulation) newPolicy(number int) *decide.Balancer {
-	return decide.New(w.random.Uint64(), w.settings(number))
+func (w *Simulation) newPolicy(number int) *policy.Balancer {
+	return policy.New(w.random.Uint64(), w.settings(number))
 }
--- a/arms/bestarm.go
+++ b/internal/stats/bestarm/bestarm.go
@@ -1,7 +1,7 @@
 // Package arms is the two-arm statistic of the design (docs/design.md), after "Optimal Best Arm Identification with Fixed
 // Confidence": the optimal proportion between two Bernoulli arms, D-Tracking to it, and Chernoff's likelihood-ratio
 // statistic. Both programs decide their trials by it. It knows no tuned value.
-package arms
+package bestarm
 
 import "math"
 
--- a/gauge/decay.go
+++ b/internal/stats/decay/decay.go
@@ -1,5 +1,5 @@
 // Package gauge holds what is measured over time. It knows no tuned value: callers name spans and half-lives.
-package gauge
+package decay
 
 import (
 	"math"
--- a/strand/usertimeout.go
+++ b/internal/tcp/usertimeout.go
@@ -1,6 +1,6 @@
 // Package strand holds what programs of the project do with TCP connections: listening and dialling so that a machine
 // without power never holds anyone, and reading answers so that no byte of another answer reaches a client.
-package strand
+package tcp
 
 import (
 	"context"
--- a/rig/backend.go
+++ b/internal/testbed/cluster/backend.go
@@ -1,4 +1,4 @@
-package rig
+package cluster
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
 )
 
 // Fault is what an appliance or the rig does wrong on purpose, so that the ledger is seen to find it.
@@ -208,10 +208,10 @@
 func (b *Backend) sendHeartbeat() bool {
 	b.mu.Lock()
 	b.heartbeats++
-	heartbeat := lore.Heartbeat{Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Build, Capacity: slotsPerBackend, Phase: lore.PhaseReady,
+	heartbeat := replication.Heartbeat{Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Build, Capacity: slotsPerBackend, Phase: replication.PhaseReady,
 		WarmUpLeft: fmt.Sprint(max(0, time.Until(b.warmingUntil).Milliseconds()), "ms"), CallCount: b.heartbeats}
 	if b.draining {
-		heartbeat.Phase = lore.PhaseDraining
+		heartbeat.Phase = replication.PhaseDraining
 	}
 	b.mu.Unlock()
 	body, _ := easyjson.Marshal(&heartbeat)
--- a/rig/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -1,4 +1,4 @@
-package rig
+package cluster
 
 import (
 	"context"
@@ -15,10 +15,11 @@
 
 	"go.uber.org/zap"
 
-	"sagelever/boot"
-	"sagelever/helm"
-	"sagelever/relay"
-	"sagelever/steward"
+	"sagelever/internal/control/client"
+	"sagelever/internal/control/server"
+	"sagelever/internal/proxy"
+	"sagelever/internal/rpc"
+	"sagelever/internal/settings"
 )
 
 // Options of a house.
@@ -80,7 +81,7 @@
 		subnet: fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 100+clusterCount.Add(1)%150)}
 	for i, zone := range zoneNames {
 		if err := c.addNode(fmt.Sprint("steward-", zone), func() (func(context.Context) error, error) {
-			controller, err := steward.New(steward.Options{Settings: c.nodeSettings(fmt.Sprint("core-", zone), i, zone), MembersPerZone: 1, Log: options.Logger, Dial: c.dialer(zone)})
+			controller, err := server.New(server.Options{Settings: c.nodeSettings(fmt.Sprint("core-", zone), i, zone), MembersPerZone: 1, Log: options.Logger, Dial: c.dialer(zone)})
 			if err != nil {
 				return nil, err
 			}
@@ -92,7 +93,7 @@
 	for i := range options.Proxies {
 		zone := zoneNames[i%len(zoneNames)]
 		if err := c.addNode(fmt.Sprint("relay-", i), func() (func(context.Context) error, error) {
-			return relay.New(relay.Options{Settings: c.nodeSettings(fmt.Sprint("edge-", i), i, zone), Log: options.Logger, Dial: c.dialer(zone)}).Run, nil
+			return proxy.New(proxy.Options{Settings: c.nodeSettings(fmt.Sprint("edge-", i), i, zone), Log: options.Logger, Dial: c.dialer(zone)}).Run, nil
 		}); err != nil {
 			return c, err
 		}
@@ -120,18 +121,18 @@
 	return addresses
 }
 
-func (c *Cluster) nodeSettings(node string, i int, zone string) *boot.Settings {
+func (c *Cluster) nodeSettings(node string, i int, zone string) *settings.Settings {
 	ip := c.ip(i)
-	s := &boot.Settings{Node: node, IP: ip, Zone: zone, Region: regionByZone[zone], Zones: regionByZone, PeerPortRange: []int{peerPort, lastSparePort},
+	s := &settings.Settings{Node: node, IP: ip, Zone: zone, Region: regionByZone[zone], Zones: regionByZone, PeerPortRange: []int{peerPort, lastSparePort},
 		ListenAddresses: map[string]string{"control": ip + ":" + controlPort, "directory": ip + ":" + directoryPort, "front": ip + ":" + listenerPort, "readyCheck": ip + ":" + readinessPort},
-		SeedAddresses:   c.ControllerAddresses()[:3], FreshStart: true, DataDir: filepath.Join(c.options.Dir, node), FaultTolerance: boot.FaultTolerance{Hosts: 1, Zones: 1, Regions: 1}}
-	s.RuleLimits = boot.RuleLimits{HeartbeatInterval: c.options.HeartbeatInterval, DrainTime: c.options.DrainTime, ShutdownGrace: c.options.ShutdownGrace, MaxTTL: 2 * time.Second, RetryPeriod: 10 * time.Second,
+		SeedAddresses:   c.ControllerAddresses()[:3], FreshStart: true, DataDir: filepath.Join(c.options.Dir, node), FaultTolerance: settings.FaultTolerance{Hosts: 1, Zones: 1, Regions: 1}}
+	s.RuleLimits = settings.RuleLimits{HeartbeatInterval: c.options.HeartbeatInterval, DrainTime: c.options.DrainTime, ShutdownGrace: c.options.ShutdownGrace, MaxTTL: 2 * time.Second, RetryPeriod: 10 * time.Second,
 		RetryBudgetRatio: 0.2, MaxExtraRetries: 64, WarmUpLoadFactor: 1.5, WarmUpAllowance: 5, TrialErrorRatio: 0.1, TrialErrorAllowance: 50}
 	return s
 }
 
 // dialer plays the way between zones, by the address of the machine that is called.
-func (c *Cluster) dialer(from string) steward.DialFunc {
+func (c *Cluster) dialer(from string) rpc.DialFunc {
 	netDialer := &net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := netDialer.DialContext(ctx, network, address)
@@ -227,7 +228,7 @@
 }
 
 // Operator is an operator.
-func (c *Cluster) Operator() *helm.Client { return helm.New(c.ControllerAddresses()) }
+func (c *Cluster) Operator() *client.Client { return client.New(c.ControllerAddresses()) }
 
 // Configure brings in the services and their routes, and waits until every relay is ready.
 func (c *Cluster) Configure(ctx context.Context) error {
--- a/rig/delay.go
+++ b/internal/testbed/cluster/delay.go
@@ -1,7 +1,7 @@
 // Package rig is a whole system in one process, on loopback: stewards, relays, stand-in appliances that speak the
 // protocol, clients and an operator, with delays played between the zones. What runs, what is answered and what clients are
 // told is written down in a ledger, and checked: nothing lost, doubled, late at one that leaves, or cut.
-package rig
+package cluster
 
 import (
 	"net"
--- a/rig/drain.go
+++ b/internal/testbed/cluster/drain.go
@@ -1,4 +1,4 @@
-package rig
+package cluster
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/go-faster/errors"
 
-	"sagelever/helm"
+	"sagelever/internal/control/client"
 )
 
 // Result is what came of Drain.
@@ -174,7 +174,7 @@
 func (c *Cluster) drainByOperator(ctx context.Context, target string, result *Result, backends ...*Backend) error {
 	operator, startedAt := c.Operator(), time.Now()
 	_, err := operator.Drain(ctx, target, false)
-	if _, refused := errors.Into[*helm.InsufficientCapacityError](err); refused {
+	if _, refused := errors.Into[*client.InsufficientCapacityError](err); refused {
 		result.RefusedForCapacity++
 		_, err = operator.Drain(ctx, target, true)
 	}
--- a/rig/ledger.go
+++ b/internal/testbed/cluster/ledger.go
@@ -1,4 +1,4 @@
-package rig
+package cluster
 
 import (
 	"errors"
--- a/standin/backend.go
+++ b/internal/testbed/fakes/backend.go
@@ -1,7 +1,7 @@
 // Package standin plays what stands around an agent, on loopback and from the project's own protocol pages: appliances
 // that can be told to misbehave, and discovery. They note what they saw, so that a test can check it against what
 // clients were told.
-package standin
+package fakes
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/coder/websocket"
 
-	"sagelever/wsagent"
+	"sagelever/internal/agent/ws"
 )
 
 // Behavior is how an appliance behaves.
@@ -97,27 +97,27 @@
 		b.serveHTTP(w, r)
 		return
 	}
-	ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{wsagent.BackendProtocol},
+	socket, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{ws.BackendProtocol},
 		OnPingReceived: func(context.Context, []byte) bool { m, _ := b.current(); return m != Silent }})
 	if err != nil {
 		return
 	}
-	defer ws.CloseNow()
-	ws.SetReadLimit(1 << 20)
+	defer socket.CloseNow()
+	socket.SetReadLimit(1 << 20)
 	b.mu.Lock()
-	b.conns[ws] = true
+	b.conns[socket] = true
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		delete(b.conns, ws)
+		delete(b.conns, socket)
 		b.mu.Unlock()
 	}()
 	for {
-		_, message, err := ws.Read(context.Background())
+		_, message, err := socket.Read(context.Background())
 		if err != nil {
 			return
 		}
-		request, complete, err := wsagent.ParseBackendRequest(message)
+		request, complete, err := ws.ParseBackendRequest(message)
 		if err != nil || request.Type != "run" {
 			continue
 		}
@@ -127,14 +127,14 @@
 			b.mu.Unlock()
 			continue
 		}
-		go b.handle(ws, request)
+		go b.handle(socket, request)
 	}
 }
 
 // handle carries a message out, in the mood of the moment.
-func (b *Backend) handle(socket *websocket.Conn, request wsagent.BackendRequest) {
+func (b *Backend) handle(socket *websocket.Conn, request ws.BackendRequest) {
 	behavior, latency := b.current()
-	response := wsagent.BackendResponse{Type: "done", Send: request.Send, Status: http.StatusOK, Load: "queue=0", Body: []byte(request.ID)}
+	response := ws.BackendResponse{Type: "done", Send: request.Send, Status: http.StatusOK, Load: "queue=0", Body: []byte(request.ID)}
 	switch behavior {
 	case Overloaded:
 		response.Status, response.NotStarted, response.Body = http.StatusServiceUnavailable, true, nil
--- a/standin/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/testbed/hollow/backend.go
+++ b/internal/testbed/hollow/backend.go
@@ -10,7 +10,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"sagelever/lore"
+	"sagelever/internal/control/replication"
 )
 
 // maxAcknowledgementBytes is what an appliance reads of an acknowledgement, in bytes: one that is longer counts as none.
@@ -20,7 +20,7 @@
 type Backend struct {
 	Meter             Meter
 	id                string
-	heartbeat         lore.Heartbeat
+	heartbeat         replication.Heartbeat
 	controllerAddress string // of the member that it calls
 	interval          time.Duration
 	client            *http.Client
@@ -28,7 +28,7 @@
 	failures          atomic.Int64
 }
 
-func newBackend(id string, heartbeat lore.Heartbeat, controllerAddress string, interval time.Duration) *Backend {
+func newBackend(id string, heartbeat replication.Heartbeat, controllerAddress string, interval time.Duration) *Backend {
 	a := &Backend{id: id, heartbeat: heartbeat, controllerAddress: controllerAddress, interval: interval}
 	a.client = &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: a.Meter.Dial, MaxIdleConnsPerHost: 1}}
 	return a
--- a/internal/testbed/hollow/load.go
+++ b/internal/testbed/hollow/load.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
-	"sagelever/helm"
-	"sagelever/plan"
+	"sagelever/internal/control/client"
+	"sagelever/internal/control/config"
 )
 
 const (
@@ -23,14 +23,14 @@
 
 func (b *Testbed) serviceCount() int { return 1 + b.options.Routes/routesPerService }
 
-func newItem(kind, name string, version uint64, body any) (plan.Item, error) {
+func newItem(kind, name string, version uint64, body any) (config.Item, error) {
 	text, err := json.Marshal(body)
-	return plan.Item{Type: kind, Metadata: plan.Metadata{Name: name, Version: plan.FormatVersion(version)}, Body: text}, err
+	return config.Item{Type: kind, Metadata: config.Metadata{Name: name, Version: config.FormatVersion(version)}, Body: text}, err
 }
 
 // routeBody is one of the configuration, as long as the users' are.
-func (b *Testbed) routeBody(i int) plan.RouteBody {
-	r := plan.RouteBody{Host: fmt.Sprintf("h%06d.example", i), PathPrefix: fmt.Sprintf("/p%06d/", i), Kind: "harmless", Timeout: "5000ms", LatencyTarget: "800ms",
+func (b *Testbed) routeBody(i int) config.RouteBody {
+	r := config.RouteBody{Host: fmt.Sprintf("h%06d.example", i), PathPrefix: fmt.Sprintf("/p%06d/", i), Kind: "harmless", Timeout: "5000ms", LatencyTarget: "800ms",
 		Priority: 2, Service: serviceName(i % b.serviceCount()), MaxAttempts: 2, HomeRegions: []string{}}
 	if b.options.Tenants > 0 {
 		r.Tenant = tenantName(i % b.options.Tenants)
@@ -41,14 +41,14 @@
 func tenantName(i int) string { return fmt.Sprintf("t%07d", i) }
 
 // probeItem is the route that is changed: its time to give up says which change it was.
-func (b *Testbed) probeItem(version uint64) (plan.Item, error) {
-	return newItem(plan.KindRoutes, probeRoute, version, plan.RouteBody{Host: "probe.example", PathPrefix: "/probe/", Kind: "harmless",
+func (b *Testbed) probeItem(version uint64) (config.Item, error) {
+	return newItem(config.KindRoutes, probeRoute, version, config.RouteBody{Host: "probe.example", PathPrefix: "/probe/", Kind: "harmless",
 		Timeout: fmt.Sprint(1000+version%1000, "ms"), LatencyTarget: "800ms", Service: serviceName(0), MaxAttempts: 2, HomeRegions: []string{}})
 }
 
 // configuration lists all items in the order in which they can be loaded: services and tenants before the routes that name
 // them.
-func (b *Testbed) configuration() (out []plan.Item, err error) {
+func (b *Testbed) configuration() (out []config.Item, err error) {
 	add := func(kind, name string, body any) {
 		x, e := newItem(kind, name, firstVersion, body)
 		out = append(out, x)
@@ -56,15 +56,15 @@
 			err = e
 		}
 	}
-	add(plan.KindLimits, "", plan.LimitsBody{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: "3000ms", IdleTimeout: "15000ms"})
+	add(config.KindLimits, "", config.LimitsBody{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: "3000ms", IdleTimeout: "15000ms"})
 	for i := range b.serviceCount() {
-		add(plan.KindServices, serviceName(i), plan.ServiceBody{HealthCheckPath: "/health", MaxConnections: 140, WarmUp: "3s", WarmUpRatePerSecond: 2.9})
+		add(config.KindServices, serviceName(i), config.ServiceBody{HealthCheckPath: "/health", MaxConnections: 140, WarmUp: "3s", WarmUpRatePerSecond: 2.9})
 	}
 	for i := range b.options.Tenants {
-		add(plan.KindTenants, tenantName(i), plan.TenantBody{HomeRegions: []string{"a", "b"}})
+		add(config.KindTenants, tenantName(i), config.TenantBody{HomeRegions: []string{"a", "b"}})
 	}
 	for i := range b.options.Routes {
-		add(plan.KindRoutes, fmt.Sprintf("r-%06d", i), b.routeBody(i))
+		add(config.KindRoutes, fmt.Sprintf("r-%06d", i), b.routeBody(i))
 	}
 	probe, e := b.probeItem(firstVersion)
 	if e != nil {
@@ -89,7 +89,7 @@
 		return result, err
 	}
 	b.version = firstVersion
-	controlClient, begun := helm.New(b.controllerAddresses()), time.Now()
+	controlClient, begun := client.New(b.controllerAddresses()), time.Now()
 	for len(items) > 0 {
 		n := min(b.options.BatchSize, len(items))
 		asked := time.Now()
@@ -111,8 +111,8 @@
 }
 
 // putItems is one settings.change.
-func putItems(ctx context.Context, controlClient *helm.Client, items []plan.Item) error {
-	body, err := easyjson.Marshal(&plan.ChangeRequest{PutItems: plan.ItemList{Items: items}, Remove: map[string][]plan.ItemRef{}})
+func putItems(ctx context.Context, controlClient *client.Client, items []config.Item) error {
+	body, err := easyjson.Marshal(&config.ChangeRequest{PutItems: config.ItemList{Items: items}, Remove: map[string][]config.ItemRef{}})
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/hollow/meter.go
+++ b/internal/testbed/hollow/meter.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 	"time"
 
-	"sagelever/strand"
+	"sagelever/internal/tcp"
 )
 
 // connectTimeout is for how long a silent peer is waited for, as between the agents of the system.
-const connectTimeout = strand.UserTimeout(1500 * time.Millisecond)
+const connectTimeout = tcp.UserTimeout(1500 * time.Millisecond)
 
 // Traffic is what went over connections that one side opened: payload bytes of TCP, HTTP's own lines included.
 type Traffic struct {
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -12,9 +12,9 @@
 	"github.com/go-faster/errors"
 	"go.uber.org/zap"
 
-	"sagelever/boot"
-	"sagelever/relay"
-	"sagelever/steward"
+	"sagelever/internal/control/server"
+	"sagelever/internal/proxy"
+	"sagelever/internal/settings"
 )
 
 // Roles of real processes.
@@ -29,7 +29,7 @@
 // Serve is a real process of a testbed: it runs the role that its settings file is for until its input ends, and answers
 // each line of input with a line that has the traffic of the connections that it opened.
 func Serve(role, settingsFile string, in io.Reader, out io.Writer) error {
-	nodeSettings, err := boot.Read(settingsFile)
+	nodeSettings, err := settings.Read(settingsFile)
 	if err != nil {
 		return err
 	}
@@ -52,16 +52,16 @@
 	return run(ctx)
 }
 
-func newRole(role string, nodeSettings *boot.Settings, meter *Meter) (run func(context.Context) error, err error) {
+func newRole(role string, nodeSettings *settings.Settings, meter *Meter) (run func(context.Context) error, err error) {
 	switch role {
 	case RoleController:
-		member, err := steward.New(steward.Options{Settings: nodeSettings, MembersPerZone: 1, Log: zap.NewNop(), Dial: meter.Dial})
+		member, err := server.New(server.Options{Settings: nodeSettings, MembersPerZone: 1, Log: zap.NewNop(), Dial: meter.Dial})
 		if err != nil {
 			return nil, err
 		}
 		return member.Run, nil
 	case RoleProxy:
-		return relay.New(relay.Options{Settings: nodeSettings, Log: zap.NewNop(), Dial: meter.Dial}).Run, nil
+		return proxy.New(proxy.Options{Settings: nodeSettings, Log: zap.NewNop(), Dial: meter.Dial}).Run, nil
 	}
 	return nil, errors.Errorf("%q is no role", role)
 }
--- a/internal/testbed/hollow/proxy.go
+++ b/internal/testbed/hollow/proxy.go
@@ -11,9 +11,9 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
-	"sagelever/internal/control/replica"
-	"sagelever/lore"
-	"sagelever/steward"
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/rpc"
 )
 
 const (
@@ -26,14 +26,14 @@
 // it is told only how far it has come and how much it was.
 type Proxy struct {
 	Meter         Meter
-	member        replica.Member // what it says of itself
+	member        message.Member // what it says of itself
 	listenAddress string
 	sources       []string // addresses of members, its zone's first
 	wait          time.Duration
 	client        *http.Client
 	tracker       *PropagationTracker
 
-	progress           lore.Vector
+	progress           replication.Vector
 	incarnation        uint64
 	configurationCount uint64
 
@@ -42,9 +42,9 @@
 }
 
 // newProxy makes an agent that calls itself so.
-func newProxy(member replica.Member, listenAddress string, sources []string, wait time.Duration, tracker *PropagationTracker) *Proxy {
-	a := &Proxy{member: member, listenAddress: listenAddress, sources: sources, wait: wait, tracker: tracker, progress: lore.Vector{}, incarnation: uint64(time.Now().UnixMilli())}
-	a.client = steward.NewClient(a.Meter.Dial)
+func newProxy(member message.Member, listenAddress string, sources []string, wait time.Duration, tracker *PropagationTracker) *Proxy {
+	a := &Proxy{member: member, listenAddress: listenAddress, sources: sources, wait: wait, tracker: tracker, progress: replication.Vector{}, incarnation: uint64(time.Now().UnixMilli())}
+	a.client = rpc.NewClient(a.Meter.Dial)
 	return a
 }
 
@@ -71,7 +71,7 @@
 }
 
 // pullOnce is one pull, under a permit where it is the one that brings all.
-func (a *Proxy) pullOnce(ctx context.Context, source string, permits chan struct{}) (*replica.PullResponse, error) {
+func (a *Proxy) pullOnce(ctx context.Context, source string, permits chan struct{}) (*message.PullResponse, error) {
 	if a.synced.Load() {
 		return a.pull(ctx, source, a.wait, pullSlack)
 	}
@@ -85,8 +85,8 @@
 }
 
 // pull asks a member for what this agent lacks and takes up the answer.
-func (a *Proxy) pull(ctx context.Context, source string, wait, slack time.Duration) (*replica.PullResponse, error) {
-	request := &replica.PullRequest{From: a.member, Role: replica.RoleProxy, ProtocolVersion: replica.ProtocolVersion, Progress: a.progress, WaitMs: wait.Milliseconds(),
+func (a *Proxy) pull(ctx context.Context, source string, wait, slack time.Duration) (*message.PullResponse, error) {
+	request := &message.PullRequest{From: a.member, Role: message.RoleProxy, ProtocolVersion: message.ProtocolVersion, Progress: a.progress, WaitMs: wait.Milliseconds(),
 		ListenerAddr: a.listenAddress, Incarnation: a.incarnation, SurveyID: a.configurationCount}
 	body, err := easyjson.Marshal(request)
 	if err != nil {
@@ -94,8 +94,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
-	response := &replica.PullResponse{}
-	if err := steward.Post(ctx, a.client, source, replica.PullPath, body, response); err != nil {
+	response := &message.PullResponse{}
+	if err := rpc.Post(ctx, a.client, source, message.PullPath, body, response); err != nil {
 		return nil, errors.Wrap(err, "pull")
 	}
 	a.pulls.Add(1)
@@ -106,7 +106,7 @@
 }
 
 // apply notes how far the answer brings this agent, and tells the watch of the items that it waits for.
-func (a *Proxy) apply(response *replica.PullResponse) {
+func (a *Proxy) apply(response *message.PullResponse) {
 	now := time.Now()
 	for origin, number := range response.Progress {
 		a.progress[origin] = max(a.progress[origin], number)
@@ -120,7 +120,7 @@
 	for _, item := range response.Items {
 		a.items.Add(1)
 		a.bodyBytes.Add(int64(len(item.Key) + len(item.Body)))
-		register, ok := strings.CutPrefix(item.Key, lore.RegisterKey)
+		register, ok := strings.CutPrefix(item.Key, replication.RegisterKey)
 		if !ok {
 			continue
 		}
@@ -134,13 +134,13 @@
 
 // releaseLease gives the lease back.
 func (a *Proxy) releaseLease() {
-	body, err := easyjson.Marshal(&replica.PullRequest{From: a.member, Role: replica.RoleProxy, ProtocolVersion: replica.ProtocolVersion, Progress: a.progress, Incarnation: a.incarnation, Ended: true})
+	body, err := easyjson.Marshal(&message.PullRequest{From: a.member, Role: message.RoleProxy, ProtocolVersion: message.ProtocolVersion, Progress: a.progress, Incarnation: a.incarnation, Ended: true})
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pullSlack)
 	defer cancel()
-	_ = steward.Post(ctx, a.client, a.sources[0], replica.PullPath, body, nil) // one that is lost lapses by itself
+	_ = rpc.Post(ctx, a.client, a.sources[0], message.PullPath, body, nil) // one that is lost lapses by itself
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/testbed/hollow/testbed.go
+++ b/internal/testbed/hollow/testbed.go
@@ -17,12 +17,12 @@
 
 	"github.com/go-faster/errors"
 
-	"sagelever/boot"
-	"sagelever/ebb"
-	"sagelever/helm"
-	"sagelever/internal/control/replica"
-	"sagelever/lore"
-	"sagelever/plan"
+	"sagelever/internal/control/client"
+	"sagelever/internal/control/config"
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/lease"
+	"sagelever/internal/settings"
 )
 
 // Options are the size of a testbed.
@@ -81,7 +81,7 @@
 		return nil, errors.Errorf("want 3 to %d members, at most %d relays and a batch of one or more", maxProcesses, maxProcesses)
 	}
 	b := &Testbed{options: o, network: fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 250+testbedCount.Add(1)%5), regions: map[string]string{},
-		tracker: newPropagationTracker(plan.Key(plan.KindRoutes, probeRoute)), stop: func() {}}
+		tracker: newPropagationTracker(config.Key(config.KindRoutes, probeRoute)), stop: func() {}}
 	for i := range o.Controllers {
 		zone := fmt.Sprintf("%c%d", 'a'+i%3, 1+i/3) // three regions, as the users' sites have
 		b.zones = append(b.zones, zone)
@@ -104,11 +104,11 @@
 		ip = b.address(firstProxyHost - 2 + i)
 	}
 	node := fmt.Sprintf("%s-%d", role, i)
-	nodeSettings := boot.Settings{Node: node, Role: role, IP: ip, Zone: zone, Region: b.regions[zone], Zones: b.regions, PeerPortRange: []int{peerPort, lastPeerPort},
+	nodeSettings := settings.Settings{Node: node, Role: role, IP: ip, Zone: zone, Region: b.regions[zone], Zones: b.regions, PeerPortRange: []int{peerPort, lastPeerPort},
 		ListenAddresses: map[string]string{"control": net.JoinHostPort(ip, controlPort), "directory": net.JoinHostPort(ip, directoryPort),
 			"front": net.JoinHostPort(ip, listenerPort), "readyCheck": net.JoinHostPort(ip, readinessPort)},
 		SeedAddresses: b.controllerAddresses()[:3], FreshStart: true, DataDir: filepath.Join(b.options.Dir, node), HeartbeatInterval: formatMillis(b.options.HeartbeatInterval),
-		FaultTolerance: boot.FaultTolerance{Hosts: 1, Zones: 1, Regions: 1}, LimitsTable: []string{"empty=" + formatMillis(b.options.DrainTimeout), "ttl_max=5s", "leeway=1s"}}
+		FaultTolerance: settings.FaultTolerance{Hosts: 1, Zones: 1, Regions: 1}, LimitsTable: []string{"empty=" + formatMillis(b.options.DrainTimeout), "ttl_max=5s", "leeway=1s"}}
 	encoded, err := json.Marshal(nodeSettings)
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, contact := range b.controllerAddresses() {
-		if err := helm.New([]string{contact}).Call(ctx, "settings.read", "", nil, nil); err != nil {
+		if err := client.New([]string{contact}).Call(ctx, "settings.read", "", nil, nil); err != nil {
 			return errors.Wrap(err, "the core does not take calls")
 		}
 	}
@@ -171,15 +171,15 @@
 	permits := make(chan struct{}, concurrentFirstPulls)
 	for i := range b.options.Proxies {
 		zone := i % len(b.zones)
-		member := replica.Member{Node: fmt.Sprint("hollow-", i), Zone: b.zones[zone]}
-		agent := newProxy(member, fmt.Sprintf("10.%d.%d.%d:%s", zone, i>>8, i&0xff, listenerPort), b.pullAddresses(zone), ebb.PullWait(b.options.DrainTimeout), b.tracker)
+		member := message.Member{Node: fmt.Sprint("hollow-", i), Zone: b.zones[zone]}
+		agent := newProxy(member, fmt.Sprintf("10.%d.%d.%d:%s", zone, i>>8, i&0xff, listenerPort), b.pullAddresses(zone), lease.PullWait(b.options.DrainTimeout), b.tracker)
 		b.proxies = append(b.proxies, agent)
 		b.running.Go(func() { agent.run(work, permits) })
 	}
 	for i := range b.options.Backends {
 		zone := i % len(b.zones)
-		pulse := lore.Heartbeat{Service: serviceName(i % b.serviceCount()), Address: fmt.Sprintf("10.%d.%d.%d:8080", 128+zone, i>>8, i&0xff), Zone: b.zones[zone],
-			Version: "v1", Capacity: 3, Phase: lore.PhaseReady, WarmUpLeft: "0ms"}
+		pulse := replication.Heartbeat{Service: serviceName(i % b.serviceCount()), Address: fmt.Sprintf("10.%d.%d.%d:8080", 128+zone, i>>8, i&0xff), Zone: b.zones[zone],
+			Version: "v1", Capacity: 3, Phase: replication.PhaseReady, WarmUpLeft: "0ms"}
 		appliance := newBackend(fmt.Sprintf("i-%08x", i), pulse, net.JoinHostPort(b.address(zone), controlPort), b.options.HeartbeatInterval)
 		b.backends = append(b.backends, appliance)
 		delay := b.options.HeartbeatInterval * time.Duration(i) / time.Duration(b.options.Backends)
--- a/strand/conn.go
+++ b/internal/upstream/conn.go
@@ -1,4 +1,4 @@
-package strand
+package upstream
 
 import (
 	"bufio"
--- a/strand/readable_unix.go
+++ b/internal/upstream/readable_unix.go
@@ -1,6 +1,6 @@
 //go:build unix
 
-package strand
+package upstream
 
 import (
 	"net"
