--- a/internal/control/config/errors.go
+++ b/internal/control/config/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// InvalidError is an order that can't be taken: by its own words, or by what it would leave in force. Nothing of it comes into
-// force.
+// InvalidError reports a request that is malformed, or that would leave the configuration inconsistent.
+// Nothing of the request has taken effect.
 type InvalidError struct{ Err error }
 
 func (e *InvalidError) Error() string { return e.Err.Error() }
 
-// Unwrap is the reason.
+// Unwrap returns the reason for the rejection.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// ConflictError is a call that sends an item under a version that another content was confirmed under. Nothing of it comes into
-// force.
+// ConflictError reports a change that carries an item under a version under which a different content was already
+// confirmed. Nothing of the change has taken effect.
 type ConflictError struct {
 	Kind, Name string
 	Version    uint64
@@ -22,7 +22,8 @@
 	return fmt.Sprintf("%s %s: another content was confirmed under version %s", e.Kind, e.Name, FormatVersion(e.Version))
 }
 
-// IndeterminateError is an order of which can't be told whether it was taken, so that it is neither confirmed nor refused.
+// IndeterminateError reports a change of which it cannot be determined whether it took effect. It must be neither
+// confirmed nor rejected.
 type IndeterminateError struct{ Reason string }
 
 func (e *IndeterminateError) Error() string { return e.Reason }
--- a/internal/control/config/index.go
+++ b/internal/control/config/index.go
@@ -1,61 +1,62 @@
 package config
 
 import (
-	"strings"
-
 	"github.com/go-faster/errors"
 
 	"sagelever/internal/control/quorum"
 )
 
-// Index is what is in force, laid out for the check of calls: a check costs by the size of the call. It follows the
-// configuration and reads only the routes that have changed.
+// Index is the configuration in force, arranged so that checking a change costs in proportion to the change and not to
+// the configuration. It is not safe for concurrent use.
 type Index struct {
-	current          map[string]quorum.Value
-	routes           map[string]indexedRoute    // by name
-	routesByMatchKey map[string]map[string]bool // by host and prefix: the routes there
-	routesByService  map[string]map[string]bool // by service: the routes that name it
+	current          map[string]quorum.Value // by register key
+	routes           map[string]indexedRoute // by name
+	routesByMatchKey nameSets                // the names of the routes with a match key: one, but for a change under way
+	routesByService  nameSets                // the names of the routes that name a service
 }
 
+// indexedRoute is a route as the index last read it.
 type indexedRoute struct {
 	value        quorum.Value
 	matchKey     string
 	serviceNames []string
 }
 
-// NewIndex is an index of nothing.
+// NewIndex returns the index of an empty configuration.
 func NewIndex() *Index {
-	return &Index{routes: map[string]indexedRoute{}, routesByMatchKey: map[string]map[string]bool{}, routesByService: map[string]map[string]bool{}}
+	return &Index{routes: map[string]indexedRoute{}, routesByMatchKey: nameSets{}, routesByService: nameSets{}}
 }
 
-// Update takes up what is in force, by register.
+// Update brings the index up to date with the configuration in force, by register key. It reads only the routes that
+// have changed. The index keeps the map, which must not change before the next Update.
 func (x *Index) Update(current map[string]quorum.Value) {
 	x.current = current
 	for name := range x.routes {
-		if value := current[Key(KindRoutes, name)]; value.Version == 0 || value.Deleted {
+		if !exists(current[Key(KindRoutes, name)]) {
 			x.remove(name)
 		}
 	}
 	for key, value := range current {
 		kind, name, ok := SplitKey(key)
-		if !ok || kind != KindRoutes || value.Deleted {
+		if !ok || !setsRoute(kind, value) {
 			continue
 		}
-		if indexed, known := x.routes[name]; known && indexed.value.Version == value.Version && indexed.value.Body == value.Body {
+		indexed, known := x.routes[name]
+		if known && indexed.value.Version == value.Version && indexed.value.Body == value.Body {
 			continue
 		}
 		x.remove(name)
-		if route, err := decodeRoute(name, value); err == nil { // it was checked when it was taken
-			x.add(name, indexedRoute{value, route.matchKey(), route.serviceNames()})
+		if route, err := decodeRoute(name, value); err == nil { // it was checked before it was committed
+			x.add(name, indexedRoute{value: value, matchKey: route.matchKey(), serviceNames: route.serviceNames()})
 		}
 	}
 }
 
 func (x *Index) add(name string, route indexedRoute) {
 	x.routes[name] = route
-	addToSet(x.routesByMatchKey, route.matchKey, name)
+	x.routesByMatchKey.add(route.matchKey, name)
 	for _, service := range route.serviceNames {
-		addToSet(x.routesByService, service, name)
+		x.routesByService.add(service, name)
 	}
 }
 
@@ -65,76 +66,69 @@
 		return
 	}
 	delete(x.routes, name)
-	removeFromSet(x.routesByMatchKey, route.matchKey, name)
+	x.routesByMatchKey.remove(route.matchKey, name)
 	for _, service := range route.serviceNames {
-		removeFromSet(x.routesByService, service, name)
+		x.routesByService.remove(service, name)
 	}
 }
 
-func addToSet(sets map[string]map[string]bool, key, name string) {
+// nameSets are sets of names by a key. There are no empty sets.
+type nameSets map[string]map[string]bool
+
+func (sets nameSets) add(key, name string) {
 	if sets[key] == nil {
 		sets[key] = map[string]bool{}
 	}
 	sets[key][name] = true
 }
 
-func removeFromSet(sets map[string]map[string]bool, key, name string) {
-	if delete(sets[key], name); len(sets[key]) == 0 {
+func (sets nameSets) remove(key, name string) {
+	delete(sets[key], name)
+	if len(sets[key]) == 0 {
 		delete(sets, key)
 	}
 }
 
-func decodeRoute(name string, value quorum.Value) (*RouteBody, error) {
-	body, err := ReadBody(KindRoutes, name, value.Body)
-	if err != nil {
-		return nil, errors.Wrapf(err, "%s %s", KindRoutes, name)
-	}
-	return body.(*RouteBody), nil
-}
-
-// matchKey is what no two routes may share.
-func (r *RouteBody) matchKey() string { return strings.ToLower(r.Host) + " " + r.PathPrefix }
-
-// DependsOnOtherItems tells whether a call's validity depends on items that it doesn't set: routes name services, and a service
-// that is dropped may be named. Any other call is valid by itself.
-func DependsOnOtherItems(changes map[string]quorum.Value) bool {
-	for key, value := range changes {
-		kind, _, _ := SplitKey(key)
-		if kind == KindRoutes && !value.Deleted || kind == KindServices && value.Deleted {
-			return true
-		}
-	}
-	return false
-}
-
-// Check says whether a call may come into force over what is: every route of it names services that there are afterwards,
-// no route is left without its service, and no two share host and prefix. What was confirmed before is not judged again by
-// what is in force now: it is confirmed again, whatever came after it.
+// Check reports whether a change may take effect on the configuration in force: afterwards every route of the change
+// names services that exist, no route has lost its service, and no two routes have the same host and path prefix.
+//
+// An item that was confirmed before is not checked again: it is confirmed again, whatever has changed since. The error
+// is an *InvalidError, or an *IndeterminateError if an earlier attempt at the change has taken effect in part.
 func (x *Index) Check(changes map[string]quorum.Value) error {
-	matchKeys := map[string]string{}
+	claimed := map[string]string{}
 	for key, value := range changes {
-		kind, name, _ := SplitKey(key)
-		var err error
-		switch {
-		case kind == KindRoutes && !value.Deleted:
-			err = x.checkRoute(changes, matchKeys, key, name, value)
-		case kind == KindServices && value.Deleted && statusOf(x.current[key], value) == statusNewer:
-			err = x.checkRemovedService(changes, name)
-		}
+		err := x.checkItem(changes, claimed, key, value)
 		if err != nil && partlyCommitted(x.current, changes) {
-			return &IndeterminateError{partlyCommittedReason + err.Error()}
+			return &IndeterminateError{Reason: partlyCommittedReason + err.Error()}
 		}
 		if err != nil {
-			return &InvalidError{err}
+			return &InvalidError{Err: err}
 		}
 	}
 	return nil
 }
 
-// checkRoute checks a route that is sent. One that has no effect is still invalid where it names a service that never was:
-// it can't have been taken at any time. Where nothing is known of its version any more, that is all that can be said.
-func (x *Index) checkRoute(changes map[string]quorum.Value, matchKeys map[string]string, key, name string, value quorum.Value) error {
-	status := statusOf(x.current[key], value)
+// checkItem checks one item of a change. claimed are the names of the change's routes that were checked so far, by
+// match key.
+func (x *Index) checkItem(
+	changes map[string]quorum.Value, claimed map[string]string, key string, value quorum.Value,
+) error {
+	kind, name, _ := SplitKey(key)
+	switch {
+	case setsRoute(kind, value):
+		return x.checkRoute(changes, claimed, name, value)
+	case removesService(kind, x.current[key], value):
+		return x.checkRemovedService(changes, name)
+	}
+	return nil
+}
+
+// checkRoute checks a route of a change. Even a route that would have no effect is invalid if it names a service that
+// never existed, because it cannot have been valid at any time. If its version is forgotten, no more can be said of it.
+func (x *Index) checkRoute(
+	changes map[string]quorum.Value, claimed map[string]string, name string, value quorum.Value,
+) error {
+	status := statusOf(x.current[Key(KindRoutes, name)], value)
 	if status == statusConfirmed {
 		return nil
 	}
@@ -150,44 +144,53 @@
 	if status != statusNewer {
 		return nil
 	}
-	matchKey := route.matchKey()
-	if other, shared := matchKeys[matchKey]; shared {
-		return errors.Errorf("routes %s and %s share host and prefix", other, name)
+	return x.checkMatchKey(changes, claimed, name, route.matchKey())
+}
+
+// checkMatchKey checks that a route that takes effect shares its match key with no other route, and claims the key.
+func (x *Index) checkMatchKey(
+	changes map[string]quorum.Value, claimed map[string]string, name, matchKey string,
+) error {
+	const format = "routes %s and %s share host and prefix"
+	if other, shared := claimed[matchKey]; shared {
+		return errors.Errorf(format, other, name)
 	}
-	matchKeys[matchKey] = name
+	claimed[matchKey] = name
 	for other := range x.routesByMatchKey[matchKey] {
 		if other != name && !x.isReplaced(changes, other) {
-			return errors.Errorf("routes %s and %s share host and prefix", other, name)
+			return errors.Errorf(format, other, name)
 		}
 	}
 	return nil
 }
 
-// serviceAvailable tells whether a route that stands so may name a service.
+// serviceAvailable reports whether a route of a change may name a service, given the status of the route.
 func (x *Index) serviceAvailable(changes map[string]quorum.Value, service string, status itemStatus) bool {
 	key := Key(KindServices, service)
-	incoming, changed := changes[key]
 	current := x.current[key]
+	incoming, changed := changes[key]
+	setByChange := changed && !incoming.Deleted
 	switch status {
 	case statusNewer:
 		if changed && incoming.Version > current.Version {
-			current = incoming
+			return exists(incoming)
 		}
-		return current.Version > 0 && !current.Deleted
+		return exists(current)
 	case statusSuperseded:
-		return current.Version > 0 && !current.Deleted || changed && !incoming.Deleted
+		return exists(current) || setByChange
 	}
-	return current.Version > 0 || changed && !incoming.Deleted
+	return current.Version > 0 || setByChange
 }
 
-// isReplaced tells whether the call sets a route anew that is in force.
+// isReplaced reports whether a change replaces or deletes a route that is in force.
 func (x *Index) isReplaced(changes map[string]quorum.Value, route string) bool {
 	key := Key(KindRoutes, route)
 	incoming, changed := changes[key]
 	return changed && statusOf(x.current[key], incoming) == statusNewer
 }
 
-// checkRemovedService checks that no route stays without a service that is dropped; those of the call are checked by themselves.
+// checkRemovedService checks that no route is left that names a service which the change deletes. The routes of the
+// change itself are checked by checkRoute.
 func (x *Index) checkRemovedService(changes map[string]quorum.Value, service string) error {
 	for route := range x.routesByService[service] {
 		if !x.isReplaced(changes, route) {
--- a/internal/control/config/self_contained.go
+++ b/internal/control/config/self_contained.go
@@ -7,60 +7,61 @@
 	"sagelever/internal/control/quorum"
 )
 
-// IsSelfContained tells whether a call is valid by what its own registers hold and by services that are known, so that nothing
-// else has to be read: a route that stays in its place shares no place that it did not share, and the services that it names
-// are known, or were named by what stands. Weights, times and services change so.
+// IsSelfContained reports whether a change is valid by the current values of its own registers and by the known
+// services alone, so that no other part of the configuration has to be read to check it. That is so if every route
+// keeps its host and path prefix, and each service it names is known or was already named by the route in force.
+// Changes of weights, timeouts and services are of this kind.
 func IsSelfContained(current, known, changes map[string]quorum.Value) bool {
+	unknown := func(service string) bool { return !exists(known[Key(KindServices, service)]) }
 	for key, value := range changes {
-		switch kind, name, _ := SplitKey(key); {
-		case kind == KindServices && value.Deleted && statusOf(current[key], value) == statusNewer:
+		kind, name, _ := SplitKey(key)
+		if removesService(kind, current[key], value) {
+			return false
+		}
+		if !setsRoute(kind, value) {
+			continue
+		}
+		added, inPlace := addedServices(name, current[key], value)
+		if !inPlace || slices.ContainsFunc(added, unknown) {
 			return false
-		case kind != KindRoutes || value.Deleted:
-		default:
-			missing, inPlace := newlyNamedServices(name, current[key], value)
-			if !inPlace || slices.ContainsFunc(missing, func(service string) bool { return !serviceExists(known, service) }) {
-				return false
-			}
 		}
 	}
 	return true
 }
 
-// RequiredServices are the registers of services that have to be known for a call to stand alone; alone is false where it can't.
+// RequiredServices returns the register keys of the services that must be known for a change to be self-contained. ok is
+// false if the change cannot be self-contained, whatever services exist.
 func RequiredServices(current, changes map[string]quorum.Value) (keys []string, ok bool) {
 	required := map[string]bool{}
 	for key, value := range changes {
-		switch kind, name, _ := SplitKey(key); {
-		case kind == KindServices && value.Deleted && statusOf(current[key], value) == statusNewer:
+		kind, name, _ := SplitKey(key)
+		if removesService(kind, current[key], value) {
 			return nil, false
-		case kind == KindRoutes && !value.Deleted:
-			missing, inPlace := newlyNamedServices(name, current[key], value)
-			if !inPlace {
-				return nil, false
-			}
-			for _, service := range missing {
-				required[Key(KindServices, service)] = true
-			}
+		}
+		if !setsRoute(kind, value) {
+			continue
+		}
+		added, inPlace := addedServices(name, current[key], value)
+		if !inPlace {
+			return nil, false
+		}
+		for _, service := range added {
+			required[Key(KindServices, service)] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(required)), true
 }
 
-func serviceExists(known map[string]quorum.Value, service string) bool {
-	value := known[Key(KindServices, service)]
-	return value.Version > 0 && !value.Deleted
-}
-
-// newlyNamedServices are the services that a route names anew; stays is false where it does not stay in its place, or has an older
-// version that may have to be judged.
-func newlyNamedServices(name string, current, incoming quorum.Value) (missing []string, inPlace bool) {
+// addedServices returns the services that an incoming route names and the current one does not. inPlace is false if the
+// route is new or changes its host or path prefix, or if it has an older version that may have to be checked.
+func addedServices(name string, current, incoming quorum.Value) (added []string, inPlace bool) {
 	switch statusOf(current, incoming) {
 	case statusConfirmed, statusConflict:
-		return nil, true // nothing of it is judged: it is confirmed again, or the call is a conflict
+		return nil, true // nothing to check: it is confirmed again, or the change is a conflict
 	case statusSuperseded, statusForgotten:
 		return nil, false
 	}
-	if current.Version == 0 || current.Deleted {
+	if !exists(current) {
 		return nil, false
 	}
 	currentRoute, err := decodeRoute(name, current)
@@ -74,14 +75,14 @@
 	currentServices := currentRoute.serviceNames()
 	for _, service := range incomingRoute.serviceNames() {
 		if !slices.Contains(currentServices, service) {
-			missing = append(missing, service)
+			added = append(added, service)
 		}
 	}
-	return missing, true
+	return added, true
 }
 
-// CommitSelfContained is Settle for a call that stands alone by what its registers hold; over others it changes nothing, and the call
-// has to be checked by all that is in force.
+// CommitSelfContained returns the rule of Commit for a change that was found to be self-contained. If by now, given the
+// current values of its registers, the change is not, it has no effect and must be checked by an Index.
 func CommitSelfContained(known, changes map[string]quorum.Value) quorum.DecideFunc {
 	commit := Commit(changes)
 	return func(current map[string]quorum.Value) map[string]quorum.Value {
--- a/internal/control/config/validate.go
+++ b/internal/control/config/validate.go
@@ -11,236 +11,163 @@
 	"sagelever/internal/settings"
 )
 
-// Kinds of items. The limits are one item, whose name is empty.
+// Kinds of routes, by the protocol: whether a request may be sent a second time.
 const (
-	KindRoutes   = "routes"
-	KindServices = "services"
-	KindLimits   = "limits"
-	KindTenants  = "tenants"
+	routeKindIdempotent    = "harmless"
+	routeKindNonIdempotent = "risky"
 )
 
 const (
-	maxTimeout           = 10 * time.Minute // PROTOCOL, The operator
-	maxTargetOverTimeout = time.Minute      // by which a target may lie over its route's giveUp: less than this
-	maxNesting           = 32               // levels of JSON in a call; the protocol's have six
+	// maxTimeout bounds the timeout of a route (PROTOCOL, "The operator").
+	maxTimeout = 10 * time.Minute
+	// maxTargetOverTimeout bounds by how much a route's latency target may exceed its timeout, exclusively.
+	maxTargetOverTimeout = time.Minute
+	// maxWeight bounds the weight of a service in a route.
+	maxWeight = 1e9
 )
 
-// KeyPrefix begins the keys of the registers that hold items.
-const KeyPrefix = "item/"
-
-// Key is the register that holds an item.
-func Key(kind, name string) string { return KeyPrefix + kind + "/" + name }
-
-// SplitKey reads the register's name of an item.
-func SplitKey(key string) (kind, name string, ok bool) {
-	rest, ok := strings.CutPrefix(key, KeyPrefix)
-	if !ok {
-		return "", "", false
-	}
-	return strings.Cut(rest, "/")
+// Body is the decoded body of an item: a *RouteBody, *ServiceBody, *LimitsBody or *TenantBody.
+type Body interface {
+	easyjson.Unmarshaler
+	validate() error
 }
 
-// ParseChangeRequest reads a call whole: what stands behind it, or lies too deep, makes it unreadable.
-func ParseChangeRequest(data []byte) (*ChangeRequest, error) {
-	if err := checkNesting(data); err != nil {
+// DecodeBody reads and checks the body of an item of a kind. It returns an error for a body that could not be set.
+func DecodeBody(kind, text string) (Body, error) {
+	body, err := newBody(kind)
+	if err != nil {
 		return nil, err
 	}
-	request := &ChangeRequest{}
-	if err := easyjson.Unmarshal(data, request); err != nil {
-		return nil, errors.Wrap(err, "the call can't be read")
-	}
-	return request, nil
-}
-
-// checkNesting guards the reader, which descends by recursion, against nesting without end.
-func checkNesting(data []byte) error {
-	depth, inString := 0, false
-	for i := 0; i < len(data); i++ {
-		switch c := data[i]; {
-		case inString && c == '\\':
-			i++
-		case c == '"':
-			inString = !inString
-		case inString:
-		case c == '{' || c == '[':
-			if depth++; depth > maxNesting {
-				return errors.Errorf("the call nests deeper than %d levels", maxNesting)
-			}
-		case c == '}' || c == ']':
-			depth--
-		}
-	}
-	return nil
-}
-
-// Values are the registers that a call sets, by key.
-func (c *ChangeRequest) Values() (map[string]quorum.Value, error) {
-	values := map[string]quorum.Value{}
-	put := func(kind, name, version string, value quorum.Value) error {
-		label := kind + " " + name
-		number, err := ParseVersion(version)
-		if err != nil {
-			return errors.Wrap(err, label)
-		}
-		if number == 0 {
-			return errors.Errorf("%s: version %s: versions begin with one", label, version)
-		}
-		value.Version = number
-		key := Key(kind, name)
-		if earlier, repeated := values[key]; repeated { // in one call too the highest version prevails
-			if earlier.Version == number && earlier != value {
-				return errors.Errorf("%s: stands twice in the call, with one version: %v and %v", label, earlier, value)
-			}
-			if earlier.Version >= number {
-				return nil
-			}
-		}
-		values[key] = value
-		return nil
-	}
-	for _, item := range c.PutItems.Items {
-		if err := checkItem(item); err != nil {
-			return nil, err
-		}
-		if err := put(item.Type, item.Metadata.Name, item.Metadata.Version, quorum.Value{Body: compactBody(string(item.Body))}); err != nil {
-			return nil, err
-		}
-	}
-	for kind, refs := range c.Remove {
-		if kind != KindRoutes && kind != KindServices && kind != KindTenants {
-			return nil, errors.Errorf("remove: %q is no list of items", kind)
-		}
-		for _, ref := range refs {
-			if ref.Name == "" {
-				return nil, errors.Errorf("remove: %s without a name", kind)
-			}
-			if err := put(kind, ref.Name, ref.Version, quorum.Value{Deleted: true}); err != nil {
-				return nil, err
-			}
-		}
-	}
-	if len(values) == 0 {
-		return nil, errors.New("the call names no item")
+	if text == "" {
+		return nil, errors.New("body: missing")
 	}
-	return values, nil
-}
-
-// checkItem checks what can be said of an item by itself.
-func checkItem(item Item) error {
-	label := item.Type + " " + item.Metadata.Name
-	if item.Type != KindLimits && item.Metadata.Name == "" {
-		return errors.Errorf("%s: without a name", item.Type)
+	if err := easyjson.Unmarshal([]byte(text), body); err != nil {
+		return nil, errors.Wrap(err, "body")
 	}
-	if _, err := ReadBody(item.Type, item.Metadata.Name, string(item.Body)); err != nil {
-		return errors.Wrap(err, label)
+	if err := body.validate(); err != nil {
+		return nil, err
 	}
-	return nil
+	return body, nil
 }
 
-// ReadBody reads the body of an item: a *Route, *Service, *Limits or *Tenant.
-func ReadBody(kind, name, body string) (any, error) {
-	var decoded easyjson.Unmarshaler
+func newBody(kind string) (Body, error) {
 	switch kind {
 	case KindRoutes:
-		decoded = &RouteBody{}
+		return &RouteBody{}, nil
 	case KindServices:
-		decoded = &ServiceBody{}
+		return &ServiceBody{}, nil
 	case KindLimits:
-		decoded = &LimitsBody{}
+		return &LimitsBody{}, nil
 	case KindTenants:
-		decoded = &TenantBody{}
-	default:
-		return nil, errors.Errorf("%q is no type of item", kind)
-	}
-	if len(body) == 0 {
-		return nil, errors.New("body: missing")
-	}
-	if err := easyjson.Unmarshal([]byte(body), decoded); err != nil {
-		return nil, errors.Wrap(err, "body")
+		return &TenantBody{}, nil
 	}
-	switch value := decoded.(type) {
-	case *RouteBody:
-		return value, value.validate()
-	case *ServiceBody:
-		if _, err := settings.ParseDuration(SpanOrZero(value.WarmUp)); err != nil {
-			return nil, errors.Wrap(err, "warmUp")
-		}
-		if value.MaxConnections < 0 || value.WarmUpRatePerSecond < 0 {
-			return nil, errors.New("maxLinks and warmingRateS: below zero")
-		}
-	case *LimitsBody:
-		for _, text := range []string{value.HeaderTimeout, value.IdleTimeout} {
-			if _, err := settings.ParseDuration(text); err != nil {
-				return nil, errors.Wrap(err, "headWait, quiet")
-			}
-		}
-		if value.MaxHeaderBytes <= 0 || value.MaxBodyBytes < 0 {
-			return nil, errors.New("headSizeBytes, bodySizeBytes: want sizes in bytes")
-		}
+	return nil, errors.Errorf("%q is no type of item", kind)
+}
+
+// decodeRoute reads the body of a route from its register.
+func decodeRoute(name string, value quorum.Value) (*RouteBody, error) {
+	body, err := DecodeBody(KindRoutes, value.Body)
+	if err != nil {
+		return nil, errors.Wrapf(err, "%s %s", KindRoutes, name)
 	}
-	return decoded, nil
+	return body.(*RouteBody), nil
 }
 
-func SpanOrZero(text string) string {
+// ParseOptionalDuration reads a duration that may be left out, in which case it is 0.
+func ParseOptionalDuration(text string) (time.Duration, error) {
 	if text == "" {
-		return "0s"
+		return 0, nil
+	}
+	return settings.ParseDuration(text)
+}
+
+// Idempotent reports whether requests of the route may be sent a second time.
+func (r *RouteBody) Idempotent() bool { return r.Kind == routeKindIdempotent }
+
+// matchKey is what a request has to match for the route; no two routes may have the same.
+func (r *RouteBody) matchKey() string { return strings.ToLower(r.Host) + " " + r.PathPrefix }
+
+// serviceNames returns the services that the route names.
+func (r *RouteBody) serviceNames() []string {
+	if r.Service != "" {
+		return []string{r.Service}
+	}
+	var names []string
+	for _, weighted := range r.WeightedServices {
+		names = append(names, weighted.Service)
 	}
-	return text
+	return names
 }
 
 func (r *RouteBody) validate() error {
 	if r.Host == "" || !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		return errors.New("host, pathStart: want a host, and a path that begins and ends with a slash")
 	}
-	if r.Kind != "harmless" && r.Kind != "risky" {
+	if r.Kind != routeKindIdempotent && r.Kind != routeKindNonIdempotent {
 		return errors.Errorf("kind: %q is neither harmless nor risky", r.Kind)
 	}
-	giveUp, err := settings.ParseDuration(r.Timeout)
-	if err != nil || giveUp == 0 || giveUp > maxTimeout {
+	if err := r.validateDurations(); err != nil {
+		return err
+	}
+	if err := r.validateServices(); err != nil {
+		return err
+	}
+	if r.MaxAttempts < 0 {
+		return errors.New("tries: below zero")
+	}
+	return nil
+}
+
+func (r *RouteBody) validateDurations() error {
+	timeout, err := settings.ParseDuration(r.Timeout)
+	if err != nil || timeout == 0 || timeout > maxTimeout {
 		return errors.Errorf("giveUp: %q: want a time up to ten minutes", r.Timeout)
 	}
-	target, err := settings.ParseDuration(SpanOrZero(r.LatencyTarget))
-	if err != nil || target >= giveUp+maxTargetOverTimeout {
+	target, err := ParseOptionalDuration(r.LatencyTarget)
+	if err != nil || target >= timeout+maxTargetOverTimeout {
 		return errors.Errorf("target_time: %q: want a time less than a minute over giveUp", r.LatencyTarget)
 	}
+	return nil
+}
+
+func (r *RouteBody) validateServices() error {
 	if (r.Service == "") == (len(r.WeightedServices) == 0) {
 		return errors.New("service, shares: want one of them")
 	}
 	totalWeight := 0.0
-	for _, share := range r.WeightedServices {
-		if share.Service == "" || !(share.Weight >= 0) || share.Weight > 1e9 {
+	for _, weighted := range r.WeightedServices {
+		if weighted.Service == "" || !(weighted.Weight >= 0) || weighted.Weight > maxWeight { // NaN is not >= 0
 			return errors.New("shares: want services, and weights not below zero")
 		}
-		totalWeight += share.Weight
+		totalWeight += weighted.Weight
 	}
 	if len(r.WeightedServices) > 0 && totalWeight <= 0 {
 		return errors.New("shares: no weight")
 	}
-	if r.MaxAttempts < 0 {
-		return errors.New("tries: below zero")
-	}
 	return nil
 }
 
-// serviceNames that a route names.
-func (r *RouteBody) serviceNames() []string {
-	if r.Service != "" {
-		return []string{r.Service}
+func (s *ServiceBody) validate() error {
+	if _, err := ParseOptionalDuration(s.WarmUp); err != nil {
+		return errors.Wrap(err, "warmUp")
 	}
-	var names []string
-	for _, share := range r.WeightedServices {
-		names = append(names, share.Service)
+	if s.MaxConnections < 0 || s.WarmUpRatePerSecond < 0 {
+		return errors.New("maxLinks and warmingRateS: below zero")
 	}
-	return names
+	return nil
 }
 
-// KeepHighestVersion is the rule of the configuration for one item: the highest version prevails, set or dropped; an equal or lower
-// one has no effect.
-func KeepHighestVersion(incoming quorum.Value) quorum.UpdateFunc {
-	return func(current quorum.Value) quorum.Value {
-		if incoming.Version > current.Version {
-			return incoming
+func (l *LimitsBody) validate() error {
+	for _, text := range []string{l.HeaderTimeout, l.IdleTimeout} {
+		if _, err := settings.ParseDuration(text); err != nil {
+			return errors.Wrap(err, "headWait, quiet")
 		}
-		return current
 	}
+	if l.MaxHeaderBytes <= 0 || l.MaxBodyBytes < 0 {
+		return errors.New("headSizeBytes, bodySizeBytes: want sizes in bytes")
+	}
+	return nil
 }
+
+// validate accepts any regions: a tenant may be bound to regions that this load balancer does not have.
+func (t *TenantBody) validate() error { return nil }
--- a/internal/control/drain/active.go
+++ b/internal/control/drain/active.go
@@ -9,24 +9,40 @@
 	"sagelever/internal/control/quorum"
 )
 
-// ActiveDrains are the drains that stand, by the registers as chosen.
-func ActiveDrains(registers map[string]quorum.Value) (orders []ActiveDrain) {
+// ActiveDrain is a drain that is in force, by the version of the register that lists it.
+type ActiveDrain struct {
+	Target    string // as Drain.TargetName writes it
+	Zone      string
+	Version   uint64 // of the zone's register: a proxy that has this version or a later one knows of the drain
+	StartedAt time.Time
+	Covers    func(BackendCapacity) bool
+}
+
+// NewActiveDrain returns a drain that is listed in a version of its zone's register.
+func NewActiveDrain(zone string, listed Drain, version uint64) ActiveDrain {
+	return ActiveDrain{
+		Target:    listed.TargetName(zone),
+		Zone:      zone,
+		Version:   version,
+		StartedAt: time.UnixMilli(listed.BeganMs),
+		Covers: func(backend BackendCapacity) bool {
+			return backend.Zone == zone && listed.Covers(backend.Service, backend.ID)
+		},
+	}
+}
+
+// ActiveDrains returns the drains in force, given the chosen values of the registers, by rising zone.
+func ActiveDrains(registers map[string]quorum.Value) []ActiveDrain {
+	var active []ActiveDrain
 	for _, key := range slices.Sorted(maps.Keys(registers)) {
-		zone, ok := strings.CutPrefix(key, ListKey(""))
-		if !ok {
+		zone, isList := strings.CutPrefix(key, ListKeyPrefix)
+		if !isList {
 			continue
 		}
-		for _, zoneDrain := range ReadList(registers[key]) {
-			orders = append(orders, NewActiveDrain(zone, zoneDrain, registers[key].Version))
+		value := registers[key]
+		for _, listed := range ReadList(value) {
+			active = append(active, NewActiveDrain(zone, listed, value.Version))
 		}
 	}
-	return orders
-}
-
-// NewActiveDrain is a drain in a zone, of a version of its register.
-func NewActiveDrain(zone string, zoneDrain Drain, version uint64) ActiveDrain {
-	return ActiveDrain{Target: zoneDrain.TargetName(zone), Zone: zone, Version: version, StartedAt: time.UnixMilli(zoneDrain.BeganMs),
-		Covers: func(capacity BackendCapacity) bool {
-			return capacity.Zone == zone && zoneDrain.Covers(capacity.Service, capacity.ID)
-		}}
+	return active
 }
--- a/internal/control/drain/capacity.go
+++ b/internal/control/drain/capacity.go
@@ -1,39 +1,44 @@
 package drain
 
 import (
+	"cmp"
 	"fmt"
 	"math"
-	"sort"
+	"slices"
 	"strings"
 )
 
-// ServiceLoad is what one kind of traffic asks of a service, as one node sees it; loads of several nodes are added up.
+// ServiceLoad is the load that one kind of traffic puts on a service, as one proxy sees it. The loads of several proxies
+// add up.
 //
 //easyjson:json
 type ServiceLoad struct {
 	Service           string  `json:"s"`
-	HomeRegions       string  `json:"h,omitempty"` // the regions in which it may be served, sorted, with commas; empty: anywhere
-	RequestsPerSecond float64 `json:"r"`           // requests a second
-	ServiceSeconds    float64 `json:"w"`           // seconds that an answer takes
+	HomeRegions       string  `json:"h,omitempty"` // where it may be served, sorted, joined by commas; empty: anywhere
+	RequestsPerSecond float64 `json:"r"`
+	ServiceSeconds    float64 `json:"w"` // the mean time that a backend needs for a request
 }
 
-// BackendCapacity is an appliance as room is reckoned with it.
+// BackendCapacity is a backend as a capacity check counts it.
 type BackendCapacity struct {
-	ID, Service, Zone, Region string
-	Slots                     int
-	Serving                   bool    // it gets new work, and is not about to go
-	WarmUpRate                float64 // requests a second while it is cold; 0: it is warm
+	ID         string
+	Service    string
+	Zone       string
+	Region     string
+	Slots      int     // requests that it processes at once
+	Serving    bool    // it gets new work, and is not about to leave
+	WarmUpRate float64 // requests per second that it bears while it is warming up; 0: it is warm
 }
 
-// CapacityShortfall is a lack of room.
+// CapacityShortfall is a lack of capacity of a service, in slots.
 //
 //easyjson:json
 type CapacityShortfall struct {
 	Service     string  `json:"service"`
-	HomeRegions string  `json:"homes,omitempty"`
-	Required    float64 `json:"need"`   // slots at work
-	Remaining   float64 `json:"have"`   // slots that would be left
-	Current     float64 `json:"before"` // slots now
+	HomeRegions string  `json:"homes,omitempty"` // of the traffic that would lack capacity; empty: all traffic
+	Required    float64 `json:"need"`            // slots that the load keeps busy
+	Remaining   float64 `json:"have"`            // slots that would be left
+	Current     float64 `json:"before"`          // slots that there are now
 }
 
 func (s CapacityShortfall) String() string {
@@ -41,70 +46,139 @@
 	if s.HomeRegions != "" {
 		scope = " in " + s.HomeRegions
 	}
-	return fmt.Sprintf("%s%s: %.1f slots are at work, %.1f would be left of %.1f", s.Service, scope, s.Required, s.Remaining, s.Current)
+	const format = "%s%s: %.1f slots are at work, %.1f would be left of %.1f"
+	return fmt.Sprintf(format, s.Service, scope, s.Required, s.Remaining, s.Current)
 }
 
-// headroomDeviations is how many standard deviations of the work at one moment (which is about Poisson's: the root of its mean) have to
-// be left over. By the square-root rule of staffing half of one lets about every second request find a free slot at once.
+// headroomDeviations is how many standard deviations of the number of busy slots must remain free. That number is about
+// Poisson distributed, so that its standard deviation is the root of its mean. By the square-root staffing rule half a
+// deviation lets about every second request find a free slot at once.
 const headroomDeviations = 0.5
 
-// CapacityShortfalls says for which services, and where, a removal would leave too few slots: by Little's law the load keeps rate x work
-// of them busy. Spots that are given as not serving are not counted, so that removals under way add up; leaving names what
-// would go besides. A service that has no load and keeps no appliance is short too, unless it had none. What was short
-// before, and of which nothing goes, is not held against the removal.
-func CapacityShortfalls(loads []ServiceLoad, backends []BackendCapacity, removed func(BackendCapacity) bool) []CapacityShortfall {
-	type trafficClass struct{ service, homes string }
-	busySlots := map[trafficClass]float64{}
-	totals := map[string][2]float64{} // by service: seconds of work a second, and requests
-	for _, l := range loads {
-		busySlots[trafficClass{l.Service, l.HomeRegions}] += l.RequestsPerSecond * l.ServiceSeconds
-		total := totals[l.Service]
-		totals[l.Service] = [2]float64{total[0] + l.RequestsPerSecond*l.ServiceSeconds, total[1] + l.RequestsPerSecond}
+// isShort reports whether the remaining slots are too few.
+func (s CapacityShortfall) isShort() bool {
+	headroom := headroomDeviations * math.Sqrt(s.Required)
+	return s.Required+headroom > s.Remaining || s.Remaining == 0
+}
+
+// CapacityShortfalls returns for which services and home regions too few slots would remain without the removed
+// backends, by service and regions. By Little's law a load keeps rate times service time slots busy.
+//
+// Backends that are not serving do not count, so that removals that are under way add up. A service without load is
+// short too if it would lose its last backend. A shortfall that none of the removed backends contributes to is not
+// reported.
+func CapacityShortfalls(
+	loads []ServiceLoad, backends []BackendCapacity, removed func(BackendCapacity) bool,
+) []CapacityShortfall {
+	demand := newDemand(loads, backends)
+	var shortfalls []CapacityShortfall
+	for class := range demand.busySlots {
+		shortfall, affected := demand.assess(class, backends, removed)
+		if affected && shortfall.isShort() {
+			shortfalls = append(shortfalls, shortfall)
+		}
+	}
+	slices.SortFunc(shortfalls, func(a, b CapacityShortfall) int {
+		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.HomeRegions, b.HomeRegions))
+	})
+	return shortfalls
+}
+
+// trafficClass is the traffic to a service that may be served in the same home regions; "" stands for any region.
+type trafficClass struct{ service, homeRegions string }
+
+// includes reports whether all traffic of another class has to be served by backends that may serve this one.
+func (c trafficClass) includes(other trafficClass) bool {
+	if other.service != c.service {
+		return false
+	}
+	return c.homeRegions == "" || other.homeRegions != "" && regionsWithin(other.homeRegions, c.homeRegions)
+}
+
+// serves reports whether a backend may serve traffic of the class.
+func (c trafficClass) serves(backend BackendCapacity) bool {
+	if backend.Service != c.service || !backend.Serving {
+		return false
+	}
+	return c.homeRegions == "" || regionsWithin(backend.Region, c.homeRegions)
+}
+
+// serviceTotal is the load on a service as a whole.
+type serviceTotal struct {
+	busySlots         float64
+	requestsPerSecond float64
+}
+
+// meanServiceSeconds is 0 for a service without load.
+func (t serviceTotal) meanServiceSeconds() float64 {
+	if t.requestsPerSecond <= 0 {
+		return 0
+	}
+	return t.busySlots / t.requestsPerSecond
+}
+
+// demand is the load on all services.
+type demand struct {
+	busySlots map[trafficClass]float64
+	totals    map[string]serviceTotal // by service
+}
+
+// newDemand adds up loads. Each service that has backends gets the class of all its traffic, loaded or not.
+func newDemand(loads []ServiceLoad, backends []BackendCapacity) demand {
+	d := demand{busySlots: map[trafficClass]float64{}, totals: map[string]serviceTotal{}}
+	for _, load := range loads {
+		busySlots := load.RequestsPerSecond * load.ServiceSeconds
+		d.busySlots[trafficClass{service: load.Service, homeRegions: load.HomeRegions}] += busySlots
+		total := d.totals[load.Service]
+		total.busySlots += busySlots
+		total.requestsPerSecond += load.RequestsPerSecond
+		d.totals[load.Service] = total
 	}
 	for _, backend := range backends {
-		if _, ok := busySlots[trafficClass{backend.Service, ""}]; !ok {
-			busySlots[trafficClass{backend.Service, ""}] = 0
+		all := trafficClass{service: backend.Service}
+		if _, ok := d.busySlots[all]; !ok {
+			d.busySlots[all] = 0
 		}
 	}
-	var shortfalls []CapacityShortfall
-	for class := range busySlots {
-		shortfall := CapacityShortfall{Service: class.service, HomeRegions: class.homes}
-		for other, slotsAtWork := range busySlots { // all that has to be served within these homes
-			if other.service == class.service && (class.homes == "" || other.homes != "" && regionsWithin(other.homes, class.homes)) {
-				shortfall.Required += slotsAtWork
-			}
+	return d
+}
+
+// assess compares the slots that a class requires with those that remain. affected reports whether any removed backend
+// serves the class.
+func (d demand) assess(
+	class trafficClass, backends []BackendCapacity, removed func(BackendCapacity) bool,
+) (shortfall CapacityShortfall, affected bool) {
+	shortfall = CapacityShortfall{Service: class.service, HomeRegions: class.homeRegions}
+	for other, busySlots := range d.busySlots {
+		if class.includes(other) {
+			shortfall.Required += busySlots
 		}
-		affected := false
-		for _, backend := range backends {
-			if backend.Service != class.service || !backend.Serving || class.homes != "" && !regionsWithin(backend.Region, class.homes) {
-				continue
-			}
-			slots := float64(backend.Slots)
-			if backend.WarmUpRate > 0 {
-				meanServiceSeconds := 0.0
-				if total := totals[class.service]; total[1] > 0 {
-					meanServiceSeconds = total[0] / total[1]
-				}
-				slots = math.Min(slots, backend.WarmUpRate*meanServiceSeconds)
-			}
-			shortfall.Current += slots
-			if removed(backend) {
-				affected = true
-			} else {
-				shortfall.Remaining += slots
-			}
+	}
+	for _, backend := range backends {
+		if !class.serves(backend) {
+			continue
 		}
-		if affected && (shortfall.Required+headroomDeviations*math.Sqrt(shortfall.Required) > shortfall.Remaining || shortfall.Remaining == 0) {
-			shortfalls = append(shortfalls, shortfall)
+		usable := d.usableSlots(backend)
+		shortfall.Current += usable
+		if removed(backend) {
+			affected = true
+		} else {
+			shortfall.Remaining += usable
 		}
 	}
-	sort.Slice(shortfalls, func(i, j int) bool {
-		return shortfalls[i].Service < shortfalls[j].Service || shortfalls[i].Service == shortfalls[j].Service && shortfalls[i].HomeRegions < shortfalls[j].HomeRegions
-	})
-	return shortfalls
+	return shortfall, affected
+}
+
+// usableSlots returns the slots of a backend, or those that its rate keeps busy while it is warming up.
+func (d demand) usableSlots(backend BackendCapacity) float64 {
+	usable := float64(backend.Slots)
+	if backend.WarmUpRate > 0 {
+		usable = math.Min(usable, backend.WarmUpRate*d.totals[backend.Service].meanServiceSeconds())
+	}
+	return usable
 }
 
-// regionsWithin tells whether all regions of one list stand in another.
+// regionsWithin reports whether all regions of one list, joined by commas, are in another.
 func regionsWithin(subset, regions string) bool {
 	for _, region := range strings.Split(subset, ",") {
 		if !strings.Contains(","+regions+",", ","+region+",") {
--- a/internal/control/drain/evacuation.go
+++ b/internal/control/drain/evacuation.go
@@ -10,89 +10,118 @@
 )
 
 const (
+	// EvacuationKeyPrefix begins the key of every register that tells whether a zone is evacuated.
 	EvacuationKeyPrefix   = "zone/"
 	acknowledgedKeyPrefix = "heard/"
 )
 
-// EvacuationKey is the register that says whether a zone is cleared out.
+// EvacuationKey returns the key of the register that tells whether a zone is evacuated.
 func EvacuationKey(zone string) string { return EvacuationKeyPrefix + zone }
 
-// AcknowledgedKey is the register of the last version of a zone's register whose order is known to have had its answer.
+// AcknowledgedKey returns the key of the register that holds the highest version of the register of EvacuationKey whose
+// order is known to have been acknowledged to the operator.
 func AcknowledgedKey(zone string) string { return acknowledgedKeyPrefix + zone }
 
-// EvacuationState is a zone's register, read: orders that stand, and whether the last word withdrew one.
+// EvacuationState is what the register of EvacuationKey says: how many orders to evacuate the zone are in force, and
+// whether the last order withdrew one.
 type EvacuationState struct {
-	Orders        int
+	orders        int
 	lastWithdrawn bool
 }
 
 // maxEvacuationOrders bounds the orders that are counted for one zone.
 const maxEvacuationOrders = 1000
 
-// ReadEvacuation reads "off", "on", "on 2" or "on 1 back". The version before knows the first two, and writes them.
+// Words of the body of the register of EvacuationKey, see ReadEvacuation.
+const (
+	wordOff       = "off"
+	wordOn        = "on"
+	wordWithdrawn = "back"
+)
+
+// ReadEvacuation reads a body: "off", "on", "on N" with the number of orders in force, or "on N back" if the last order
+// withdrew one. The version before this one knows only the first two, and writes them.
 func ReadEvacuation(body string) EvacuationState {
 	words := strings.Fields(body)
-	if len(words) == 0 || words[0] != "on" {
+	if len(words) == 0 || words[0] != wordOn {
 		return EvacuationState{lastWithdrawn: true}
 	}
-	c := EvacuationState{Orders: 1, lastWithdrawn: len(words) > 2}
+	state := EvacuationState{orders: 1, lastWithdrawn: len(words) > 2}
 	if len(words) > 1 {
-		if n, err := strconv.Atoi(words[1]); err == nil && n > 0 {
-			c.Orders = n
+		if orders, err := strconv.Atoi(words[1]); err == nil && orders > 0 {
+			state.orders = orders
 		}
 	}
-	return c
+	return state
 }
 
-func (c EvacuationState) encode() string {
+// InForce reports whether the zone is evacuated.
+func (s EvacuationState) InForce() bool { return s.orders > 0 }
+
+// encode is the inverse of ReadEvacuation. It writes what the version before this one can read where it can.
+func (s EvacuationState) encode() string {
 	switch {
-	case c.Orders == 0:
-		return "off"
-	case c.lastWithdrawn:
-		return "on " + strconv.Itoa(c.Orders) + " back"
-	case c.Orders == 1:
-		return "on"
+	case s.orders == 0:
+		return wordOff
+	case s.lastWithdrawn:
+		return wordOn + " " + strconv.Itoa(s.orders) + " " + wordWithdrawn
+	case s.orders == 1:
+		return wordOn
 	}
-	return "on " + strconv.Itoa(c.Orders)
+	return wordOn + " " + strconv.Itoa(s.orders)
 }
 
-// SetEvacuation orders a zone to be cleared out, or withdraws one such order. Orders add up: two that overlap stand until both are
-// withdrawn. An order has neither a name nor a body, so that one which is sent again as its answer was lost looks like
-// another; it is taken for the same while the last word was the same, and is not known to have had its answer: heard is the
-// version up to which that is known.
+// SetEvacuation returns the update that orders the evacuation of a zone, or withdraws one such order. Orders add up: a
+// zone is evacuated until as many are withdrawn as were given.
+//
+// An order has neither a name nor a body, so that a copy which an operator sends because the answer was lost looks like
+// another order. It is taken for a copy if the last order was of the same kind and is not known to have been
+// acknowledged. acknowledged is the version up to which orders are known to have been, see AcknowledgedKey.
 func SetEvacuation(evacuate bool, acknowledged uint64) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		state := ReadEvacuation(current.Body)
-		switch {
-		case current.Version == 0 && !evacuate:
-			return quorum.Value{Version: 1, Body: "off"}
-		case state.Orders == 0 && !evacuate, state.Orders >= maxEvacuationOrders && evacuate:
+		if current.Version == 0 && !evacuate {
+			return quorum.Value{Version: 1, Body: wordOff}
+		}
+		if !state.accepts(evacuate) {
 			return current
-		case current.Version > 0 && state.lastWithdrawn == !evacuate && acknowledged != current.Version:
+		}
+		sameKind := state.lastWithdrawn == !evacuate
+		if current.Version > 0 && sameKind && acknowledged != current.Version {
 			return current
 		}
 		if evacuate {
-			state.Orders++
+			state.orders++
 		} else {
-			state.Orders--
+			state.orders--
 		}
 		state.lastWithdrawn = !evacuate
 		return quorum.Value{Version: current.Version + 1, Body: state.encode()}
 	}
 }
 
-// evacuationOrder is the note of a zone's register: when its last word was given.
+// accepts reports whether one more order can be counted, or one fewer.
+func (s EvacuationState) accepts(evacuate bool) bool {
+	if evacuate {
+		return s.orders < maxEvacuationOrders
+	}
+	return s.orders > 0
+}
+
+// evacuationOrder stands for the last order in the annotation of the register of EvacuationKey: it records when that
+// order was given.
 const evacuationOrder = "word"
 
-// SetEvacuationOnce is Clear for a word that was given at some time. A word can be the same one again only within the term: after it
-// the last one counts as heard.
+// SetEvacuationOnce is SetEvacuation for an order that is given now. An order can be a copy of the last one only within
+// the window; after it, the last one counts as acknowledged.
 func SetEvacuationOnce(evacuate bool, acknowledged uint64, now time.Time, window time.Duration) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		applied := dedup.ReadAppliedOrders(current)
+		lastAcknowledged := acknowledged
 		if len(applied.Orders) > 0 && !applied.Contains(evacuationOrder, now, window) {
-			acknowledged = current.Version
+			lastAcknowledged = current.Version
 		}
-		next := SetEvacuation(evacuate, acknowledged)(current)
+		next := SetEvacuation(evacuate, lastAcknowledged)(current)
 		if next.Version != current.Version {
 			next.Annotation = dedup.AppliedOrders{}.With(evacuationOrder, now, window).Encode()
 		}
@@ -100,7 +129,8 @@
 	}
 }
 
-// Acknowledge notes that the order which brought a version of a zone's register has had its answer.
+// Acknowledge returns the update of the register of AcknowledgedKey that records that the order which brought a version
+// of the register of EvacuationKey was acknowledged.
 func Acknowledge(version uint64) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		if ReadAcknowledged(current) >= version {
@@ -110,8 +140,8 @@
 	}
 }
 
-// ReadAcknowledged reads the register of AcknowledgedKey.
-func ReadAcknowledged(v quorum.Value) uint64 {
-	version, _ := strconv.ParseUint(v.Body, 10, 64) // none is 0
+// ReadAcknowledged reads the register of AcknowledgedKey. It returns 0 if there is none.
+func ReadAcknowledged(value quorum.Value) uint64 {
+	version, _ := strconv.ParseUint(value.Body, 10, 64) // an empty register is version 0
 	return version
 }
--- a/internal/control/drain/progress.go
+++ b/internal/control/drain/progress.go
@@ -5,20 +5,12 @@
 	"time"
 )
 
-// ActiveDrain is an operator's drain as it stands.
-type ActiveDrain struct {
-	Target    string
-	Zone      string
-	Version   uint64 // of the zone's drains that has it: a node that goes by it or a later one knows of this
-	StartedAt time.Time
-	Covers    func(BackendCapacity) bool
-}
-
-// ProxyReport is what one node says of itself.
+// ProxyReport is what one proxy reports about drains.
 type ProxyReport struct {
-	Proxy, Zone   string
-	DrainVersions map[string]uint64 // by zone: the version of the drains that it goes by
-	InFlight      map[string][2]int // by appliance: harmless and risky requests that are out there
+	Proxy         string
+	Zone          string
+	DrainVersions map[string]uint64 // by zone: the version of the register of drains that it has applied
+	InFlight      map[string][2]int // by backend: idempotent and non-idempotent requests in flight
 }
 
 // Progress is how far a drain has come.
@@ -27,16 +19,16 @@
 type Progress struct {
 	Target          string            `json:"target"`
 	StartedMs       int64             `json:"began"` // Unix milliseconds
-	ElapsedMs       int64             `json:"for"`   // how long it has taken
+	ElapsedMs       int64             `json:"for"`
 	Backends        []DrainingBackend `json:"backends"`
-	BlockingProxies []BlockingProxy   `json:"nodes"`             // that still have something there, or do not know of it
-	Unresponsive    []string          `json:"unheard,omitempty"` // nodes that do not answer, and may have something there
-	Idempotent      int               `json:"harmless"`
-	NonIdempotent   int               `json:"risky"`
-	Done            bool              `json:"done"` // nothing new goes there, from anywhere, and nothing is left
+	BlockingProxies []BlockingProxy   `json:"nodes"`
+	Unresponsive    []string          `json:"unheard,omitempty"` // proxies that did not report and may have requests in flight
+	Idempotent      int               `json:"harmless"`          // requests in flight
+	NonIdempotent   int               `json:"risky"`             // requests in flight
+	Done            bool              `json:"done"`              // no proxy sends new requests, and none are in flight
 }
 
-// DrainingBackend is an appliance under a drain.
+// DrainingBackend is a backend that a drain covers, with its requests in flight.
 //
 //easyjson:json
 type DrainingBackend struct {
@@ -47,68 +39,95 @@
 	NonIdempotent int    `json:"risky"`
 }
 
-// BlockingProxy is a node on which a drain waits.
+// BlockingProxy is a proxy that a drain waits for: it has requests in flight, or does not know of the drain yet.
 //
 //easyjson:json
 type BlockingProxy struct {
 	Proxy         string `json:"node"`
 	Zone          string `json:"zone"`
-	MaySend       bool   `json:"sends"` // it has not heard of the drain yet
+	MaySend       bool   `json:"sends"` // it does not know of the drain yet
 	Idempotent    int    `json:"harmless"`
 	NonIdempotent int    `json:"risky"`
 }
 
-// ProgressList is what `drains` tells.
+// ProgressList is the answer to a drains.read call.
 //
 //easyjson:json
 type ProgressList struct {
 	Drains []Progress `json:"drains"`
 }
 
-// Response is what the word on a new drain is answered with; Short says why it was refused.
+// Response is the answer to a drains.begin call. If the call was rejected for lack of capacity, Shortfalls says why.
 //
 //easyjson:json
 type Response struct {
 	Target        string              `json:"target"`
-	AlreadyActive bool                `json:"stood,omitempty"` // it stood already
+	AlreadyActive bool                `json:"stood,omitempty"`
 	Shortfalls    []CapacityShortfall `json:"short,omitempty"`
-	Unresponsive  []string            `json:"unheard,omitempty"` // nodes whose load is not in the figures
-	// Backends are those that would leave, where it was refused: each may be drained by itself as there is room.
+	Unresponsive  []string            `json:"unheard,omitempty"` // proxies whose load is not in the figures
+	// Backends are those that the rejected drain covers: each may be drained by itself when there is capacity.
 	Backends []string `json:"backends,omitempty"`
 }
 
-// MeasureProgress says how far each drain has come, by what the nodes report; unheard are those that should have and did not.
-func MeasureProgress(drains []ActiveDrain, backends []BackendCapacity, reports []ProxyReport, unresponsive []string, now time.Time) []Progress {
+// MeasureProgress returns how far each drain has come, by the reports of the proxies. unresponsive are the proxies that
+// should have reported and did not; no drain is done before they have.
+func MeasureProgress(
+	drains []ActiveDrain, backends []BackendCapacity, reports []ProxyReport, unresponsive []string, now time.Time,
+) []Progress {
 	list := make([]Progress, 0, len(drains))
 	for _, active := range drains {
-		progress := Progress{Target: active.Target, StartedMs: active.StartedAt.UnixMilli(), ElapsedMs: max(0, now.Sub(active.StartedAt).Milliseconds()),
-			Backends: []DrainingBackend{}, BlockingProxies: []BlockingProxy{}, Unresponsive: unresponsive}
-		for _, capacity := range backends {
-			if !active.Covers(capacity) {
-				continue
-			}
-			backend := DrainingBackend{ID: capacity.ID, Service: capacity.Service, Zone: capacity.Zone}
-			for _, report := range reports {
-				backend.Idempotent += report.InFlight[capacity.ID][0]
-				backend.NonIdempotent += report.InFlight[capacity.ID][1]
-			}
-			progress.Idempotent += backend.Idempotent
-			progress.NonIdempotent += backend.NonIdempotent
-			progress.Backends = append(progress.Backends, backend)
-		}
-		for _, report := range reports {
-			proxy := BlockingProxy{Proxy: report.Proxy, Zone: report.Zone, MaySend: report.DrainVersions[active.Zone] < active.Version}
-			for _, backend := range progress.Backends {
-				proxy.Idempotent += report.InFlight[backend.ID][0]
-				proxy.NonIdempotent += report.InFlight[backend.ID][1]
-			}
-			if proxy.MaySend || proxy.Idempotent+proxy.NonIdempotent > 0 {
-				progress.BlockingProxies = append(progress.BlockingProxies, proxy)
-			}
+		progress := Progress{
+			Target:          active.Target,
+			StartedMs:       active.StartedAt.UnixMilli(),
+			ElapsedMs:       max(0, now.Sub(active.StartedAt).Milliseconds()),
+			Backends:        []DrainingBackend{},
+			BlockingProxies: []BlockingProxy{},
+			Unresponsive:    unresponsive,
 		}
-		sort.Slice(progress.BlockingProxies, func(i, j int) bool { return progress.BlockingProxies[i].Proxy < progress.BlockingProxies[j].Proxy })
+		progress.addBackends(active, backends, reports)
+		progress.addBlockingProxies(active, reports)
 		progress.Done = len(progress.BlockingProxies) == 0 && len(unresponsive) == 0
 		list = append(list, progress)
 	}
 	return list
 }
+
+// addBackends adds the backends that the drain covers, and the requests that all proxies have in flight there.
+func (p *Progress) addBackends(active ActiveDrain, backends []BackendCapacity, reports []ProxyReport) {
+	for _, backend := range backends {
+		if !active.Covers(backend) {
+			continue
+		}
+		draining := DrainingBackend{ID: backend.ID, Service: backend.Service, Zone: backend.Zone}
+		for _, report := range reports {
+			inFlight := report.InFlight[backend.ID]
+			draining.Idempotent += inFlight[0]
+			draining.NonIdempotent += inFlight[1]
+		}
+		p.Idempotent += draining.Idempotent
+		p.NonIdempotent += draining.NonIdempotent
+		p.Backends = append(p.Backends, draining)
+	}
+}
+
+// addBlockingProxies adds the proxies that the drain waits for, by name. The backends must have been added.
+func (p *Progress) addBlockingProxies(active ActiveDrain, reports []ProxyReport) {
+	for _, report := range reports {
+		proxy := BlockingProxy{
+			Proxy:   report.Proxy,
+			Zone:    report.Zone,
+			MaySend: report.DrainVersions[active.Zone] < active.Version,
+		}
+		for _, backend := range p.Backends {
+			inFlight := report.InFlight[backend.ID]
+			proxy.Idempotent += inFlight[0]
+			proxy.NonIdempotent += inFlight[1]
+		}
+		if proxy.MaySend || proxy.Idempotent+proxy.NonIdempotent > 0 {
+			p.BlockingProxies = append(p.BlockingProxies, proxy)
+		}
+	}
+	sort.Slice(p.BlockingProxies, func(i, j int) bool {
+		return p.BlockingProxies[i].Proxy < p.BlockingProxies[j].Proxy
+	})
+}
--- /dev/null
+++ b/internal/control/drain/update.go
@@ -0,0 +1,90 @@
+package drain
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"sagelever/internal/control/dedup"
+	"sagelever/internal/control/quorum"
+)
+
+// Add returns the update that adds a drain to the register of its zone. A drain that is already listed changes nothing.
+// Drains of backends that have ended are removed on this occasion; if the zone still has MaxPerZone, nothing changes.
+func Add(added Drain, ended func(id string) bool, now time.Time) quorum.UpdateFunc {
+	return func(current quorum.Value) quorum.Value {
+		drains := ReadList(current)
+		if slices.ContainsFunc(drains, added.SameTarget) {
+			return current
+		}
+		drains = slices.DeleteFunc(slices.Clone(drains), func(d Drain) bool { return d.ID != "" && ended(d.ID) })
+		if len(drains) >= MaxPerZone {
+			return current
+		}
+		added.BeganMs = now.UnixMilli()
+		return encodeList(current, append(drains, added))
+	}
+}
+
+// Remove returns the update that removes a drain from the register of its zone. A drain that is not listed changes
+// nothing.
+func Remove(removed Drain) quorum.UpdateFunc {
+	return func(current quorum.Value) quorum.Value {
+		drains := ReadList(current)
+		remaining := slices.DeleteFunc(slices.Clone(drains), removed.SameTarget)
+		if len(remaining) == len(drains) {
+			return current
+		}
+		return encodeList(current, remaining)
+	}
+}
+
+// Prefixes of the orders that the register of a zone remembers; the target's name follows.
+const (
+	orderBegin = "begin "
+	orderEnd   = "end "
+)
+
+// AddRecorded is Add, and records the order in the register, so that AddedRecently recognizes a copy of it even when the
+// backend has ended and its drain was removed.
+func AddRecorded(
+	zone string, added Drain, ended func(id string) bool, now time.Time, window time.Duration,
+) quorum.UpdateFunc {
+	return recordOrder(orderBegin+added.TargetName(zone), now, window, Add(added, ended, now))
+}
+
+// RemoveRecorded is Remove, and records the order in the register, so that RemovedRecently recognizes a copy of it.
+func RemoveRecorded(zone string, removed Drain, now time.Time, window time.Duration) quorum.UpdateFunc {
+	return recordOrder(orderEnd+removed.TargetName(zone), now, window, Remove(removed))
+}
+
+// recordOrder returns an update that records an order in the register if it changes the register.
+func recordOrder(order string, now time.Time, window time.Duration, update quorum.UpdateFunc) quorum.UpdateFunc {
+	return func(current quorum.Value) quorum.Value {
+		next := update(current)
+		if next.Version != current.Version {
+			next.Annotation = dedup.ReadAppliedOrders(current).With(order, now, window).Encode()
+		}
+		return next
+	}
+}
+
+// AddedRecently reports whether AddRecorded has added a drain with this target name within the window.
+func AddedRecently(registers map[string]quorum.Value, name string, now time.Time, window time.Duration) bool {
+	return orderRecorded(registers, orderBegin+name, now, window)
+}
+
+// RemovedRecently reports whether RemoveRecorded has removed a drain with this target name within the window.
+func RemovedRecently(registers map[string]quorum.Value, name string, now time.Time, window time.Duration) bool {
+	return orderRecorded(registers, orderEnd+name, now, window)
+}
+
+func orderRecorded(registers map[string]quorum.Value, order string, now time.Time, window time.Duration) bool {
+	for key, value := range registers {
+		isList := strings.HasPrefix(key, ListKeyPrefix)
+		if isList && dedup.ReadAppliedOrders(value).Contains(order, now, window) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/control/routing/table.go
+++ b/internal/control/routing/table.go
@@ -1,14 +1,13 @@
+// Package routing is the configuration in the form in which a proxy uses it: an immutable table that finds the route of
+// a request and tells what operators drain or evacuate. A controller reads the same table to judge the capacity of the
+// backends. The package does no I/O.
 package routing
 
 import (
-	"maps"
-	"slices"
 	"sort"
 	"strings"
 	"time"
 
-	"github.com/mailru/easyjson"
-
 	"sagelever/internal/control/config"
 	"sagelever/internal/control/drain"
 	"sagelever/internal/control/quorum"
@@ -16,131 +15,67 @@
 	"sagelever/internal/settings"
 )
 
-// Table is the configuration as a relay uses it: immutable, swapped whole.
+// Table is the configuration as a proxy uses it. It never changes once it is built: a proxy replaces it as a whole, and
+// any number of goroutines may read it.
 type Table struct {
-	routes        map[string]map[string]*Route
-	prefixLengths map[string][]int // of each host's prefixes, the longest first
-	Services      map[string]*Service
-	Evacuated     map[string]bool             // zones to which nothing may be sent
-	Drains        map[string][]drain.Drain    // what operators drain, by zone
-	DrainVersions map[string]uint64           // the versions of these registers, by zone, where there is one
-	Releases      map[string]*release.Release // by service
+	routes        map[string]map[string]*Route // by lower-case host and path prefix
+	prefixLengths map[string][]int             // of each host's prefixes, the longest first
+	Services      map[string]*Service          // by name
+	Evacuated     map[string]bool              // zones to which no request may be sent
+	Drains        map[string][]drain.Drain     // what operators drain, by zone
+	DrainVersions map[string]uint64            // the versions of the registers that Drains were read from, by zone
+	Releases      map[string]*release.Release  // by service
 	Limits        RequestLimits
-	ItemCount     int
-}
-
-// Route is a route, read.
-type Route struct {
-	Name                   string
-	Idempotent             bool
-	Timeout, LatencyTarget time.Duration
-	Priority, MaxAttempts  int
-	WeightedServices       []config.WeightedService
-	HomeRegions            map[string]bool // nil: anywhere
-	HomeRegionList         string          // the same: sorted, with commas
-	totalWeight            float64
-	tenant                 string
+	ItemCount     int // items of the configuration, readable or not
 }
 
-// PickService picks the service by a number drawn from [0, 1).
-func (w *Route) PickService(random float64) string {
-	remaining := random * w.totalWeight
-	for _, share := range w.WeightedServices {
-		if remaining -= share.Weight; remaining < 0 {
-			return share.Service
-		}
-	}
-	return w.WeightedServices[0].Service
-}
-
-// Service is a service, read.
+// Service is a service of the configuration.
 type Service struct {
 	HealthCheckPath string
 	MaxConnections  int
 	WarmUp          time.Duration
-	WarmUpRate      float64 // requests a second that a cold appliance bears
+	WarmUpRate      float64 // requests per second that a warming backend bears
 }
 
-// RequestLimits is what a client may send.
+// RequestLimits are the limits on what a client may send.
 type RequestLimits struct {
-	MaxHeaderBytes, MaxBodyBytes int64
-	HeaderTimeout, IdleTimeout   time.Duration
+	MaxHeaderBytes int64
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
-// NewTable reads the registers into a table. What can't be read is passed over: it was checked when it was taken.
-func NewTable(values map[string]quorum.Value) *Table {
-	table := &Table{routes: map[string]map[string]*Route{}, prefixLengths: map[string][]int{}, Services: map[string]*Service{},
-		Evacuated: map[string]bool{}, Drains: map[string][]drain.Drain{}, DrainVersions: map[string]uint64{}, Releases: map[string]*release.Release{}}
-	tenantRegions := map[string]map[string]bool{}
-	keys := make([]string, 0, len(values))
-	for key := range values {
+// NewTable builds the table of the configuration in the registers, by their keys. A register that cannot be decoded is
+// left out: it was checked before it was committed.
+func NewTable(registers map[string]quorum.Value) *Table {
+	builder := &tableBuilder{
+		table: &Table{
+			routes:        map[string]map[string]*Route{},
+			prefixLengths: map[string][]int{},
+			Services:      map[string]*Service{},
+			Evacuated:     map[string]bool{},
+			Drains:        map[string][]drain.Drain{},
+			DrainVersions: map[string]uint64{},
+			Releases:      map[string]*release.Release{},
+		},
+		tenantRegions: map[string]map[string]bool{},
+	}
+	keys := make([]string, 0, len(registers))
+	for key := range registers {
 		keys = append(keys, key)
 	}
-	sort.Strings(keys) // where two routes stood in one place, all agents would serve the same
+	sort.Strings(keys) // so that, if two routes had the same host and path prefix, all proxies would use the same one
 	for _, key := range keys {
-		value := values[key]
-		if value.Deleted {
-			continue
-		}
-		if zone, ok := strings.CutPrefix(key, drain.EvacuationKeyPrefix); ok {
-			table.Evacuated[zone] = drain.ReadEvacuation(value.Body).Orders > 0
-			continue
-		}
-		if zone, ok := strings.CutPrefix(key, drain.ListKeyPrefix); ok {
-			table.DrainVersions[zone] = value.Version
-			if drainList := drain.ReadList(value); len(drainList) > 0 {
-				table.Drains[zone] = drainList
-			}
-			continue
-		}
-		if service, ok := strings.CutPrefix(key, release.RegisterKeyPrefix); ok {
-			serviceRelease := &release.Release{}
-			if easyjson.Unmarshal([]byte(value.Body), serviceRelease) == nil {
-				table.Releases[service] = serviceRelease
-			}
-			continue
-		}
-		kind, name, ok := config.SplitKey(key)
-		if !ok {
-			continue
-		}
-		table.ItemCount++
-		decoded, err := config.ReadBody(kind, name, value.Body)
-		if err != nil {
-			continue
-		}
-		switch body := decoded.(type) {
-		case *config.ServiceBody:
-			warmUp, _ := settings.ParseDuration(config.SpanOrZero(body.WarmUp))
-			table.Services[name] = &Service{body.HealthCheckPath, body.MaxConnections, warmUp, body.WarmUpRatePerSecond}
-		case *config.LimitsBody:
-			table.Limits = RequestLimits{MaxHeaderBytes: body.MaxHeaderBytes, MaxBodyBytes: body.MaxBodyBytes}
-			table.Limits.HeaderTimeout, _ = settings.ParseDuration(body.HeaderTimeout)
-			table.Limits.IdleTimeout, _ = settings.ParseDuration(body.IdleTimeout)
-		case *config.TenantBody:
-			tenantRegions[name] = newSet(body.HomeRegions)
-		case *config.RouteBody:
-			table.addRoute(name, body)
+		if value := registers[key]; !value.Deleted {
+			builder.addRegister(key, value)
 		}
 	}
-	for host, routes := range table.routes {
-		seenLengths := map[int]bool{}
-		for prefix, route := range routes {
-			if regions := tenantRegions[route.tenant]; route.tenant != "" && regions != nil { // where route and tenant have homes, both bind
-				route.HomeRegions = intersect(route.HomeRegions, regions)
-			}
-			route.HomeRegionList = strings.Join(slices.Sorted(maps.Keys(route.HomeRegions)), ",")
-			if !seenLengths[len(prefix)] {
-				seenLengths[len(prefix)] = true
-				table.prefixLengths[host] = append(table.prefixLengths[host], len(prefix))
-			}
-		}
-		sort.Sort(sort.Reverse(sort.IntSlice(table.prefixLengths[host])))
-	}
-	return table
+	builder.bindTenants()
+	builder.collectPrefixLengths()
+	return builder.table
 }
 
-// IsDrained tells whether an operator drains an appliance.
+// IsDrained reports whether an operator drains a backend of a service in a zone.
 func (t *Table) IsDrained(service, id, zone string) bool {
 	for _, active := range t.Drains[zone] {
 		if active.Covers(service, id) {
@@ -150,34 +85,11 @@
 	return false
 }
 
-func (t *Table) addRoute(name string, body *config.RouteBody) {
-	host := strings.ToLower(body.Host)
-	if t.routes[host] == nil {
-		t.routes[host] = map[string]*Route{}
-	}
-	if t.routes[host][body.PathPrefix] != nil {
-		return
-	}
-	route := &Route{Name: name, Idempotent: body.Kind == "harmless", Priority: body.Priority, MaxAttempts: max(1, body.MaxAttempts), WeightedServices: body.WeightedServices,
-		HomeRegions: newSet(body.HomeRegions), tenant: body.Tenant}
-	route.Timeout, _ = settings.ParseDuration(body.Timeout)
-	route.LatencyTarget, _ = settings.ParseDuration(config.SpanOrZero(body.LatencyTarget))
-	if body.Service != "" {
-		route.WeightedServices = []config.WeightedService{{Service: body.Service, Weight: 1}}
-	}
-	for _, share := range route.WeightedServices {
-		route.totalWeight += share.Weight
-	}
-	t.routes[host][body.PathPrefix] = route
-}
-
-// FindRoute is the route of a request: of the host's, the one with the longest prefix that begins the path; nil for none.
-// It costs one look-up for each length that the host's prefixes have, however many routes there are.
+// FindRoute returns the route of a request, or nil if there is none: of the routes of the host, the one with the longest
+// prefix of the path. It costs one look-up for each distinct length of the host's prefixes, however many routes there
+// are.
 func (t *Table) FindRoute(host, path string) *Route {
-	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host, ']') < i {
-		host = host[:i]
-	}
-	host = strings.ToLower(host)
+	host = strings.ToLower(withoutPort(host))
 	routes := t.routes[host]
 	for _, length := range t.prefixLengths[host] {
 		if length <= len(path) {
@@ -189,29 +101,122 @@
 	return nil
 }
 
-func newSet(names []string) map[string]bool {
-	if len(names) == 0 {
-		return nil
+// withoutPort cuts the port off a host. A colon inside the brackets of an IPv6 address does not begin a port.
+func withoutPort(host string) string {
+	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host, ']') < i {
+		return host[:i]
 	}
-	members := make(map[string]bool, len(names))
-	for _, name := range names {
-		members[name] = true
+	return host
+}
+
+// tableBuilder collects registers into a table.
+type tableBuilder struct {
+	table         *Table
+	tenantRegions map[string]map[string]bool // by tenant; nil: anywhere
+}
+
+// addRegister adds a register that is not deleted.
+func (b *tableBuilder) addRegister(key string, value quorum.Value) {
+	if zone, ok := strings.CutPrefix(key, drain.EvacuationKeyPrefix); ok {
+		b.table.Evacuated[zone] = drain.ReadEvacuation(value.Body).InForce()
+		return
+	}
+	if zone, ok := strings.CutPrefix(key, drain.ListKeyPrefix); ok {
+		b.table.DrainVersions[zone] = value.Version
+		if drains := drain.ReadList(value); len(drains) > 0 {
+			b.table.Drains[zone] = drains
+		}
+		return
+	}
+	if service, ok := strings.CutPrefix(key, release.RegisterKeyPrefix); ok {
+		if serviceRelease, ok := release.Read(value); ok {
+			b.table.Releases[service] = serviceRelease
+		}
+		return
+	}
+	if kind, name, ok := config.SplitKey(key); ok {
+		b.table.ItemCount++
+		b.addItem(kind, name, value.Body)
+	}
+}
+
+func (b *tableBuilder) addItem(kind, name, text string) {
+	decoded, err := config.DecodeBody(kind, text)
+	if err != nil {
+		return
+	}
+	switch body := decoded.(type) {
+	case *config.ServiceBody:
+		b.table.Services[name] = newService(body)
+	case *config.LimitsBody:
+		b.table.Limits = newRequestLimits(body)
+	case *config.TenantBody:
+		b.tenantRegions[name] = newSet(body.HomeRegions)
+	case *config.RouteBody:
+		b.addRoute(name, body)
 	}
-	return members
 }
 
-func intersect(a, b map[string]bool) map[string]bool {
-	if a == nil || b == nil {
-		if a == nil {
-			return b
+// addRoute adds a route unless there is already one with its host and path prefix.
+func (b *tableBuilder) addRoute(name string, body *config.RouteBody) {
+	host := strings.ToLower(body.Host)
+	routes := b.table.routes[host]
+	if routes == nil {
+		routes = map[string]*Route{}
+		b.table.routes[host] = routes
+	}
+	if routes[body.PathPrefix] == nil {
+		routes[body.PathPrefix] = newRoute(name, body)
+	}
+}
+
+// bindTenants restricts routes to the home regions of their tenants, once all tenants are known. If both a route and its
+// tenant have home regions, both bind.
+func (b *tableBuilder) bindTenants() {
+	for _, routes := range b.table.routes {
+		for _, route := range routes {
+			if regions := b.tenantRegions[route.tenant]; route.tenant != "" && regions != nil {
+				route.HomeRegions = intersect(route.HomeRegions, regions)
+			}
+			route.HomeRegionList = sortedList(route.HomeRegions)
 		}
-		return a
 	}
-	common := map[string]bool{}
-	for member := range a {
-		if b[member] {
-			common[member] = true
+}
+
+func (b *tableBuilder) collectPrefixLengths() {
+	for host, routes := range b.table.routes {
+		seen := map[int]bool{}
+		var lengths []int
+		for prefix := range routes {
+			if !seen[len(prefix)] {
+				seen[len(prefix)] = true
+				lengths = append(lengths, len(prefix))
+			}
 		}
+		sort.Sort(sort.Reverse(sort.IntSlice(lengths)))
+		b.table.prefixLengths[host] = lengths
+	}
+}
+
+// newService converts the body of a service. The durations were checked by config.DecodeBody.
+func newService(body *config.ServiceBody) *Service {
+	warmUp, _ := config.ParseOptionalDuration(body.WarmUp)
+	return &Service{
+		HealthCheckPath: body.HealthCheckPath,
+		MaxConnections:  body.MaxConnections,
+		WarmUp:          warmUp,
+		WarmUpRate:      body.WarmUpRatePerSecond,
+	}
+}
+
+// newRequestLimits converts the body of the limits. The durations were checked by config.DecodeBody.
+func newRequestLimits(body *config.LimitsBody) RequestLimits {
+	headerTimeout, _ := settings.ParseDuration(body.HeaderTimeout)
+	idleTimeout, _ := settings.ParseDuration(body.IdleTimeout)
+	return RequestLimits{
+		MaxHeaderBytes: body.MaxHeaderBytes,
+		MaxBodyBytes:   body.MaxBodyBytes,
+		HeaderTimeout:  headerTimeout,
+		IdleTimeout:    idleTimeout,
 	}
-	return common
 }
