--- a/internal/control/config/commit.go
+++ b/internal/control/config/commit.go
@@ -7,8 +7,8 @@
 	"sagelever/internal/control/quorum"
 )
 
-// KeepHighestVersion returns the rule for a single item without a history: the highest version prevails, and an equal or
-// lower one has no effect.
+// KeepHighestVersion returns the rule for a single item without a history: the highest version prevails, and an equal
+// or lower one has no effect.
 func KeepHighestVersion(incoming quorum.Value) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		if incoming.Version > current.Version {
@@ -65,7 +65,8 @@
 	return incoming
 }
 
-// recordSuperseded returns the current value of a register, with an incoming one of a lower version added to its history.
+// recordSuperseded returns the current value of a register, with an incoming one of a lower version added to its
+// history.
 func recordSuperseded(current, incoming quorum.Value) quorum.Value {
 	current.Annotation = decodeHistory(current).add(incoming).encode()
 	return current
@@ -99,9 +100,9 @@
 
 // Reasons of an IndeterminateError.
 const (
-	forgottenReason = "a version in the call is so old that it is not known any more what was confirmed under it"
+	forgottenReason = "a version in the call is older than the history that is kept, so that its content is not known"
 	// partlyCommittedReason precedes the reason why the change as a whole can't be committed.
-	partlyCommittedReason = "a part of this very call stands from an earlier attempt, but "
+	partlyCommittedReason = "a part of this call is in force from an earlier attempt, but "
 )
 
 // partlyCommitted reports whether an interrupted attempt at this very change has left some of its items in force. The
--- a/internal/control/config/errors.go
+++ b/internal/control/config/errors.go
@@ -19,7 +19,8 @@
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%s %s: another content was confirmed under version %s", e.Kind, e.Name, FormatVersion(e.Version))
+	const format = "%s %s: another content was confirmed under version %s"
+	return fmt.Sprintf(format, e.Kind, e.Name, FormatVersion(e.Version))
 }
 
 // IndeterminateError reports a change of which it cannot be determined whether it took effect. It must be neither
--- a/internal/control/config/index.go
+++ b/internal/control/config/index.go
@@ -11,8 +11,8 @@
 type Index struct {
 	current          map[string]quorum.Value // by register key
 	routes           map[string]indexedRoute // by name
-	routesByMatchKey nameSets                // the names of the routes with a match key: one, but for a change under way
-	routesByService  nameSets                // the names of the routes that name a service
+	routesByMatchKey nameSets                // names of routes by match key: one each, if Check was obeyed
+	routesByService  nameSets                // names of routes by the services that they name
 }
 
 // indexedRoute is a route as the index last read it.
--- a/internal/control/config/request.go
+++ b/internal/control/config/request.go
@@ -96,7 +96,7 @@
 	key := Key(kind, name)
 	earlier, repeated := values[key]
 	if repeated && earlier.Version == number && earlier != value {
-		const format = "%s: stands twice in the call, with one version: %v and %v"
+		const format = "%s: appears twice in the call with one version: %v and %v"
 		return errors.Errorf(format, label, earlier, value)
 	}
 	if !repeated || earlier.Version < number {
--- a/internal/control/config/self_contained.go
+++ b/internal/control/config/self_contained.go
@@ -29,8 +29,8 @@
 	return true
 }
 
-// RequiredServices returns the register keys of the services that must be known for a change to be self-contained. ok is
-// false if the change cannot be self-contained, whatever services exist.
+// RequiredServices returns the register keys of the services that must be known for a change to be self-contained. ok
+// is false if the change cannot be self-contained, whatever services exist.
 func RequiredServices(current, changes map[string]quorum.Value) (keys []string, ok bool) {
 	required := map[string]bool{}
 	for key, value := range changes {
--- a/internal/control/dedup/dedup.go
+++ b/internal/control/dedup/dedup.go
@@ -1,5 +1,5 @@
-// Package dedup recognizes operators' orders that carry no version when they are resent. Each register remembers, in the
-// annotation of its value, which orders were applied to it lately. The clock is handed in; there is no I/O.
+// Package dedup recognizes operators' orders that carry no version when they are resent. Each register remembers, in
+// the annotation of its value, which orders were applied to it lately. The clock is handed in; there is no I/O.
 package dedup
 
 import (
@@ -11,8 +11,8 @@
 	"sagelever/internal/control/quorum"
 )
 
-// MaxClockSkew is by how much the clocks of two controllers may differ. Beyond it a controller may take an order that is
-// resent for a new one; nothing else depends on it.
+// MaxClockSkew is by how much the clocks of two controllers may differ. Beyond it a controller may take an order that
+// is resent for a new one; nothing else depends on it.
 const MaxClockSkew = 10 * time.Second
 
 // ResendWindow returns for how long an order without a version may be a copy of an earlier one: for as long as the
--- a/internal/control/drain/capacity.go
+++ b/internal/control/drain/capacity.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// ServiceLoad is the load that one kind of traffic puts on a service, as one proxy sees it. The loads of several proxies
-// add up.
+// ServiceLoad is the load that one kind of traffic puts on a service, as one proxy sees it. The loads of several
+// proxies add up.
 //
 //easyjson:json
 type ServiceLoad struct {
--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -2,9 +2,9 @@
 // and zones that are evacuated. A drain stops new work and lets requests in flight finish; an evacuation stops all
 // traffic to a zone.
 //
-// Both are kept in registers that a round of the quorum decides (package quorum). This package holds the updates of these
-// registers, the check that enough capacity remains, and the progress of a drain from the reports of the proxies. It does
-// no I/O; clocks are handed in.
+// Both are kept in registers that a round of the quorum decides (package quorum). This package holds the updates of
+// these registers, the check that enough capacity remains, and the progress of a drain from the reports of the proxies.
+// It does no I/O; clocks are handed in.
 package drain
 
 import (
@@ -18,8 +18,8 @@
 // ListKeyPrefix begins the key of every register that lists the drains of a zone.
 const ListKeyPrefix = "drain/"
 
-// ListKey returns the key of the register that lists the drains in a zone. There is a register for each zone and not for
-// each backend, so that the number of registers does not grow with the backends that were ever drained.
+// ListKey returns the key of the register that lists the drains in a zone. There is a register for each zone and not
+// for each backend, so that the number of registers does not grow with the backends that were ever drained.
 func ListKey(zone string) string { return ListKeyPrefix + zone }
 
 // ZoneOfListKey is the inverse of ListKey.
--- a/internal/control/drain/drain_test.go
+++ b/internal/control/drain/drain_test.go
@@ -10,8 +10,8 @@
 	"sagelever/internal/control/quorum"
 )
 
-// Orders of many operators, in any sequence, leave the drains that the last order on each target asks for. An order that
-// asks for nothing new changes nothing, and the register does not grow with the backends that were ever drained.
+// Orders of many operators, in any sequence, leave the drains that the last order on each target asks for. An order
+// that asks for nothing new changes nothing, and the register does not grow with the backends that were ever drained.
 func TestDrainListMatchesLastOrders(t *testing.T) {
 	targets := []Drain{{}, {Service: "s"}, {Service: "z"}, {ID: "i1"}, {ID: "i2"}, {ID: "i3"}}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/control/drain/progress.go
+++ b/internal/control/drain/progress.go
@@ -22,7 +22,7 @@
 	ElapsedMs       int64             `json:"for"`
 	Backends        []DrainingBackend `json:"backends"`
 	BlockingProxies []BlockingProxy   `json:"nodes"`
-	Unresponsive    []string          `json:"unheard,omitempty"` // proxies that did not report and may have requests in flight
+	Unresponsive    []string          `json:"unheard,omitempty"` // proxies that did not report
 	Idempotent      int               `json:"harmless"`          // requests in flight
 	NonIdempotent   int               `json:"risky"`             // requests in flight
 	Done            bool              `json:"done"`              // no proxy sends new requests, and none are in flight
--- a/internal/control/drain/target.go
+++ b/internal/control/drain/target.go
@@ -21,8 +21,8 @@
 }
 
 // ParseTarget reads the name of a target, as TargetName writes it. zones are the regions of the known zones, by zone;
-// zoneOf returns the zone of a backend, or "" if there is no such backend. Unknown zones and backends are errors. Whether
-// a service exists is for the caller to check.
+// zoneOf returns the zone of a backend, or "" if there is no such backend. Unknown zones and backends are errors.
+// Whether a service exists is for the caller to check.
 func ParseTarget(
 	target string, zones map[string]string, zoneOf func(id string) string,
 ) (zone string, parsed Drain, err error) {
--- a/internal/control/drain/update.go
+++ b/internal/control/drain/update.go
@@ -45,8 +45,8 @@
 	orderEnd   = "end "
 )
 
-// AddRecorded is Add, and records the order in the register, so that AddedRecently recognizes a copy of it even when the
-// backend has ended and its drain was removed.
+// AddRecorded is Add, and records the order in the register, so that AddedRecently recognizes a copy of it even when
+// the backend has ended and its drain was removed.
 func AddRecorded(
 	zone string, added Drain, ended func(id string) bool, now time.Time, window time.Duration,
 ) quorum.UpdateFunc {
--- a/internal/control/release/votes.go
+++ b/internal/control/release/votes.go
@@ -2,14 +2,16 @@
 
 import "sagelever/internal/control/replication"
 
-// Votes of an agent on a release.
+// Votes of a proxy on a release. A proxy that has not decided has no vote.
 const (
 	VoteRevert = "back"
 	VoteFinish = "on"
 )
 
-// CountVotes adds the agents' votes up to a phase, or to none. One vote back ends the trial: it is cast on the evidence of all,
-// and the sooner it counts the fewer bad answers come. All who see requests of the service have to vote on.
+// CountVotes returns the phase in which the proxies' votes end the release with a number, or "" if it goes on.
+//
+// A single vote to revert ends it: a proxy casts it on the evidence of all proxies, and the sooner it counts, the fewer
+// requests fail. To finish it takes a majority of the proxies that see requests of the service.
 func CountVotes(number uint64, tallies []*replication.ReleaseTally) string {
 	finishVotes, voters := 0, 0
 	for _, tally := range tallies {
@@ -24,7 +26,7 @@
 			finishVotes++
 		}
 	}
-	if voters > 0 && 2*finishVotes > voters {
+	if 2*finishVotes > voters {
 		return PhaseFinished
 	}
 	return ""
--- a/internal/control/replication/item_store.go
+++ b/internal/control/replication/item_store.go
@@ -1,6 +1,13 @@
-// Package lore is what agents know of one another and of the appliances: items, each with a version of its own, that any
-// agent takes and that copies merge item by item. Each source numbers what it tells first; an agent pulls what it lacks by a
-// vector of these numbers, one for each source, from whichever agent it asks. It is pure.
+// Package replication spreads data that needs no consensus between controllers and proxies: which backends and proxies
+// there are, what proxies have seen of releases, and the chosen values of the quorum's registers.
+//
+// The data are items, each with a version of its own. Any controller accepts items, and replicas merge them key by key,
+// so that all converge whatever the order in which items arrive. Every origin, a controller's incarnation, numbers the
+// items that it publishes. A replica pulls what it lacks by its version vector, which has the last number it knows of
+// every origin, from whichever controller it asks (anti-entropy by version vectors, as in Petersen et al., Flexible
+// Update Propagation for Weakly Consistent Replication, SOSP 1997).
+//
+// The package does no I/O; clocks are handed in.
 package replication
 
 import (
@@ -10,280 +17,266 @@
 	"strings"
 )
 
-// Item is one piece of knowledge. Of two with one key the higher version prevails.
-type Item struct {
-	Key     string `json:"k"`
-	Version uint64 `json:"v"`
-	Body    string `json:"b"`
-	// Who told it first, and under which number: an index into the origins that go with a message, and not there in
-	// messages of the version before.
-	OriginIndex int    `json:"o,omitempty"`
-	Sequence    uint64 `json:"q,omitempty"`
-}
-
-// Supersedes tells whether an item prevails over one that is held under its key. Two members may give a lease one version, as
-// when an agent moves in the moment in which its lease lapses: then one that is held prevails over one that has ended, and
-// else the later text, so that all copies come to the same.
-func (it Item) Supersedes(other Item) bool {
-	if it.Version != other.Version || it.Body == other.Body || !strings.HasPrefix(it.Key, LeaseKey) {
-		return it.Version > other.Version
-	}
-	lease, ok := ReadLease(it)
-	otherLease, otherOK := ReadLease(other)
-	if !ok || !otherOK || lease.Ended == otherLease.Ended {
-		return it.Body > other.Body
-	}
-	return otherLease.Ended
-}
-
-// Kinds of items, by the beginnings of their keys.
-const (
-	BackendKey      = "app/"   // an appliance's life, by its id
-	LeaseKey        = "lease/" // an agent's lease, by node and role
-	ReleaseTallyKey = "trial/" // what one agent has seen of a release, by service and agent
-	RegisterKey     = "reg/"   // a register whose value is chosen
-)
-
-// Vector is how far someone has come: for each source, the number up to which nothing is lacking.
-type Vector map[string]uint64
-
-// storedItem is an item as a feed holds it.
+// storedItem is an item in a store.
 type storedItem struct {
 	item          Item
-	localSequence uint64 // under which it became new here
+	localSequence uint64 // the store's own order, by which the item was stored
 	origin        string
-	sequence      uint64 // under which its origin told it
-}
-
-// Covers tells whether one that has come so far has come as far as another.
-func (v Vector) Covers(other Vector) bool {
-	for origin, sequence := range other {
-		if v[origin] < sequence {
-			return false
-		}
-	}
-	return true
+	sequence      uint64 // under which the origin has published it
 }
 
-// ItemStore is what one source knows.
+// ItemStore is the items that a replica knows, and its progress. It is not safe for concurrent use.
+//
+// Invariant: no item is beyond the vector, that is, has a sequence above the vector's entry for its origin, except
+// while the items of a message are received. Otherwise the replica could not claim to have the item when it passes it
+// on.
 type ItemStore struct {
-	Source        string // the source and its life, by which the version before numbers
-	Origin        string // the same, short, as it goes with every pull: the source's name, a point, and its life
+	Source        string // the replica and its incarnation, in the form by which the version before this one pulls
+	Origin        string // the replica's name, a point and its incarnation: under this the store publishes
 	localSequence uint64
-	items         map[string]*storedItem
+	items         map[string]*storedItem // by key
 	vector        Vector
 }
 
-// NewItemStore begins an empty source. A life numbers anew: what the one before has told and lost is not claimed by this one.
-// Its first number is told to nobody: a vector that has it says that its owner has heard this life, though it lacks nothing.
+// NewItemStore returns an empty store. Every incarnation is a new origin and numbers anew, so that it does not claim
+// what an earlier one has published and lost. Number 1 goes to no item: a vector that has it tells that its owner has
+// heard of the origin, even if it lacks nothing.
 func NewItemStore(source, origin string) *ItemStore {
 	return &ItemStore{Source: source, Origin: origin, items: map[string]*storedItem{}, vector: Vector{origin: 1}}
 }
 
-// LocalSequence is the number of the newest item, in the order in which items became new here.
-func (f *ItemStore) LocalSequence() uint64 { return f.localSequence }
+// LocalSequence returns the local sequence number of the item that was stored last.
+func (s *ItemStore) LocalSequence() uint64 { return s.localSequence }
 
-// Vector is how far this feed has come.
-func (f *ItemStore) Vector() Vector { return maps.Clone(f.vector) }
+// Vector returns a copy of the replica's progress.
+func (s *ItemStore) Vector() Vector { return maps.Clone(s.vector) }
 
-// OwnSequence is the number of the newest item that was told here first.
-func (f *ItemStore) OwnSequence() uint64 { return f.vector[f.Origin] }
+// OwnSequence returns the number of the item that this store has published last.
+func (s *ItemStore) OwnSequence() uint64 { return s.vector[s.Origin] }
 
-// Publish takes an item that is told here first; it tells whether it was new.
-func (f *ItemStore) Publish(item Item) bool {
-	if stored := f.items[item.Key]; stored != nil && !item.Supersedes(stored.item) {
+// Publish stores an item that enters the system here. It reports whether the item was new.
+func (s *ItemStore) Publish(item Item) bool {
+	if stored := s.items[item.Key]; stored != nil && !item.Supersedes(stored.item) {
 		return false
 	}
-	f.recordOwn(item)
+	s.publishNext(item)
 	return true
 }
 
-func (f *ItemStore) recordOwn(item Item) {
-	f.vector[f.Origin]++
-	f.store(item, f.Origin, f.vector[f.Origin])
+// publishNext stores an item under the next number of this origin.
+func (s *ItemStore) publishNext(item Item) {
+	s.vector[s.Origin]++
+	s.store(item, s.Origin, s.vector[s.Origin])
 }
 
-// Receive takes an item as another agent has told it; it tells whether it was new.
-func (f *ItemStore) Receive(item Item, origin string, sequence uint64) bool {
-	stored := f.items[item.Key]
+// Receive stores an item that another replica has sent, with the origin that published it and its number. It reports
+// whether the item was new. When all items of a message are received, Advance must be called with its vector.
+func (s *ItemStore) Receive(item Item, origin string, sequence uint64) bool {
+	stored := s.items[item.Key]
 	if stored == nil || item.Supersedes(stored.item) {
-		f.store(item, origin, sequence)
+		s.store(item, origin, sequence)
 		return true
 	}
-	if stored.item.Version == item.Version && stored.item.Body == item.Body && origin > stored.origin && nodeOf(origin) == nodeOf(stored.origin) {
-		f.store(stored.item, origin, sequence) // its source has told it anew in a later life: see Renew
+	same := stored.item.Version == item.Version && stored.item.Body == item.Body
+	if same && origin > stored.origin && nodeOf(origin) == nodeOf(stored.origin) {
+		// A later incarnation of the origin has published the item again, see RepublishOldIncarnations.
+		s.store(stored.item, origin, sequence)
 	}
 	return false
 }
 
+// nodeOf returns the name of the replica in an origin.
 func nodeOf(origin string) string {
 	node, _, _ := strings.Cut(origin, ".")
 	return node
 }
 
-func (f *ItemStore) store(item Item, origin string, sequence uint64) {
-	f.localSequence++
-	item.OriginIndex, item.Sequence = 0, 0
-	f.items[item.Key] = &storedItem{item: item, localSequence: f.localSequence, origin: origin, sequence: sequence}
+func (s *ItemStore) store(item Item, origin string, sequence uint64) {
+	s.localSequence++
+	item.OriginIndex = 0
+	item.Sequence = 0
+	s.items[item.Key] = &storedItem{item: item, localSequence: s.localSequence, origin: origin, sequence: sequence}
 }
 
-// Advance notes that nothing is lacking up to these numbers, once all items that came with them are taken.
-func (f *ItemStore) Advance(v Vector) {
-	for origin, sequence := range v {
-		if origin != f.Origin {
-			f.vector[origin] = max(f.vector[origin], sequence)
+// Advance records that nothing is lacking up to the progress of another replica, once all items that came with it are
+// received.
+func (s *ItemStore) Advance(progress Vector) {
+	for origin, sequence := range progress {
+		if origin != s.Origin {
+			s.vector[origin] = max(s.vector[origin], sequence)
 		}
 	}
 }
 
-// Retract takes back that what was told under some numbers was heard, as it is not there any more: whoever has it tells it
-// again. What came later from the same life is told on as this feed's own: nothing here lies beyond the vector, or it
-// could not be claimed when it is told, and where the life is over it never could.
-func (f *ItemStore) Retract(lost Vector) {
+// Retract withdraws the claim to have the items with these numbers, because they were lost: any replica that has them
+// will send them again. Later items of the same origins are published again by this store, to keep the invariant; their
+// origins may have ended and would never bring the vector up to them again.
+func (s *ItemStore) Retract(lost Vector) {
 	for origin, sequence := range lost {
-		if reached, ok := f.vector[origin]; ok && reached >= sequence && origin != f.Origin {
-			f.vector[origin] = sequence - 1
+		if reached, ok := s.vector[origin]; ok && reached >= sequence && origin != s.Origin {
+			s.vector[origin] = sequence - 1
 		}
 	}
-	f.republish(f.isBeyondVector)
+	s.republish(s.isBeyondVector)
 }
 
-// isBeyondVector tells whether an item lies beyond the vector.
-func (f *ItemStore) isBeyondVector(stored *storedItem) bool {
-	return stored.sequence > f.vector[stored.origin]
+// isBeyondVector reports whether the vector does not cover an item.
+func (s *ItemStore) isBeyondVector(stored *storedItem) bool {
+	return stored.sequence > s.vector[stored.origin]
 }
 
-// republish tells items anew as this feed's own; it tells how many.
-func (f *ItemStore) republish(wanted func(*storedItem) bool) int {
-	keys := f.selectKeys(wanted)
+// republish publishes the wanted items under numbers of this origin. It returns how many there were.
+func (s *ItemStore) republish(wanted func(*storedItem) bool) int {
+	keys := s.selectKeys(wanted)
 	for _, key := range keys {
-		f.recordOwn(f.items[key].item)
+		s.publishNext(s.items[key].item)
 	}
 	return len(keys)
 }
 
-// Prune forgets how far it has come with lives that are over and of which nothing is left: whoever holds something of them
-// tells it again.
-func (f *ItemStore) Prune(live map[string]bool) {
-	kept := map[string]bool{f.Origin: true}
-	for _, stored := range f.items {
+// Prune drops from the vector the origins that are not live and of which no item is left. A replica that has one of
+// their items will send it again.
+func (s *ItemStore) Prune(live map[string]bool) {
+	kept := map[string]bool{s.Origin: true}
+	for _, stored := range s.items {
 		kept[stored.origin] = true
 	}
-	maps.DeleteFunc(f.vector, func(origin string, _ uint64) bool { return !kept[origin] && !live[origin] })
+	maps.DeleteFunc(s.vector, func(origin string, _ uint64) bool { return !kept[origin] && !live[origin] })
 }
 
-// keptIncarnations is of how many lives before of its own a source keeps items as they were told.
+// keptIncarnations is how many earlier incarnations of its own replica a store keeps as the origins of items.
 const keptIncarnations = 2
 
-// RepublishOldIncarnations tells anew what this source told in lives long before, so that vectors do not grow with lives.
-func (f *ItemStore) RepublishOldIncarnations() (renewed int) {
-	var past []string
-	for _, stored := range f.items {
-		if stored.origin != f.Origin && nodeOf(stored.origin) == nodeOf(f.Origin) && !slices.Contains(past, stored.origin) {
-			past = append(past, stored.origin)
+// RepublishOldIncarnations publishes again what incarnations of this replica before the last keptIncarnations have
+// published, so that vectors do not grow with every restart. It returns the number of items.
+func (s *ItemStore) RepublishOldIncarnations() int {
+	var origins []string
+	for _, stored := range s.items {
+		earlier := stored.origin != s.Origin && nodeOf(stored.origin) == nodeOf(s.Origin)
+		if earlier && !slices.Contains(origins, stored.origin) {
+			origins = append(origins, stored.origin)
 		}
 	}
-	slices.Sort(past)
-	for _, origin := range past[:max(0, len(past)-keptIncarnations)] {
-		renewed += f.republish(func(stored *storedItem) bool { return stored.origin == origin })
+	slices.Sort(origins)
+	oldest := origins[:max(0, len(origins)-keptIncarnations)]
+	republished := 0
+	for _, origin := range oldest {
+		republished += s.republish(func(stored *storedItem) bool { return stored.origin == origin })
 	}
-	return renewed
+	return republished
 }
 
-// selectKeys lists those whose items are wanted, in the order in which they became new.
-func (f *ItemStore) selectKeys(wanted func(*storedItem) bool) []string {
+// selectKeys returns the keys of the wanted items, in the order in which they were stored.
+func (s *ItemStore) selectKeys(wanted func(*storedItem) bool) []string {
 	var keys []string
-	for key, stored := range f.items {
+	for key, stored := range s.items {
 		if wanted(stored) {
 			keys = append(keys, key)
 		}
 	}
-	sort.Slice(keys, func(i, j int) bool { return f.items[keys[i]].localSequence < f.items[keys[j]].localSequence })
+	sort.Slice(keys, func(i, j int) bool { return s.items[keys[i]].localSequence < s.items[keys[j]].localSequence })
 	return keys
 }
 
-// Get is the item of a key.
-func (f *ItemStore) Get(key string) (Item, bool) {
-	if stored := f.items[key]; stored != nil {
+// Get returns the item with a key, if there is one.
+func (s *ItemStore) Get(key string) (Item, bool) {
+	if stored := s.items[key]; stored != nil {
 		return stored.item, true
 	}
 	return Item{}, false
 }
 
-// OriginOf says who told an item first, and under which number.
-func (f *ItemStore) OriginOf(key string) (origin string, sequence uint64) {
-	if stored := f.items[key]; stored != nil {
+// OriginOf returns which origin has published the item with a key, and under which number, or zero values if there is
+// no such item.
+func (s *ItemStore) OriginOf(key string) (origin string, sequence uint64) {
+	if stored := s.items[key]; stored != nil {
 		return stored.origin, stored.sequence
 	}
 	return "", 0
 }
 
-// LocalSequenceOf is the number under which an item became new here.
-func (f *ItemStore) LocalSequenceOf(key string) uint64 {
-	if stored := f.items[key]; stored != nil {
+// LocalSequenceOf returns the local sequence number of the item with a key, or 0 if there is no such item.
+func (s *ItemStore) LocalSequenceOf(key string) uint64 {
+	if stored := s.items[key]; stored != nil {
 		return stored.localSequence
 	}
 	return 0
 }
 
-// Delete forgets an item.
-func (f *ItemStore) Delete(key string) { delete(f.items, key) }
-
-// Missing lists what one that has come so far lacks, in order; origins go with it. Of what came from other sources only
-// what was here by a number of this feed's: what came later is on its way to everyone already.
-func (f *ItemStore) Missing(progress Vector, maxLocalSequence uint64, wanted func(key string) bool) (items []Item, origins []string) {
-	originIndex := map[string]int{f.Origin: 0}
-	origins = []string{f.Origin}
-	for _, k := range f.selectKeys(func(stored *storedItem) bool {
-		return stored.sequence > progress[stored.origin] && (stored.origin == f.Origin || stored.localSequence <= maxLocalSequence) && (wanted == nil || wanted(stored.item.Key))
-	}) {
-		stored := f.items[k]
+// Delete deletes an item here. It is not replicated, and the vector still claims the item.
+func (s *ItemStore) Delete(key string) { delete(s.items, key) }
+
+// Missing returns the items that a replica with some progress lacks, in the order in which they were stored, and the
+// origins that their OriginIndex refers to. Items of other origins are left out if their local sequence is above
+// maxLocalSequence: they came later and are on their way to every replica already. wanted selects items by key; nil
+// selects all.
+func (s *ItemStore) Missing(
+	progress Vector, maxLocalSequence uint64, wanted func(key string) bool,
+) (items []Item, origins []string) {
+	missing := func(stored *storedItem) bool {
+		if stored.sequence <= progress[stored.origin] {
+			return false
+		}
+		if stored.origin != s.Origin && stored.localSequence > maxLocalSequence {
+			return false
+		}
+		return wanted == nil || wanted(stored.item.Key)
+	}
+	origins = []string{s.Origin}
+	originIndex := map[string]int{s.Origin: 0}
+	for _, key := range s.selectKeys(missing) {
+		stored := s.items[key]
 		if _, ok := originIndex[stored.origin]; !ok {
 			originIndex[stored.origin] = len(origins)
 			origins = append(origins, stored.origin)
 		}
 		item := stored.item
-		item.OriginIndex, item.Sequence = originIndex[stored.origin], stored.sequence
+		item.OriginIndex = originIndex[stored.origin]
+		item.Sequence = stored.sequence
 		items = append(items, item)
 	}
 	return items, origins
 }
 
-// Since lists what became new here after a number, in order: how the version before pulls.
-func (f *ItemStore) Since(sequence uint64, wanted func(key string) bool) []Item {
-	keys := f.selectKeys(func(stored *storedItem) bool {
-		return stored.localSequence > sequence && (wanted == nil || wanted(stored.item.Key))
+// Since returns the items with local sequence numbers above a given one, in order. The version before this one pulls by
+// it. wanted selects items by key; nil selects all.
+func (s *ItemStore) Since(localSequence uint64, wanted func(key string) bool) []Item {
+	keys := s.selectKeys(func(stored *storedItem) bool {
+		return stored.localSequence > localSequence && (wanted == nil || wanted(stored.item.Key))
 	})
 	items := make([]Item, len(keys))
-	for i, k := range keys {
-		items[i] = f.items[k].item
+	for i, key := range keys {
+		items[i] = s.items[key].item
 	}
 	return items
 }
 
-// ReplaceReceived takes the place of all that was told here by others, but for what is kept, by what one has told who tells all:
-// what it does not have was forgotten, or is told again by whoever has it.
-func (f *ItemStore) ReplaceReceived(received map[string]bool, progress Vector, keep func(Item) bool) (deleted []string) {
-	for key, stored := range f.items {
-		if !received[key] && stored.origin != f.Origin && !keep(stored.item) {
+// ReplaceReceived replaces everything that came from other origins by a complete answer of another replica: it deletes
+// the items whose keys the answer does not have, except those that keep selects, and adopts the answer's progress. What
+// the answer lacks was deleted, or will be sent again by any replica that has it. It returns the deleted keys, sorted.
+func (s *ItemStore) ReplaceReceived(
+	received map[string]bool, progress Vector, keep func(Item) bool,
+) (deleted []string) {
+	for key, stored := range s.items {
+		if !received[key] && stored.origin != s.Origin && !keep(stored.item) {
 			deleted = append(deleted, key)
 		}
 	}
 	sort.Strings(deleted)
 	for _, key := range deleted {
-		f.Delete(key)
+		s.Delete(key)
 	}
-	f.vector = Vector{f.Origin: f.vector[f.Origin]}
-	f.Advance(progress)
-	f.republish(f.isBeyondVector)
+	s.vector = Vector{s.Origin: s.vector[s.Origin]}
+	s.Advance(progress)
+	s.republish(s.isBeyondVector)
 	return deleted
 }
 
-// ForEach calls with every item whose key begins so.
-func (f *ItemStore) ForEach(prefix string, call func(Item)) {
-	for key, stored := range f.items {
+// ForEach calls visit with every item whose key has a prefix, in no particular order.
+func (s *ItemStore) ForEach(prefix string, visit func(Item)) {
+	for key, stored := range s.items {
 		if strings.HasPrefix(key, prefix) {
-			call(stored.item)
+			visit(stored.item)
 		}
 	}
 }
--- a/internal/control/replication/member_table.go
+++ b/internal/control/replication/member_table.go
@@ -5,99 +5,115 @@
 	"time"
 )
 
-// MemberTable says who is there: leases granted here, agents heard of through their grantors, and appliances whose pulses come
-// here. Its clock is handed in.
+// MemberTable tracks which nodes hold a lease and which backends send heartbeats here. Nodes are known by the keys of
+// their leases, wherever these were granted. It is not safe for concurrent use.
 type MemberTable struct {
-	leaseDuration time.Duration // of a lease
-	retention     time.Duration // for which a lapsed agent still counts into n: it may be cut off, and sending
-	granted       map[string]time.Time
-	unrenewed     map[string]bool      // granted in a life before, and not renewed since
-	lastSeen      map[string]time.Time // when a lease was last known to be held, wherever granted
-	zones         map[string]string
-	lastHeartbeat map[string]time.Time
+	leaseDuration time.Duration
+	// retention is for how long a node whose lease has expired still counts as active: it may be partitioned from the
+	// controllers and still send requests.
+	retention     time.Duration
+	granted       map[string]time.Time // leases granted here, by key: when each was last renewed
+	unrenewed     map[string]bool      // leases granted here by an earlier incarnation, and not renewed since
+	lastSeen      map[string]time.Time // leases wherever granted, by key: when each was last known to be held
+	zones         map[string]string    // of the nodes in lastSeen
+	lastHeartbeat map[string]time.Time // by backend
 }
 
-// NewMemberTable begins an empty roll.
+// NewMemberTable returns an empty table.
 func NewMemberTable(leaseDuration, retention time.Duration) *MemberTable {
-	return &MemberTable{leaseDuration: leaseDuration, retention: retention, granted: map[string]time.Time{}, unrenewed: map[string]bool{}, lastSeen: map[string]time.Time{},
-		zones: map[string]string{}, lastHeartbeat: map[string]time.Time{}}
+	return &MemberTable{
+		leaseDuration: leaseDuration,
+		retention:     retention,
+		granted:       map[string]time.Time{},
+		unrenewed:     map[string]bool{},
+		lastSeen:      map[string]time.Time{},
+		zones:         map[string]string{},
+		lastHeartbeat: map[string]time.Time{},
+	}
 }
 
-// RenewLease notes that an agent has called here, by its lease's key.
-func (r *MemberTable) RenewLease(key, zone string, now time.Time) {
-	r.granted[key], r.lastSeen[key], r.zones[key] = now, now, zone
-	delete(r.unrenewed, key)
+// RenewLease grants or renews a node's lease here.
+func (m *MemberTable) RenewLease(key, zone string, now time.Time) {
+	m.granted[key] = now
+	m.ObserveLease(key, zone, now)
+	delete(m.unrenewed, key)
 }
 
-// RestoreLease notes a lease that was granted here in a life before: it may be held, so that it counts, and it lapses like any
-// other; but nobody is sent there before it is renewed.
-func (r *MemberTable) RestoreLease(key, zone string, now time.Time) {
-	if _, known := r.granted[key]; !known {
-		r.RenewLease(key, zone, now)
-		r.unrenewed[key] = true
+// RestoreLease takes up a lease that an earlier incarnation granted here. It may still be held, so that its node counts
+// as active and it expires like any other; but HasRenewedLease is false until it is renewed.
+func (m *MemberTable) RestoreLease(key, zone string, now time.Time) {
+	if _, known := m.granted[key]; !known {
+		m.RenewLease(key, zone, now)
+		m.unrenewed[key] = true
 	}
 }
 
-// ExpireLeases lists the leases granted here that ran out; each is told once.
-func (r *MemberTable) ExpireLeases(now time.Time) (keys []string) {
-	for key, renewedAt := range r.granted {
-		if now.Sub(renewedAt) > r.leaseDuration {
-			keys = append(keys, key)
-			delete(r.granted, key)
-			delete(r.unrenewed, key)
+// ExpireLeases removes the leases granted here that have expired, and returns their keys, sorted.
+func (m *MemberTable) ExpireLeases(now time.Time) []string {
+	var expired []string
+	for key, renewedAt := range m.granted {
+		if now.Sub(renewedAt) > m.leaseDuration {
+			expired = append(expired, key)
+			delete(m.granted, key)
+			delete(m.unrenewed, key)
 		}
 	}
-	slices.Sort(keys)
-	return keys
+	slices.Sort(expired)
+	return expired
 }
 
-// HasRenewedLease tells whether an agent holds a lease from here.
-func (r *MemberTable) HasRenewedLease(key string) bool {
-	_, granted := r.granted[key]
-	return granted && !r.unrenewed[key]
+// HasRenewedLease reports whether a node holds a lease that this incarnation has granted or renewed.
+func (m *MemberTable) HasRenewedLease(key string) bool {
+	_, granted := m.granted[key]
+	return granted && !m.unrenewed[key]
 }
 
-// ObserveLease notes a lease that another agent grants; grantor tells whether that one is heard.
-func (r *MemberTable) ObserveLease(key, zone string, now time.Time) {
-	r.lastSeen[key], r.zones[key] = now, zone
+// ObserveLease records that a lease is held, wherever it was granted.
+func (m *MemberTable) ObserveLease(key, zone string, now time.Time) {
+	m.lastSeen[key] = now
+	m.zones[key] = zone
 }
 
-// CountActive is how many agents may be sending now, and how many of those stand in a zone. It forgets who has been gone for
-// long, so that it does not grow with agents seen. It errs upwards: shares of what all may do together are divided by it.
-func (r *MemberTable) CountActive(zone string, now time.Time) (total, inZone int) {
-	for key, seenAt := range r.lastSeen {
-		if now.Sub(seenAt) > r.retention {
-			delete(r.lastSeen, key)
-			delete(r.zones, key)
+// CountActive returns how many nodes may be sending requests now, and how many of them are in a zone. It errs upwards:
+// limits that all nodes share are divided by the count. Nodes that are not active any more are removed, so that the
+// table does not grow with every node ever seen.
+func (m *MemberTable) CountActive(zone string, now time.Time) (total, inZone int) {
+	for key, seenAt := range m.lastSeen {
+		if now.Sub(seenAt) > m.retention {
+			delete(m.lastSeen, key)
+			delete(m.zones, key)
 			continue
 		}
-		if total++; r.zones[key] == zone {
+		total++
+		if m.zones[key] == zone {
 			inZone++
 		}
 	}
 	return total, inZone
 }
 
-// IsActive tells whether an agent may be sending now: whether it counts.
-func (r *MemberTable) IsActive(key string, now time.Time) bool {
-	seenAt, ok := r.lastSeen[key]
-	return ok && now.Sub(seenAt) <= r.retention
+// IsActive reports whether a node may be sending requests now, as CountActive counts it.
+func (m *MemberTable) IsActive(key string, now time.Time) bool {
+	seenAt, ok := m.lastSeen[key]
+	return ok && now.Sub(seenAt) <= m.retention
 }
 
-// RecordHeartbeat notes a pulse that came here.
-func (r *MemberTable) RecordHeartbeat(id string, now time.Time) { r.lastHeartbeat[id] = now }
+// RecordHeartbeat records a heartbeat of a backend that was received here.
+func (m *MemberTable) RecordHeartbeat(id string, now time.Time) { m.lastHeartbeat[id] = now }
 
-// ForgetBackend forgets an appliance whose pulses go elsewhere, or that is gone.
-func (r *MemberTable) ForgetBackend(id string) { delete(r.lastHeartbeat, id) }
+// ForgetBackend stops waiting for the heartbeats of a backend: it sends them elsewhere, or has left.
+func (m *MemberTable) ForgetBackend(id string) { delete(m.lastHeartbeat, id) }
 
-// ExpireBackends lists the appliances whose pulses came here and have not come for so long; each is told once.
-func (r *MemberTable) ExpireBackends(timeout time.Duration, now time.Time) (ids []string) {
-	for id, heardAt := range r.lastHeartbeat {
-		if now.Sub(heardAt) > timeout {
-			ids = append(ids, id)
-			delete(r.lastHeartbeat, id)
+// ExpireBackends removes the backends that have sent no heartbeat here for longer than a time-out, and returns their
+// IDs, sorted.
+func (m *MemberTable) ExpireBackends(timeout time.Duration, now time.Time) []string {
+	var expired []string
+	for id, receivedAt := range m.lastHeartbeat {
+		if now.Sub(receivedAt) > timeout {
+			expired = append(expired, id)
+			delete(m.lastHeartbeat, id)
 		}
 	}
-	slices.Sort(ids)
-	return ids
+	slices.Sort(expired)
+	return expired
 }
--- /dev/null
+++ b/internal/control/replication/vector.go
@@ -0,0 +1,15 @@
+package replication
+
+// Vector is a version vector: the progress of a replica. For each origin it has the sequence number up to which the
+// replica lacks nothing that the origin has published.
+type Vector map[string]uint64
+
+// Covers reports whether a replica with progress v lacks nothing that one with the other progress has.
+func (v Vector) Covers(other Vector) bool {
+	for origin, sequence := range other {
+		if v[origin] < sequence {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/control/routing/table.go
+++ b/internal/control/routing/table.go
@@ -85,9 +85,9 @@
 	return false
 }
 
-// FindRoute returns the route of a request, or nil if there is none: of the routes of the host, the one with the longest
-// prefix of the path. It costs one look-up for each distinct length of the host's prefixes, however many routes there
-// are.
+// FindRoute returns the route of a request, or nil if there is none: of the routes of the host, the one with the
+// longest prefix of the path. It costs one look-up for each distinct length of the host's prefixes, however many routes
+// there are.
 func (t *Table) FindRoute(host, path string) *Route {
 	host = strings.ToLower(withoutPort(host))
 	routes := t.routes[host]
@@ -170,8 +170,8 @@
 	}
 }
 
-// bindTenants restricts routes to the home regions of their tenants, once all tenants are known. If both a route and its
-// tenant have home regions, both bind.
+// bindTenants restricts routes to the home regions of their tenants, once all tenants are known. If both a route and
+// its tenant have home regions, both bind.
 func (b *tableBuilder) bindTenants() {
 	for _, routes := range b.table.routes {
 		for _, route := range routes {
