--- a/internal/control/config/self_contained.go
+++ b/internal/control/config/self_contained.go
@@ -7,11 +7,11 @@
 	"sagelever/internal/control/quorum"
 )
 
-// IsSelfContained reports whether a change is valid by the current values of its own registers and by the known
+// isSelfContained reports whether a change is valid by the current values of its own registers and by the known
 // services alone, so that no other part of the configuration has to be read to check it. That is so if every route
 // keeps its host and path prefix, and each service it names is known or was already named by the route in force.
 // Changes of weights, timeouts and services are of this kind.
-func IsSelfContained(current, known, changes map[string]quorum.Value) bool {
+func isSelfContained(current, known, changes map[string]quorum.Value) bool {
 	unknown := func(service string) bool { return !exists(known[Key(KindServices, service)]) }
 	for key, value := range changes {
 		kind, name, _ := SplitKey(key)
@@ -86,7 +86,7 @@
 func CommitSelfContained(known, changes map[string]quorum.Value) quorum.DecideFunc {
 	commit := Commit(changes)
 	return func(current map[string]quorum.Value) map[string]quorum.Value {
-		if !IsSelfContained(current, known, changes) {
+		if !isSelfContained(current, known, changes) {
 			return nil
 		}
 		return commit(current)
--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -25,8 +25,8 @@
 // ZoneOfListKey is the inverse of ListKey.
 func ZoneOfListKey(key string) string { return strings.TrimPrefix(key, ListKeyPrefix) }
 
-// MaxPerZone bounds the drains in a zone.
-const MaxPerZone = 256
+// maxPerZone bounds the drains in a zone.
+const maxPerZone = 256
 
 // Drain is an operator's order that something in a zone gets no new work: one backend if ID is set, the backends of a
 // service if Service is set, or else all backends.
@@ -38,10 +38,10 @@
 	BeganMs int64  `json:"b"` // Unix milliseconds, by the clock of the controller that received the order
 }
 
-// List is the body of the register of ListKey.
+// zoneDrains is the body of the register of ListKey.
 //
 //easyjson:json
-type List struct {
+type zoneDrains struct {
 	Drains []Drain `json:"d"`
 }
 
@@ -66,16 +66,16 @@
 
 // ReadList reads the drains from the register of a zone. A register that cannot be read has none.
 func ReadList(value quorum.Value) []Drain {
-	list := &List{}
-	if value.Body == "" || easyjson.Unmarshal([]byte(value.Body), list) != nil {
+	body := &zoneDrains{}
+	if value.Body == "" || easyjson.Unmarshal([]byte(value.Body), body) != nil {
 		return nil
 	}
-	return list.Drains
+	return body.Drains
 }
 
 // encodeList returns the next value of a zone's register.
 func encodeList(current quorum.Value, drains []Drain) quorum.Value {
-	body, _ := easyjson.Marshal(&List{Drains: drains}) // strings and integers always encode
+	body, _ := easyjson.Marshal(&zoneDrains{Drains: drains}) // strings and integers always encode
 	return quorum.Value{Version: current.Version + 1, Body: string(body), Annotation: current.Annotation}
 }
 
--- a/internal/control/drain/drain_easyjson.go
+++ b/internal/control/drain/drain_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson3795ee0DecodeSageleverInternalControlDrain(in *jlexer.Lexer, out *List) {
+func easyjson3795ee0DecodeSageleverInternalControlDrain(in *jlexer.Lexer, out *zoneDrains) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -68,7 +68,7 @@
 		in.Consumed()
 	}
 }
-func easyjson3795ee0EncodeSageleverInternalControlDrain(out *jwriter.Writer, in List) {
+func easyjson3795ee0EncodeSageleverInternalControlDrain(out *jwriter.Writer, in zoneDrains) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -92,26 +92,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v List) MarshalJSON() ([]byte, error) {
+func (v zoneDrains) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson3795ee0EncodeSageleverInternalControlDrain(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v List) MarshalEasyJSON(w *jwriter.Writer) {
+func (v zoneDrains) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson3795ee0EncodeSageleverInternalControlDrain(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *List) UnmarshalJSON(data []byte) error {
+func (v *zoneDrains) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson3795ee0DecodeSageleverInternalControlDrain(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *List) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *zoneDrains) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson3795ee0DecodeSageleverInternalControlDrain(l, v)
 }
 func easyjson3795ee0DecodeSageleverInternalControlDrain1(in *jlexer.Lexer, out *Drain) {
--- a/internal/control/drain/update.go
+++ b/internal/control/drain/update.go
@@ -10,7 +10,7 @@
 )
 
 // Add returns the update that adds a drain to the register of its zone. A drain that is already listed changes nothing.
-// Drains of backends that have ended are removed on this occasion; if the zone still has MaxPerZone, nothing changes.
+// Drains of backends that have ended are removed on this occasion; if the zone still has maxPerZone, nothing changes.
 func Add(added Drain, ended func(id string) bool, now time.Time) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		drains := ReadList(current)
@@ -18,7 +18,7 @@
 			return current
 		}
 		drains = slices.DeleteFunc(slices.Clone(drains), func(d Drain) bool { return d.ID != "" && ended(d.ID) })
-		if len(drains) >= MaxPerZone {
+		if len(drains) >= maxPerZone {
 			return current
 		}
 		added.BeganMs = now.UnixMilli()
