--- /dev/null
+++ b/internal/proxy/apply.go
@@ -0,0 +1,182 @@
+package proxy
+
+import (
+	"maps"
+	"strings"
+	"time"
+
+	"github.com/mailru/easyjson"
+	"go.uber.org/zap"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/quorum"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/control/routing"
+	"sagelever/internal/proxy/balancer"
+)
+
+// apply applies the response to a pull: the configuration as a new routing table, the backends, and the release tallies
+// of other proxies.
+//
+// It returns errStaleResponse, and applies nothing, if the response lay unread for longer than the pull may take, as it
+// does after the process was stopped: when it was given is unknown then, and the controllers may have forgotten
+// removals since.
+func (s *subscription) apply(pull answeredPull, now time.Time) error {
+	maxAge := time.Duration(pull.request.WaitMs)*time.Millisecond + responseTimeout
+	if now.Sub(pull.sentAt) > maxAge {
+		return errStaleResponse
+	}
+	table, fullSync := s.applyConfiguration(pull)
+	targets := s.updateBalancer(pull, table, fullSync, now)
+	s.proxy.connPool.preconnect(targets)
+	if table != nil && table.Limits != (routing.RequestLimits{}) {
+		s.proxy.listener.applyLimits(table.Limits)
+	}
+	if pull.response.HasQuorum && !s.proxy.synced.Load() {
+		s.proxy.synced.Store(true)
+		s.proxy.log.Info("configuration complete",
+			zap.Int("items", s.proxy.routingTable.Load().ItemCount),
+			zap.Int64("sinceStartMs", time.Since(s.proxy.startedAt).Milliseconds()))
+	}
+	return nil
+}
+
+// updateBalancer applies a response to the balancer, in one critical section, so that no request is placed by half of
+// it. It returns the backends to which connections should be opened ahead of time.
+func (s *subscription) updateBalancer(pull answeredPull, table *routing.Table, fullSync bool,
+	now time.Time) []balancer.PreconnectTarget {
+	p, response := s.proxy, pull.response
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.balancer.SetProxyCounts(response.Proxies, response.ZoneProxies, now)
+	if response.HasQuorum {
+		p.balancer.RenewLease(pull.sentAt)
+	}
+	if table != nil {
+		p.balancer.Configure(table, now)
+		p.routingTable.Store(table)
+	}
+	backends := s.applyItems(response, now)
+	if fullSync && response.HasQuorum {
+		p.balancer.RetainBackends(backends, now)
+	}
+	if len(response.Items) > 0 {
+		p.balancer.DispatchAll(now)
+	}
+	return p.balancer.TakePreconnects()
+}
+
+// applyConfiguration applies what concerns the controllers and the configuration. table is nil if the configuration has
+// not changed. fullSync says that the response replaces all that the proxy knew.
+func (s *subscription) applyConfiguration(pull answeredPull) (table *routing.Table, fullSync bool) {
+	response := pull.response
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fullSync = s.recordProgress(pull)
+	for _, controller := range response.Members {
+		s.controllers[controller.Addr] = controller
+	}
+	s.advertVersion = max(s.advertVersion, response.KnownIncarnation+1)
+	// A controller that has restarted may number surveys lower than before, if its clock was set back.
+	if response.SurveyID != 0 && response.SurveyID != s.lastSurvey {
+		s.lastSurvey = response.SurveyID
+		go s.reportInFlight(pull.addr, response.SurveyID)
+	}
+	changed := s.mergeConfiguration(response.Items)
+	if changed || s.proxy.routingTable.Load() == nil && response.HasQuorum {
+		table = routing.NewTable(s.values)
+	}
+	return table, fullSync
+}
+
+// mergeConfiguration merges the configuration items and returns whether any is newer than what was known. The caller
+// holds s.mu. No key ever goes back to an older version.
+func (s *subscription) mergeConfiguration(items []replication.Item) (changed bool) {
+	for _, item := range items {
+		if !strings.HasPrefix(item.Key, replication.RegisterKey) {
+			continue
+		}
+		entry := quorum.Entry{}
+		if err := easyjson.Unmarshal([]byte(item.Body), &entry); err != nil || !entry.Chosen {
+			continue
+		}
+		if entry.Value.Version > s.values[entry.Key].Version {
+			s.values[entry.Key] = entry.Value
+			changed = true
+		}
+	}
+	return changed
+}
+
+// applyItems applies the items about backends and release tallies. The caller holds the proxy's lock. It returns the
+// ids of the backends that the response contains.
+func (s *subscription) applyItems(response *message.PullResponse, now time.Time) (backends map[string]bool) {
+	backends = map[string]bool{}
+	for _, item := range response.Items {
+		if id, ok := strings.CutPrefix(item.Key, replication.BackendKey); ok {
+			if backend, ok := replication.ReadBackend(item); ok {
+				toLocalTime(backend, response, now)
+				s.proxy.balancer.UpdateBackend(id, item.Version, backend, now)
+				backends[id] = true
+			}
+		} else if key, ok := strings.CutPrefix(item.Key, replication.ReleaseTallyKey); ok {
+			if tally, ok := replication.ReadReleaseTally(item); ok {
+				s.proxy.balancer.UpdateTally(key, tally)
+			}
+		}
+	}
+	return backends
+}
+
+// toLocalTime converts the times in a backend's item from the controller's clock to the local one.
+func toLocalTime(backend *replication.Backend, response *message.PullResponse, now time.Time) {
+	if response.NowMs <= 0 {
+		return
+	}
+	offset := now.UnixMilli() - response.NowMs
+	backend.HeartbeatMs += offset
+	if backend.WarmAtMs != 0 {
+		backend.WarmAtMs += offset
+	}
+}
+
+// recordProgress records how far the proxy has come with a response, and returns whether the response replaces all that
+// it knew. The caller holds s.mu.
+//
+// Pulls may overlap. A response to a pull whose progress the proxy has given up since does not advance it. The
+// state counts as known since the time of the request, because when it was answered is unknown.
+func (s *subscription) recordProgress(pull answeredPull) (fullSync bool) {
+	response := pull.response
+	stale := len(s.progress) == 0 || pull.sentAt.Sub(s.lastUpdate) >= fullSyncAfter
+	if pull.addr != s.sourceAddr {
+		s.lastSurvey = 0
+	}
+	s.sourceAddr = pull.addr
+	if pull.sentAt.After(s.lastUpdate) {
+		s.lastUpdate = pull.sentAt
+	}
+	delete(s.legacyProgress, s.legacySources[pull.addr])
+	delete(s.legacySources, pull.addr)
+	switch {
+	case response.ProtocolVersion < message.ProtocolVersion:
+		s.legacySources[pull.addr] = response.Source
+		s.legacyProgress[response.Source] = response.Seq
+		return response.Complete
+	case response.Complete && stale:
+		s.progress = maps.Clone(response.Progress)
+		return true
+	case response.Complete || s.progress.Covers(pull.request.Progress):
+		s.advanceProgress(response)
+	}
+	return false
+}
+
+// advanceProgress adds the progress in a response. The caller holds s.mu.
+func (s *subscription) advanceProgress(response *message.PullResponse) {
+	for origin, seq := range response.Progress {
+		s.progress[origin] = max(s.progress[origin], seq)
+	}
+	for _, origin := range response.DroppedOrigins {
+		delete(s.progress, origin)
+	}
+}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,27 +14,39 @@
 	"sagelever/internal/upstream"
 )
 
-// attempt is one send of a request to one appliance, and how far it has come. Its phase may be asked for at any time.
+// attempt is one send of a request to one backend and how far it has come. Its phase may be read at any time, by any
+// goroutine.
 type attempt struct {
 	exchange   upstream.Exchange
 	method     string
-	tryID      string                      // of the try, as the client sent it
-	withheldBy atomic.Pointer[retry.Event] // why nothing was written
+	tryID      string                      // the client's id of the try; the response repeats it
+	withheldBy atomic.Pointer[retry.Event] // why nothing was written; nil if writing was permitted
 
-	connected, reused               atomic.Bool // it has a connection; one that has carried a request before
-	headerWritten, requestWritten   atomic.Bool // handed to the connection whole: its head, all of it
-	headerRead, streaming, complete atomic.Bool // of its answer: the head is whole, the client has part of it, it is whole
+	// Of the current connection and what is written on it.
+	connected      atomic.Bool
+	reused         atomic.Bool // the connection has carried a request before
+	headerWritten  atomic.Bool
+	requestWritten atomic.Bool
+
+	// Of the response.
+	headerRead atomic.Bool
+	streaming  atomic.Bool // the client has a part of it
+	complete   atomic.Bool
 }
 
-// newAttempt makes an attempt; gate is asked before its first byte is written, and gives the event that forbids it.
-func newAttempt(r *http.Request, gate func() (retry.Event, bool)) *attempt {
+// newAttempt makes an attempt. checkWrite is asked before the first byte is written and names the event that forbids
+// the write; later bytes are not checked, as the backend may already work on the request.
+func newAttempt(r *http.Request, checkWrite func() (event retry.Event, forbidden bool)) *attempt {
 	a := &attempt{method: r.Method, tryID: r.Header.Get(headerTryID)}
-	a.exchange.MatchesResponse = func(h http.Header) bool { return h.Get(headerTryID) == a.tryID || h.Get(headerTryID) == "" }
+	a.exchange.MatchesResponse = func(header http.Header) bool {
+		id := header.Get(headerTryID)
+		return id == a.tryID || id == "" // one without an id is rejected by validateResponse
+	}
 	a.exchange.ValidateResponse = a.validateResponse
 	a.exchange.RequestWritten = a.requestWritten.Load
 	a.exchange.WriteGate = func(write func()) bool {
-		if !a.exchange.WriteStarted() { // what has begun there ends there
-			if event, forbidden := gate(); forbidden {
+		if !a.exchange.WriteStarted() {
+			if event, forbidden := checkWrite(); forbidden {
 				a.withheldBy.Store(&event)
 				return false
 			}
@@ -46,12 +58,12 @@
 }
 
 var (
-	errUnidentifiedResponse = errors.New("the answer carries no try's id")
-	errMissingSeal          = errors.New("a success without the appliance's seal")
-	errUnknownLength        = errors.New("the answer does not say where it ends, so that a part of it would look whole")
+	errUnidentifiedResponse = errors.New("response without the id of a try")
+	errMissingSeal          = errors.New("successful response without the backend's seal")
+	errUnknownLength        = errors.New("response without a length: a part of it would look complete")
 )
 
-// validateResponse tells why an answer that stands in the place of the awaited one may not be believed.
+// validateResponse returns why a response, judged by its header, cannot be trusted, or nil.
 func (a *attempt) validateResponse(resp *http.Response) error {
 	switch {
 	case resp.Header.Get(headerTryID) == "":
@@ -64,14 +76,21 @@
 	return nil
 }
 
-// resetConnection makes the attempt ready for another connection, as nothing was written on the one before.
+// resetConnection makes the attempt ready for another connection. Nothing may have been written on the last one.
 func (a *attempt) resetConnection() {
-	for _, flag := range []*atomic.Bool{&a.connected, &a.reused, &a.headerWritten, &a.requestWritten} {
-		flag.Store(false)
-	}
+	a.connected.Store(false)
+	a.reused.Store(false)
+	a.headerWritten.Store(false)
+	a.requestWritten.Store(false)
 }
 
-// clientTrace has the transport tell how far it has come.
+// mayTakeNextConnection reports whether the attempt failed on a connection before anything was written, so that the
+// same attempt can go on with another connection.
+func (a *attempt) mayTakeNextConnection() bool {
+	return a.connected.Load() && !a.exchange.WriteStarted() && a.withheldBy.Load() == nil
+}
+
+// clientTrace makes the transport record the progress of the attempt.
 func (a *attempt) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -84,7 +103,7 @@
 	}
 }
 
-// phase tells how far the attempt has come. What waits in a buffer in front of the connection is not yet written.
+// phase returns how far the attempt has come. What is still in a buffer before the connection counts as not written.
 func (a *attempt) phase() retry.Phase {
 	switch {
 	case a.complete.Load():
@@ -107,7 +126,8 @@
 	return retry.AwaitingResponse
 }
 
-// failureEvent reads the event that ended an attempt without a whole answer.
+// failureEvent returns the event that ended an attempt without a complete response. ctx is the context of the send, err
+// the error of the transport or of reading the body.
 func (a *attempt) failureEvent(ctx context.Context, err error) retry.Event {
 	if event := a.withheldBy.Load(); event != nil {
 		return *event
@@ -123,26 +143,32 @@
 		return retry.UnsealedResponse
 	case errors.Is(err, upstream.ErrMalformedResponse):
 		return retry.MalformedResponse
-	}
-	if a.phase() == retry.Dialing {
-		if netErr, ok := errors.Into[net.Error](err); ok && netErr.Timeout() {
-			return retry.Timeout
-		}
+	case a.phase() == retry.Dialing:
+		return dialFailureEvent(err)
+	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.Is(err, syscall.ETIMEDOUT):
 		return retry.ConnectionReset
 	}
-	for _, connErr := range []error{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
-		if errors.Is(err, connErr) {
-			return retry.ConnectionReset
-		}
-	}
 	return retry.ConnectionClosed
 }
 
-// refusalStatuses are the statuses which tell a client that its request has not run and never will.
-var refusalStatuses = map[int]bool{http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
-	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
+// dialFailureEvent returns the event of a connection that was not established.
+func dialFailureEvent(err error) retry.Event {
+	if netErr, ok := errors.Into[net.Error](err); ok && netErr.Timeout() {
+		return retry.Timeout
+	}
+	return retry.ConnectionReset
+}
+
+// refusalStatuses are the statuses that tell a client that its request was not executed and never will be.
+var refusalStatuses = map[int]bool{
+	http.StatusRequestTimeout:     true,
+	http.StatusMisdirectedRequest: true,
+	http.StatusTooManyRequests:    true,
+	http.StatusServiceUnavailable: true,
+}
 
-// responseEvent reads the event of a whole answer. Only the header, and 421, say that the request did not run.
+// responseEvent returns the event of a complete response. Only headerNotExecuted and status 421 say that the request
+// was not executed.
 func responseEvent(status int, header http.Header) retry.Event {
 	switch {
 	case header.Get(headerNotExecuted) != "" && status/100 == 4 && !refusalStatuses[status]:
--- a/internal/proxy/backendrequest.go
+++ b/internal/proxy/backendrequest.go
@@ -12,30 +12,38 @@
 	"sagelever/internal/proxy/balancer"
 )
 
-// newBackendRequest makes the request that an appliance gets: method, path, query and body as they came.
-func newBackendRequest(r *http.Request, req *balancer.Request, body []byte, remainder io.Reader) *http.Request {
-	outbound := &http.Request{Method: r.Method, URL: backendURL(r, req.SentTo.Address), Host: r.Host, Header: make(http.Header, len(r.Header)+2)}
-	for k, v := range r.Header {
-		if !hopByHopHeaders[k] {
-			outbound.Header[k] = v
+// newBackendRequest makes the request that a backend receives: method, path, query and body are the client's. A body
+// that is buffered completely is set later, before each send (see roundTrip).
+func newBackendRequest(r *http.Request, request *balancer.Request, body requestBody) *http.Request {
+	outbound := &http.Request{
+		Method: r.Method,
+		URL:    backendURL(r, request.SentTo.Address),
+		Host:   r.Host,
+		Header: make(http.Header, len(r.Header)+2),
+	}
+	for name, values := range r.Header {
+		if !hopByHopHeaders[name] {
+			outbound.Header[name] = values
 		}
 	}
 	removeConnectionHeaders(outbound.Header, r.Header)
 	if _, ok := outbound.Header["User-Agent"]; !ok {
-		outbound.Header["User-Agent"] = nil
+		outbound.Header["User-Agent"] = nil // keeps the transport from adding its own
 	}
-	outbound.Header[headerTargetServer] = []string{req.SentTo.ID}
-	outbound.Header[headerTimeLeft] = []string{strconv.FormatInt(max(0, time.Until(req.Deadline).Milliseconds()), 10)}
-	if remainder != nil {
-		outbound.Body, outbound.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(body), remainder)), r.ContentLength
+	timeLeft := max(0, time.Until(request.Deadline).Milliseconds())
+	outbound.Header[headerTargetServer] = []string{request.SentTo.ID}
+	outbound.Header[headerTimeLeft] = []string{strconv.FormatInt(timeLeft, 10)}
+	if !body.replayable() {
+		outbound.Body = io.NopCloser(io.MultiReader(bytes.NewReader(body.buffered), body.remainder))
+		outbound.ContentLength = r.ContentLength
 	}
 	return outbound
 }
 
-// backendURL is the place of a request at an appliance, letter for letter as the client wrote it.
+// backendURL is the URL of a request at a backend, byte for byte as the client wrote path and query.
 func backendURL(r *http.Request, address string) *url.URL {
 	path, query, hasQuery := strings.Cut(r.RequestURI, "?")
-	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") {
+	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") { // Opaque would be read as a URL of its own
 		return &url.URL{Scheme: "http", Host: address, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -10,31 +10,40 @@
 	"sagelever/internal/upstream"
 )
 
-// connPool are the connections to appliances: how many are open to each, and those that were opened ahead and wait for a first
-// request.
+// preconnectTTL is how long a connection that was opened ahead of time waits for its first request. It is short because
+// requests that move to another backend do so at once.
+const preconnectTTL = time.Second
+
+// connPool opens connections to backends for the transport. It counts the open ones by address and keeps those that
+// were opened ahead of time until their first request; idle connections after that are the transport's.
 type connPool struct {
 	dialer  *net.Dialer
 	options upstream.Options
-	onDial  func()
+	onDial  func() // called for each connection that is dialed
 
 	mu           sync.Mutex
-	openCount    map[string]int
-	preconnected map[string]*preconnection // one for each address at most
+	openCount    map[string]int            // by address
+	preconnected map[string]*preconnection // by address, one for each at most
 }
 
-// preconnectTTL is within what time a connection that was opened ahead is of use: what moves does so at once.
-const preconnectTTL = time.Second
-
+// preconnection is a connection that was opened ahead of time and has carried no request yet.
 type preconnection struct {
 	conn      net.Conn
 	expiresAt time.Time
 }
 
 func newConnPool(options upstream.Options, onDial func()) *connPool {
-	return &connPool{dialer: userTimeout.Dialer(dialTimeout), options: options, onDial: onDial, openCount: map[string]int{}, preconnected: map[string]*preconnection{}}
+	return &connPool{
+		dialer:       userTimeout.Dialer(dialTimeout),
+		options:      options,
+		onDial:       onDial,
+		openCount:    map[string]int{},
+		preconnected: map[string]*preconnection{},
+	}
 }
 
-// dial gives a connection that was opened ahead, or opens one.
+// dial returns the connection that was opened ahead of time to address, or a new one. It has the signature of
+// http.Transport.DialContext.
 func (p *connPool) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	p.mu.Lock()
 	ready := p.preconnected[address]
@@ -49,6 +58,7 @@
 	return p.connect(ctx, network, address)
 }
 
+// connect opens a new connection.
 func (p *connPool) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	p.onDial()
 	conn, err := p.dialer.DialContext(ctx, network, address)
@@ -64,46 +74,54 @@
 func (p *connPool) adjustOpenCount(address string, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.openCount[address] += delta; p.openCount[address] == 0 {
+	p.openCount[address] += delta
+	if p.openCount[address] == 0 {
 		delete(p.openCount, address)
 	}
 }
 
-// preconnect opens a connection to each that has none at rest.
-func (p *connPool) preconnect(hints []balancer.PreconnectTarget) {
-	for _, hint := range hints {
-		p.mu.Lock()
-		hasSpare := p.openCount[hint.Address] > hint.InUse || p.preconnected[hint.Address] != nil
-		p.mu.Unlock()
-		if hasSpare {
-			continue
+// preconnect opens a connection to each target that has no idle one. It does not wait for them: each dial ends within
+// dialTimeout, and what is not used is closed by closeExpired.
+func (p *connPool) preconnect(targets []balancer.PreconnectTarget) {
+	for _, target := range targets {
+		if !p.hasIdle(target) {
+			go p.openAhead(target.Address)
 		}
-		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-			defer cancel()
-			conn, err := p.connect(ctx, "tcp4", hint.Address)
-			if err != nil {
-				return // the first request there will see it
-			}
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			if p.preconnected[hint.Address] != nil {
-				go conn.Close() // it is counted under the lock
-				return
-			}
-			p.preconnected[hint.Address] = &preconnection{conn, time.Now().Add(preconnectTTL)}
-		}()
 	}
 }
 
-// closeExpired closes what was opened ahead and not used.
+// hasIdle reports whether there is a connection to the target that carries no request.
+func (p *connPool) hasIdle(target balancer.PreconnectTarget) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.openCount[target.Address] > target.InUse || p.preconnected[target.Address] != nil
+}
+
+// openAhead opens a connection and keeps it for the next request to address.
+func (p *connPool) openAhead(address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	defer cancel()
+	conn, err := p.connect(ctx, "tcp4", address)
+	if err != nil {
+		return // the first request to this address meets the same error and handles it
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.preconnected[address] != nil {
+		go conn.Close() // in a goroutine because OnClose takes the lock
+		return
+	}
+	p.preconnected[address] = &preconnection{conn, time.Now().Add(preconnectTTL)}
+}
+
+// closeExpired closes the connections that were opened ahead of time and not used before now.
 func (p *connPool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, ready := range p.preconnected {
 		if now.After(ready.expiresAt) {
 			delete(p.preconnected, address)
-			go ready.conn.Close()
+			go ready.conn.Close() // in a goroutine because OnClose takes the lock
 		}
 	}
 }
--- /dev/null
+++ b/internal/proxy/counters.go
@@ -0,0 +1,52 @@
+package proxy
+
+import (
+	"sync/atomic"
+
+	"go.uber.org/zap"
+)
+
+// distanceClasses is the number of distances of a backend: in this zone, in this region, beyond it.
+const distanceClasses = 3
+
+// counters count requests since the start of the proxy. They are logged at intervals; single requests are not.
+type counters struct {
+	received     atomic.Int64 // requests from clients
+	served       atomic.Int64 // responses forwarded that count as a success
+	refused      atomic.Int64 // answered by the proxy itself, without execution
+	failed       atomic.Int64 // answered with an error after the request may have been executed
+	dials        atomic.Int64 // connections opened to backends
+	retries      atomic.Int64
+	queued       atomic.Int64 // requests that had to wait for a backend
+	aborted      atomic.Int64 // responses broken off before their end
+	healthChecks atomic.Int64 // health checks sent to backends
+	withheld     atomic.Int64 // sends moved to another backend because the first began to drain while it was dialed
+
+	sendsByDistance [distanceClasses]atomic.Int64
+	bytesByDistance [distanceClasses]atomic.Int64 // of request and response bodies
+}
+
+// logTo logs all counters in one line, or nothing before the first request.
+func (c *counters) logTo(log *zap.Logger) {
+	if c.received.Load() == 0 {
+		return
+	}
+	log.Info("request counters",
+		zap.Int64("received", c.received.Load()),
+		zap.Int64("served", c.served.Load()),
+		zap.Int64("refused", c.refused.Load()),
+		zap.Int64("failed", c.failed.Load()),
+		zap.Int64("dials", c.dials.Load()),
+		zap.Int64("retries", c.retries.Load()),
+		zap.Int64("queued", c.queued.Load()),
+		zap.Int64("aborted", c.aborted.Load()),
+		zap.Int64("healthChecks", c.healthChecks.Load()),
+		zap.Int64("withheld", c.withheld.Load()),
+		zap.Int64s("sendsByDistance", loadAll(&c.sendsByDistance)),
+		zap.Int64s("bytesByDistance", loadAll(&c.bytesByDistance)),
+	)
+}
+
+func loadAll(values *[distanceClasses]atomic.Int64) []int64 {
+	return []int64{values[0].Load(), values[1].Load(), values[2].Load()}
+}
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -5,26 +5,37 @@
 	"strings"
 )
 
-// Headers of the protocol.
+// Headers of the protocol between client, proxy and backend.
 const (
-	headerTryID        = "X-Sagelever-Try-Id"
-	headerTimeLeft     = "X-Sagelever-Time-Left-Ms"
-	headerTargetServer = "X-Sagelever-Meant-Server"
-	headerServerSeal   = "X-Sagelever-Server-Seal"
-	headerNotExecuted  = "X-Sagelever-Not-Run"
-	headerServerID     = "X-Sagelever-Server-Id"
-	headerWarmUp       = "X-Sagelever-Warm-Up-Ms"
+	headerTryID        = "X-Sagelever-Try-Id"       // of one attempt of a client; a backend repeats it in its response
+	headerTimeLeft     = "X-Sagelever-Time-Left-Ms" // how long the sender of a request waits for the response
+	headerTargetServer = "X-Sagelever-Meant-Server" // id of the backend that a request is meant for
+	headerServerSeal   = "X-Sagelever-Server-Seal"  // proof in a 2xx response that a backend made it
+	headerNotExecuted  = "X-Sagelever-Not-Run"      // in a response: the request was not executed
+	headerServerID     = "X-Sagelever-Server-Id"    // id of the backend, in the response to a health check
+	headerWarmUp       = "X-Sagelever-Warm-Up-Ms"   // how long the backend is still warming up, in the same response
 )
 
-// hopByHopHeaders are the headers that concern only one connection.
-var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
-	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
+// hopByHopHeaders are the headers that concern a single connection and are not forwarded (RFC 9110, section 7.6.1).
+var hopByHopHeaders = map[string]bool{
+	"Connection":          true,
+	"Keep-Alive":          true,
+	"Proxy-Connection":    true,
+	"Te":                  true,
+	"Trailer":             true,
+	"Transfer-Encoding":   true,
+	"Upgrade":             true,
+	"Proxy-Authenticate":  true,
+	"Proxy-Authorization": true,
+}
 
-// removeConnectionHeaders removes the headers that a Connection header names.
+// removeConnectionHeaders removes from header what the Connection header of source names. Content-Length stays, as a
+// message without it could not be framed.
 func removeConnectionHeaders(header, source http.Header) {
 	for _, line := range source["Connection"] {
-		for _, name := range strings.Split(line, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != "" && name != "Close" && name != "Content-Length" {
+		for _, token := range strings.Split(line, ",") {
+			name := http.CanonicalHeaderKey(strings.TrimSpace(token))
+			if name != "" && name != "Close" && name != "Content-Length" {
 				delete(header, name)
 			}
 		}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,21 +13,42 @@
 	"sagelever/internal/control/routing"
 )
 
-// defaultLimits is what clients may send before the first configuration tells.
-var defaultLimits = routing.RequestLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+const (
+	// maxDrainNotice bounds the time for which a draining proxy still accepts connections, because clients learn only
+	// with a delay that they should go elsewhere.
+	maxDrainNotice = 2 * time.Second
 
-// listener listens for clients. Its server takes the limits when it is made, so that a change of them puts a new server on
-// the same listener; the old one goes on with the connections that it has.
+	// acceptRetryDelay is the pause after a failed accept. Accept fails while the process has no descriptor left.
+	acceptRetryDelay = 20 * time.Millisecond
+
+	// maxHeaderLimit bounds the configured size of a request's header.
+	maxHeaderLimit = 1 << 20
+)
+
+// defaultLimits hold until the first configuration arrives.
+var defaultLimits = routing.RequestLimits{
+	MaxHeaderBytes: 16 << 10,
+	MaxBodyBytes:   1 << 20,
+	HeaderTimeout:  3 * time.Second,
+	IdleTimeout:    15 * time.Second,
+}
+
+// listener accepts connections from clients. An http.Server takes its limits when it is made, so that changed limits
+// put a new server in its place; the previous server keeps the connections that it has.
 type listener struct {
-	proxy       *Proxy
-	tcpListener net.Listener
-	mu          sync.Mutex
-	current     *serverListener
-	servers     []*http.Server
-	limits      routing.RequestLimits
+	handler       http.Handler
+	shutdownGrace time.Duration
+	tcpListener   net.Listener
+	acceptDone    chan struct{} // closed when the accept loop has ended
+
+	mu      sync.Mutex
+	current *serverListener // of the last of servers
+	servers []*http.Server
+	limits  routing.RequestLimits // of the last of servers
 }
 
-// serverListener hands a listener's connections to a server until it is turned off.
+// serverListener is the net.Listener of one http.Server. It returns the connections that it is offered, until it is
+// closed.
 type serverListener struct {
 	net.Listener
 	conns     chan net.Conn
@@ -35,57 +56,85 @@
 	closeOnce sync.Once
 }
 
+// offer hands a connection to the server. It returns false if the listener is closed.
+func (l *serverListener) offer(conn net.Conn) bool {
+	select {
+	case l.conns <- conn:
+		return true
+	case <-l.done:
+		return false
+	}
+}
+
+// Accept implements net.Listener.
 func (l *serverListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.conns:
-		return c, nil
+	case conn := <-l.conns:
+		return conn, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *serverListener) Close() error { l.closeOnce.Do(func() { close(l.done) }); return nil }
+// Close implements net.Listener. The TCP listener behind it stays open.
+func (l *serverListener) Close() error {
+	l.closeOnce.Do(func() { close(l.done) })
+	return nil
+}
 
-func newListener(proxy *Proxy) *listener { return &listener{proxy: proxy} }
+func newListener(handler http.Handler, shutdownGrace time.Duration) *listener {
+	return &listener{handler: handler, shutdownGrace: shutdownGrace, acceptDone: make(chan struct{})}
+}
 
+// open starts to accept connections, with the default limits.
 func (l *listener) open(address string) error {
 	tcpListener, err := userTimeout.Listen(address)
 	if err != nil {
 		return err
 	}
+	l.mu.Lock()
 	l.tcpListener = tcpListener
+	l.mu.Unlock()
 	l.applyLimits(defaultLimits)
-	go func() {
-		for {
-			c, err := tcpListener.Accept()
-			if err != nil {
-				if errors.Is(err, net.ErrClosed) {
-					return
-				}
-				time.Sleep(queueCheckInterval) // out of descriptors: some will come free
-				continue
-			}
-			l.mu.Lock()
-			current := l.current
-			l.mu.Unlock()
-			select {
-			case current.conns <- c:
-			case <-current.done: // a new server has just taken over
-				l.mu.Lock()
-				current = l.current
-				l.mu.Unlock()
-				select {
-				case current.conns <- c:
-				case <-current.done:
-					c.Close()
-				}
-			}
-		}
-	}()
+	go l.acceptLoop()
 	return nil
 }
 
-// applyLimits puts a server with these limits in front.
+// acceptLoop accepts connections until the TCP listener is closed.
+func (l *listener) acceptLoop() {
+	defer close(l.acceptDone)
+	for {
+		conn, err := l.tcpListener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		l.handOver(conn)
+	}
+}
+
+// handOver gives a connection to the current server. If that has just been replaced its successor gets the connection;
+// if the successor is closed too the proxy is shutting down.
+func (l *listener) handOver(conn net.Conn) {
+	const tries = 2
+	for range tries {
+		if l.currentServer().offer(conn) {
+			return
+		}
+	}
+	conn.Close()
+}
+
+func (l *listener) currentServer() *serverListener {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.current
+}
+
+// applyLimits puts a server with the given limits in place of the current one, unless that has them already.
 func (l *listener) applyLimits(limits routing.RequestLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,31 +143,36 @@
 	}
 	l.limits = limits
 	previous := l.current
-	l.current = &serverListener{Listener: l.tcpListener, conns: make(chan net.Conn), done: make(chan struct{})}
-	server := &http.Server{Handler: l, ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout, MaxHeaderBytes: int(min(limits.MaxHeaderBytes, 1<<20)),
-		ErrorLog: zap.NewStdLog(zap.NewNop())} // what clients do wrong is counted, not told line by line
+	current := &serverListener{Listener: l.tcpListener, conns: make(chan net.Conn), done: make(chan struct{})}
+	l.current = current
+	server := &http.Server{
+		Handler:           l.handler,
+		ReadHeaderTimeout: limits.HeaderTimeout,
+		IdleTimeout:       limits.IdleTimeout,
+		MaxHeaderBytes:    int(min(limits.MaxHeaderBytes, maxHeaderLimit)),
+		ErrorLog:          zap.NewStdLog(zap.NewNop()), // errors of clients are counted, not logged one by one
+	}
 	l.servers = append(l.servers, server)
-	go server.Serve(l.current)
+	go func() { _ = server.Serve(current) }() // always ends with an error, once current is closed
 	if previous != nil {
-		previous.Close()
+		_ = previous.Close() // never fails
 	}
 }
 
-// close ends the front in order: it goes on taking what comes while clients still have its address, then stops listening
-// and lets what is under way finish.
+// close shuts down in order: it accepts connections for a while longer, as clients still have the address, then stops
+// listening and waits for requests in flight, both within the shutdown grace period.
 func (l *listener) close(ctx context.Context) {
-	leeway := l.proxy.settings.RuleLimits.ShutdownGrace
-	time.Sleep(min(leeway/3, 2*time.Second))
-	ctx, cancel := context.WithTimeout(ctx, leeway*6/10)
+	time.Sleep(min(l.shutdownGrace/3, maxDrainNotice))
+	ctx, cancel := context.WithTimeout(ctx, l.shutdownGrace*6/10)
 	defer cancel()
 	l.mu.Lock()
 	servers := append([]*http.Server(nil), l.servers...)
 	l.mu.Unlock()
-	var wg sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, server := range servers {
-		wg.Add(1)
-		go func() { defer wg.Done(); server.Shutdown(ctx) }()
+		shutdowns.Go(func() { _ = server.Shutdown(ctx) }) // what is not finished then ends with the process
 	}
 	l.tcpListener.Close()
-	wg.Wait()
+	shutdowns.Wait()
+	<-l.acceptDone
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package relay is the data plane of one machine: it takes clients' requests, has sway decide where each goes, and carries
-// it there and its answer back. What it knows it pulls from the core.
+// Package proxy is the data plane of one machine. It accepts requests from clients, asks the balancer for a backend,
+// forwards each request there and the response back. It learns the configuration and the backends from the controllers,
+// by long polling (see subscription).
 package proxy
 
 import (
@@ -21,142 +22,153 @@
 	"sagelever/internal/upstream"
 )
 
-const userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+const (
+	// userTimeout bounds the silence of the other machine on every connection of the proxy.
+	userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+
+	// dialTimeout covers several round trips between regions, but not a second retransmission of a lost packet.
+	dialTimeout = 600 * time.Millisecond
+
+	// idleConnTimeout is shorter than the idle timeout of backends that do not announce one, so that the proxy and not
+	// the backend closes an idle connection.
+	idleConnTimeout = 4 * time.Second
+
+	maxIdleConnsPerBackend = 64
+
+	// transportBufferSize is the size in bytes of the read and of the write buffer of a connection to a backend.
+	transportBufferSize = 2 << 10
+
+	// defaultMemoryLimit is the number of bytes assumed where the settings give no memory limit.
+	defaultMemoryLimit = 256 << 20
 
-// Options of a relay.
+	readyHeaderTimeout = 3 * time.Second
+	readyIdleTimeout   = 30 * time.Second
+)
+
+// Options configures a Proxy.
 type Options struct {
 	Settings *settings.Settings
 	Log      *zap.Logger
-	Dial     rpc.DialFunc // how members of the core are reached; nil: as usual
+	Dial     rpc.DialFunc // opens connections to controllers; nil: plain TCP
 }
 
-// Proxy is one edge agent.
+// Proxy is the proxy of one machine. Create it with New and serve with Run.
 type Proxy struct {
-	settings      *settings.Settings
-	log           *zap.Logger
-	routingTable  atomic.Pointer[routing.Table]
-	synced        atomic.Bool // the table was told whole by a sound source in this life
-	draining      atomic.Bool
-	bufferedBytes atomic.Int64 // bytes of bodies in memory
-	bufferLimit   int64        // for them
-	mu            sync.Mutex   // guards sway
-	balancer      *balancer.Balancer
-	transport     *http.Transport
+	settings  *settings.Settings
+	log       *zap.Logger
+	dial      rpc.DialFunc
+	startedAt time.Time
+
+	routingTable atomic.Pointer[routing.Table] // nil until a controller has sent a configuration
+	synced       atomic.Bool                   // a controller with quorum has sent the complete configuration
+	draining     atomic.Bool                   // the proxy is shutting down
+
+	bufferedBytes atomic.Int64 // request and response bodies in memory
+	bufferLimit   int64        // of bufferedBytes, above which request bodies are rejected
+
+	mu       sync.Mutex // guards balancer
+	balancer *balancer.Balancer
+
+	transport     *http.Transport // to backends
 	connPool      *connPool
 	subscription  *subscription
 	listener      *listener
-	startedAt     time.Time
-	dial          rpc.DialFunc
-	requestQueued chan struct{}                 // told when a request begins to wait
-	onAttempt     func(*http.Request, *attempt) // told of each send as it begins; tests set it
+	requestQueued chan struct{} // wakes the ticker when a request is queued; capacity 1
 	counters      counters
+
+	onAttempt func(*http.Request, *attempt) // called as each attempt starts; only tests set it
 }
 
-// New makes a relay.
+// New makes a proxy. It opens no connection before Run.
 func New(options Options) *Proxy {
-	p := &Proxy{settings: options.Settings, dial: options.Dial, log: options.Log, startedAt: time.Now(), balancer: balancer.New(options.Settings, rand.Float64), requestQueued: make(chan struct{}, 1)}
 	memoryLimit := int64(options.Settings.Resources.RAMMb) << 20
 	if memoryLimit <= 0 {
-		memoryLimit = 256 << 20
+		memoryLimit = defaultMemoryLimit
 	}
-	p.bufferLimit = memoryLimit / 4
-	p.connPool = newConnPool(upstream.Options{MaxResponseBytes: memoryLimit / 8}, func() { p.counters.dials.Add(1) })
-	p.transport = &http.Transport{
-		DisableCompression:     true,
-		MaxIdleConnsPerHost:    64,
-		MaxResponseHeaderBytes: 2 * upstream.MaxHeaderBytes,
-		ReadBufferSize:         2 << 10,
-		WriteBufferSize:        2 << 10,
-		IdleConnTimeout:        idleConnTimeout,
-		DialContext:            p.connPool.dial,
+	p := &Proxy{
+		settings:      options.Settings,
+		dial:          options.Dial,
+		log:           options.Log,
+		startedAt:     time.Now(),
+		balancer:      balancer.New(options.Settings, rand.Float64),
+		bufferLimit:   memoryLimit / 4,
+		requestQueued: make(chan struct{}, 1),
 	}
+	connOptions := upstream.Options{MaxResponseBytes: memoryLimit / 8}
+	p.connPool = newConnPool(connOptions, func() { p.counters.dials.Add(1) })
+	p.transport = newTransport(p.connPool)
 	p.subscription = newSubscription(p)
-	p.listener = newListener(p)
+	p.listener = newListener(http.HandlerFunc(p.serveClient), options.Settings.RuleLimits.ShutdownGrace)
 	return p
 }
 
-const (
-	dialTimeout         = 600 * time.Millisecond  // some times the way between regions and back, and a lost packet's second try not
-	idleConnTimeout     = 4 * time.Second         // appliances close idle connections later than this unless they say otherwise
-	queueCheckInterval  = 20 * time.Millisecond   // in which those who wait for a place are looked at, while there are some
-	idleCheckInterval   = 12 * queueCheckInterval // the same while there are none: each look wakes the process
-	tallyReportInterval = time.Second             // in which counts of a release are told
-)
+// newTransport makes the HTTP transport to backends. It never decompresses, so that bodies pass unchanged.
+func newTransport(pool *connPool) *http.Transport {
+	return &http.Transport{
+		DisableCompression:     true,
+		MaxIdleConnsPerHost:    maxIdleConnsPerBackend,
+		MaxResponseHeaderBytes: 2 * upstream.MaxHeaderBytes,
+		ReadBufferSize:         transportBufferSize,
+		WriteBufferSize:        transportBufferSize,
+		IdleConnTimeout:        idleConnTimeout,
+		DialContext:            pool.dial,
+	}
+}
 
-// Run serves until the context ends, and then as long as clients and what is under way need.
+// Run serves until ctx ends. It then drains: clients are sent elsewhere, requests in flight finish within the shutdown
+// grace period, and the lease at the controllers is released. Run returns an error only if an address cannot be
+// listened on.
 func (p *Proxy) Run(ctx context.Context) error {
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	readyListener, err := userTimeout.Listen(p.settings.ListenAddresses["readyCheck"])
+	readyServer, err := p.startReadyServer()
 	if err != nil {
 		return errors.Wrap(err, "proxy")
 	}
-	readyServer := &http.Server{Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
-	go readyServer.Serve(readyListener)
+	defer func() { _ = readyServer.Close() }() // the process ends soon, whatever it says
 	if err := p.listener.open(p.settings.ListenAddresses["front"]); err != nil {
 		return errors.Wrap(err, "proxy")
 	}
-	go p.subscription.run(workCtx)
-	go p.runTicker(workCtx)
+	var loops sync.WaitGroup
+	loops.Go(func() { p.subscription.run(workCtx) })
+	loops.Go(func() { p.runTicker(workCtx) })
 	p.log.Info("proxy started", zap.String("node", p.settings.Node))
+
 	<-ctx.Done()
 	p.draining.Store(true)
 	p.subscription.announceLease(workCtx)
-	p.log.Info("leaving", zap.Duration("leeway", p.settings.RuleLimits.ShutdownGrace))
+	p.log.Info("leaving", zap.Duration("grace", p.settings.RuleLimits.ShutdownGrace))
 	p.listener.close(workCtx)
 	p.subscription.releaseLease(workCtx)
 	cancel()
-	readyServer.Close()
+	loops.Wait()
 	p.transport.CloseIdleConnections()
 	p.connPool.closeExpired(time.Now().Add(2 * preconnectTTL))
 	p.counters.logTo(p.log)
 	return nil
 }
 
-// runTicker looks at those who wait, and tells the counts of releases.
-func (p *Proxy) runTicker(ctx context.Context) {
-	ticker := time.NewTicker(idleCheckInterval)
-	defer ticker.Stop()
-	lastTallyReport, lastCountersLog, wasCovered := time.Now(), time.Now(), true
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-p.requestQueued:
-			ticker.Reset(queueCheckInterval)
-		case now := <-ticker.C:
-			p.mu.Lock()
-			p.connPool.closeExpired(now)
-			p.balancer.DispatchAll(now)
-			waiting := p.balancer.HasQueued()
-			checks := p.balancer.TakeHealthChecks()
-			covered := p.balancer.LeaseValid(now)
-			p.mu.Unlock()
-			if covered != wasCovered {
-				if wasCovered = covered; wasCovered {
-					p.log.Info("the core's word covers what is sent")
-				} else {
-					p.log.Warn("no word of the core: appliances are asked themselves")
-				}
-			}
-			p.startHealthChecks(checks)
-			if waiting {
-				ticker.Reset(queueCheckInterval)
-			} else {
-				ticker.Reset(idleCheckInterval)
-			}
-			if now.Sub(lastTallyReport) > tallyReportInterval {
-				lastTallyReport = now
-				go p.subscription.reportTallies(ctx)
-			}
-			if now.Sub(lastCountersLog) > 10*time.Second {
-				lastCountersLog = now
-				p.counters.logTo(p.log)
-			}
-		}
+// Reload takes over the seed addresses of changed settings. All other settings apply from the next start on.
+func (p *Proxy) Reload(changed *settings.Settings) {
+	p.subscription.addControllers(changed.SeedAddresses)
+}
+
+// startReadyServer serves the readiness check of the platform.
+func (p *Proxy) startReadyServer() (*http.Server, error) {
+	readyListener, err := userTimeout.Listen(p.settings.ListenAddresses["readyCheck"])
+	if err != nil {
+		return nil, err
 	}
+	server := &http.Server{
+		Handler:           http.HandlerFunc(p.serveReady),
+		ReadHeaderTimeout: readyHeaderTimeout,
+		IdleTimeout:       readyIdleTimeout,
+	}
+	go func() { _ = server.Serve(readyListener) }() // always ends with an error, http.ErrServerClosed after Close
+	return server, nil
 }
 
+// ready reports whether the proxy can serve: it has a configuration and is not shutting down.
 func (p *Proxy) ready() bool {
 	table := p.routingTable.Load()
 	return table != nil && table.ItemCount > 0 && !p.draining.Load()
@@ -170,28 +182,3 @@
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 	}
 }
-
-// counters are told in the log every so often, and nothing else of a request is.
-type counters struct {
-	received, served, refused, failed, dials, retries, queued, aborted, healthChecks, withheld atomic.Int64
-	sendsByDistance, bytesByDistance                                                           [3]atomic.Int64 // sends and their bytes: in the zone, the region, beyond
-}
-
-func (c *counters) logTo(log *zap.Logger) {
-	if c.received.Load() == 0 {
-		return
-	}
-	log.Info("counts", zap.Int64("taken", c.received.Load()), zap.Int64("served", c.served.Load()), zap.Int64("refused", c.refused.Load()),
-		zap.Int64("failed", c.failed.Load()), zap.Int64("dials", c.dials.Load()), zap.Int64("again", c.retries.Load()),
-		zap.Int64("waited", c.queued.Load()), zap.Int64("cut", c.aborted.Load()), zap.Int64("asked", c.healthChecks.Load()), zap.Int64("withheld", c.withheld.Load()),
-		zap.Int64s("sends", loadAll(&c.sendsByDistance)), zap.Int64s("bytes", loadAll(&c.bytesByDistance)))
-}
-
-// Reload takes the first contacts of changed settings; all else is taken at the next start.
-func (p *Proxy) Reload(changed *settings.Settings) {
-	p.subscription.addControllers(changed.SeedAddresses)
-}
-
-func loadAll(values *[3]atomic.Int64) []int64 {
-	return []int64{values[0].Load(), values[1].Load(), values[2].Load()}
-}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -7,20 +7,24 @@
 	"github.com/mailru/easyjson"
 
 	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
 	"sagelever/internal/rpc"
 )
 
-// announceLease tells the core at once that the lease has changed.
+const (
+	reportTimeout  = time.Second
+	releaseTimeout = 300 * time.Millisecond
+)
+
+// announceLease pulls at once, without waiting for the result, so that the controllers learn that the lease has
+// changed.
 func (s *subscription) announceLease(ctx context.Context) {
-	s.mu.Lock()
-	addr := s.sourceAddr
-	s.mu.Unlock()
-	if addr != "" {
-		go s.pull(ctx, addr, 0)
+	if addr := s.source(); addr != "" {
+		go func() { _, _ = s.pull(ctx, addr, 0) }() // if it fails the next pull says the same
 	}
 }
 
-// releaseLease gives the lease back.
+// releaseLease ends the lease at the controllers. No pull renews it from then on.
 func (s *subscription) releaseLease(ctx context.Context) {
 	s.mu.Lock()
 	addr := s.sourceAddr
@@ -31,16 +35,26 @@
 	}
 	request := s.newPullRequest(addr, 0)
 	request.Ended = true
-	if body, err := easyjson.Marshal(request); err == nil {
-		ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-		defer cancel()
-		_ = rpc.Post(ctx, s.client, addr, message.PullPath, body, nil)
+	body, err := easyjson.Marshal(request)
+	if err != nil {
+		return
 	}
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	defer cancel()
+	_ = rpc.Post(ctx, s.client, addr, message.PullPath, body, nil) // if it fails the lease expires
 }
 
-// reportInFlight answers a census of the core: what is out at appliances that leave, and what traffic is carried.
+// source returns the controller that was pulled from last, or "".
+func (s *subscription) source() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.sourceAddr
+}
+
+// reportInFlight answers an in-flight survey of the controller at addr: the requests in flight at draining backends and
+// the load of each service.
 func (s *subscription) reportInFlight(addr string, surveyID uint64) {
-	report := &message.InFlightReport{From: message.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}, SurveyID: surveyID}
+	report := &message.InFlightReport{From: s.member(), SurveyID: surveyID}
 	s.proxy.mu.Lock()
 	report.Rows, report.Loads, report.DrainVersions = s.proxy.balancer.InFlightReport(time.Now())
 	s.proxy.mu.Unlock()
@@ -48,12 +62,12 @@
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_ = rpc.Post(ctx, s.client, addr, message.InFlightReportPath, body, nil) // one that is lost is told as unheard
+	_ = rpc.Post(ctx, s.client, addr, message.InFlightReportPath, body, nil) // the survey names a lost report as missing
 }
 
-// reportTallies tells this relay's counts of releases, where they have changed.
+// reportTallies reports the release tallies of this proxy that have changed since the last report.
 func (s *subscription) reportTallies(ctx context.Context) {
 	s.proxy.mu.Lock()
 	tallies := s.proxy.balancer.Tallies(s.incarnation, time.Now())
@@ -61,18 +75,8 @@
 	if len(tallies) == 0 {
 		return
 	}
-	s.mu.Lock()
-	addr := s.sourceAddr
-	update := &message.PullResponse{}
-	for service, tally := range tallies {
-		s.tallyVersion++
-		item := tally.Item(service, s.tallyVersion)
-		if s.reportedTallies[service] != item.Body {
-			s.reportedTallies[service] = item.Body
-			update.Items = append(update.Items, item)
-		}
-	}
-	s.mu.Unlock()
+	addr := s.source()
+	update := &message.PullResponse{Items: s.changedTallies(tallies)}
 	if addr == "" || len(update.Items) == 0 {
 		return
 	}
@@ -80,11 +84,27 @@
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if rpc.Post(ctx, s.client, addr, message.TallyPath, body, nil) != nil {
 		s.mu.Lock()
-		clear(s.reportedTallies)
+		clear(s.reportedTallies) // the next report repeats them
 		s.mu.Unlock()
 	}
 }
+
+// changedTallies returns the tallies that differ from those last reported, as items, and notes them as reported.
+func (s *subscription) changedTallies(tallies map[string]*replication.ReleaseTally) []replication.Item {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var changed []replication.Item
+	for service, tally := range tallies {
+		s.tallyVersion++
+		item := tally.Item(service, s.tallyVersion)
+		if s.reportedTallies[service] != item.Body {
+			s.reportedTallies[service] = item.Body
+			changed = append(changed, item)
+		}
+	}
+	return changed
+}
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -10,10 +10,30 @@
 	"sagelever/internal/control/routing"
 )
 
-// readRequestBody reads a request's body whole, up to a bound; rest is what is left of a longer one.
-func (p *Proxy) readRequestBody(w http.ResponseWriter, r *http.Request, limits routing.RequestLimits) (body []byte, remainder io.Reader, ok bool) {
+const (
+	// maxBufferedBody is the number of bytes of a body that are kept in memory. A request with a longer body is
+	// streamed and cannot be sent twice; a longer response is forwarded as it arrives.
+	maxBufferedBody = 1 << 20
+
+	// bodyReadSlack is the room in a body's buffer beyond its announced length, for the read that finds its end.
+	bodyReadSlack = 512
+)
+
+// requestBody is the body of a client's request.
+type requestBody struct {
+	buffered  []byte    // the body, or the first part of one that is too long to keep
+	remainder io.Reader // what follows buffered; nil if buffered is complete
+}
+
+// replayable reports whether the body can be sent more than once.
+func (b requestBody) replayable() bool { return b.remainder == nil }
+
+// readRequestBody reads the body of a request within the limits, as far as it is kept. If it fails it has answered the
+// client. On success the caller subtracts the length of the buffered part from p.bufferedBytes after use.
+func (p *Proxy) readRequestBody(w http.ResponseWriter, r *http.Request,
+	limits routing.RequestLimits) (body requestBody, ok bool) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
-		return nil, nil, true
+		return requestBody{}, true
 	}
 	maxBytes := limits.MaxBodyBytes
 	if maxBytes <= 0 {
@@ -21,42 +41,56 @@
 	}
 	if r.ContentLength > maxBytes {
 		p.replyRejected(w, http.StatusRequestEntityTooLarge, "the body is too long")
-		return nil, nil, false
+		return requestBody{}, false
 	}
 	if p.bufferedBytes.Load() > p.bufferLimit {
-		p.replyUnavailable(w, "no room for the body", minRetryAfter)
-		return nil, nil, false
+		p.replyUnavailable(w, "no memory for the body", minRetryAfter)
+		return requestBody{}, false
 	}
-	control := http.NewResponseController(w)
 	if limits.IdleTimeout > 0 {
-		control.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
-		defer control.SetReadDeadline(time.Time{})
+		control := http.NewResponseController(w)
+		_ = control.SetReadDeadline(time.Now().Add(limits.IdleTimeout)) // a closed connection fails at the read
+		defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	}
 	reader := http.MaxBytesReader(w, r.Body, maxBytes)
-	sizeHint := min(max(r.ContentLength, 0), maxBufferedBody)
-	body = make([]byte, 0, sizeHint+512)
+	body, err := bufferBody(reader, r.ContentLength)
+	if err != nil {
+		p.replyBodyError(w, err)
+		return requestBody{}, false
+	}
+	p.bufferedBytes.Add(int64(len(body.buffered)))
+	return body, true
+}
+
+// bufferBody reads up to a little more than maxBufferedBody bytes. contentLength is the announced length, negative if
+// it is not known.
+func bufferBody(reader io.Reader, contentLength int64) (requestBody, error) {
+	expected := min(max(contentLength, 0), maxBufferedBody)
+	buffer := make([]byte, 0, expected+bodyReadSlack)
 	for {
-		n, err := reader.Read(body[len(body):cap(body)])
-		body = body[:len(body)+n]
+		n, err := reader.Read(buffer[len(buffer):cap(buffer)])
+		buffer = buffer[:len(buffer)+n]
 		if err == io.EOF {
-			p.bufferedBytes.Add(int64(len(body)))
-			return body, nil, true
+			return requestBody{buffered: buffer}, nil
 		}
 		if err != nil {
-			if _, long := errors.Into[*http.MaxBytesError](err); long {
-				p.replyRejected(w, http.StatusRequestEntityTooLarge, "the body is too long")
-			} else {
-				w.Header().Set("Connection", "close")
-				p.replyRejected(w, http.StatusBadRequest, "the body can't be read")
-			}
-			return nil, nil, false
+			return requestBody{}, err
 		}
-		if len(body) > maxBufferedBody {
-			p.bufferedBytes.Add(int64(len(body)))
-			return body, reader, true
+		if len(buffer) > maxBufferedBody {
+			return requestBody{buffered: buffer, remainder: reader}, nil
 		}
-		if len(body) == cap(body) {
-			body = append(body, 0)[:len(body)]
+		if len(buffer) == cap(buffer) {
+			buffer = append(buffer, 0)[:len(buffer)] // grows the capacity
 		}
 	}
 }
+
+// replyBodyError answers a request whose body could not be read.
+func (p *Proxy) replyBodyError(w http.ResponseWriter, err error) {
+	if _, tooLong := errors.Into[*http.MaxBytesError](err); tooLong {
+		p.replyRejected(w, http.StatusRequestEntityTooLarge, "the body is too long")
+		return
+	}
+	w.Header().Set("Connection", "close")
+	p.replyRejected(w, http.StatusBadRequest, "the body can't be read")
+}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -12,56 +12,65 @@
 	"sagelever/internal/proxy/retry"
 )
 
-// replyUnavailable answers with the promise that the request has not run and never will, and when to come again.
+// streamChunk is the number of bytes of a long response that are forwarded within one write deadline.
+const streamChunk = maxBufferedBody / 4
+
+// replyUnavailable answers 503, which promises the client that its request was not executed and never will be, and that
+// it may try again after the given time.
 func (p *Proxy) replyUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
 	p.counters.refused.Add(1)
 	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
+// replyRejected answers a request that was not executed and that is wrong in itself.
 func (p *Proxy) replyRejected(w http.ResponseWriter, status int, reason string) {
 	p.counters.refused.Add(1)
 	http.Error(w, reason, status)
 }
 
-// replyFailed answers a request that may have run.
+// replyFailed answers a request that may have been executed.
 func (p *Proxy) replyFailed(w http.ResponseWriter, status int, reason string) {
 	p.counters.failed.Add(1)
 	http.Error(w, reason, status)
 }
 
-// respond gives the client what the rule of the last send says. What an earlier send may have run is never refused.
-func (p *Proxy) respond(w http.ResponseWriter, req *balancer.Request, result *sendResult) {
+// respond answers the client as the rule of the last send says. A response that promises that the request was not
+// executed is given only if that holds for all sends of the request.
+func (p *Proxy) respond(w http.ResponseWriter, request *balancer.Request, result *sendResult) {
 	defer result.close()
-	notExecuted := req.Execution == retry.NotExecuted
+	rule := result.rule
+	neverExecuted := request.Execution == retry.NotExecuted
 	switch {
-	case result.rule.Response == retry.Forwarded && (notExecuted || result.rule.Execution != retry.NotExecuted):
+	case rule.Response == retry.Forwarded && (neverExecuted || rule.Execution != retry.NotExecuted):
 		p.forwardResponse(w, result)
-	case result.rule.Response == retry.ServiceUnavailable && notExecuted:
-		p.replyNoCapacity(w, req)
-	case result.rule.Response == retry.GatewayTimeout:
-		p.replyFailed(w, http.StatusGatewayTimeout, "no answer in time")
+	case rule.Response == retry.ServiceUnavailable && neverExecuted:
+		p.replyNoCapacity(w, request)
+	case rule.Response == retry.GatewayTimeout:
+		p.replyFailed(w, http.StatusGatewayTimeout, "no response in time")
 	default:
-		p.replyFailed(w, http.StatusBadGateway, "its answer was lost")
+		p.replyFailed(w, http.StatusBadGateway, "the response was lost")
 	}
 }
 
-// replyNoCapacity refuses a request that has not run, with the time after which places have usually come free.
-func (p *Proxy) replyNoCapacity(w http.ResponseWriter, req *balancer.Request) {
+// replyNoCapacity rejects a request that was not executed. The client is asked to wait for the service's typical
+// latency, after which requests in flight have usually finished.
+func (p *Proxy) replyNoCapacity(w http.ResponseWriter, request *balancer.Request) {
 	p.mu.Lock()
-	retryAfter := p.balancer.TypicalLatency(req.Service, time.Now())
+	retryAfter := p.balancer.TypicalLatency(request.Service, time.Now())
 	p.mu.Unlock()
-	p.replyUnavailable(w, "no appliance has room", max(minRetryAfter, retryAfter))
+	p.replyUnavailable(w, "no backend has capacity", max(minRetryAfter, retryAfter))
 }
 
-// forwardResponse gives the client the answer of the last send.
+// forwardResponse forwards the response of the last send to the client. It panics with http.ErrAbortHandler if that
+// fails in between, because a response that ends early must not look complete.
 func (p *Proxy) forwardResponse(w http.ResponseWriter, result *sendResult) {
 	copyResponseHeader(w.Header(), result)
 	control := http.NewResponseController(w)
-	defer control.SetWriteDeadline(time.Time{})
+	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // a closed connection has no next request
 	if err := p.writeResponse(w, control, result); err != nil {
 		p.counters.aborted.Add(1)
-		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
+		panic(http.ErrAbortHandler)
 	}
 	if !result.Succeeded {
 		p.counters.failed.Add(1)
@@ -72,11 +81,11 @@
 	}
 }
 
-// copyResponseHeader gives a client the head of an appliance's answer.
+// copyResponseHeader copies the end-to-end headers of a backend's response.
 func copyResponseHeader(header http.Header, result *sendResult) {
-	for k, v := range result.header {
-		if !hopByHopHeaders[k] && k != "Date" {
-			header[k] = v
+	for name, values := range result.header {
+		if !hopByHopHeaders[name] && name != "Date" {
+			header[name] = values
 		}
 	}
 	removeConnectionHeaders(header, result.header)
@@ -85,27 +94,37 @@
 	}
 }
 
-// writeResponse writes an answer, a long one as it comes. A client that does not read is not waited for without end.
+// writeResponse writes a response, a long one as it arrives. Each write has the idle timeout as its deadline, so that a
+// client that stops reading does not hold the request open.
 func (p *Proxy) writeResponse(w http.ResponseWriter, control *http.ResponseController, result *sendResult) error {
-	idleTimeout := defaultLimits.IdleTimeout
-	if table := p.routingTable.Load(); table != nil && table.Limits.IdleTimeout > 0 {
-		idleTimeout = table.Limits.IdleTimeout
+	idleTimeout := p.clientIdleTimeout()
+	extendDeadline := func() {
+		_ = control.SetWriteDeadline(time.Now().Add(idleTimeout)) // a closed connection fails at the write
 	}
-	control.SetWriteDeadline(time.Now().Add(idleTimeout))
+	extendDeadline()
 	w.WriteHeader(result.Status)
 	_, err := w.Write(result.body)
 	if result.remainder == nil {
 		return err
 	}
 	result.attempt.streaming.Store(true)
-	defer result.abortOnDisconnect()() // it has run; nobody can take the rest
+	stop := result.cancelOnDisconnect() // the request was executed, and nobody can take the rest of the response
+	defer stop()
 	for err == nil {
-		control.SetWriteDeadline(time.Now().Add(idleTimeout))
-		_, err = io.CopyN(w, result.remainder, maxBufferedBody/4)
+		extendDeadline()
+		_, err = io.CopyN(w, result.remainder, streamChunk)
 	}
-	if err == io.EOF { // the answer's own end, as its head or its last chunk says
+	if err == io.EOF { // the proper end of the response, by its length or its last chunk
 		result.attempt.complete.Store(true)
 		return nil
 	}
 	return err
 }
+
+// clientIdleTimeout is the configured time without progress after which a client's connection is given up.
+func (p *Proxy) clientIdleTimeout() time.Duration {
+	if table := p.routingTable.Load(); table != nil && table.Limits.IdleTimeout > 0 {
+		return table.Limits.IdleTimeout
+	}
+	return defaultLimits.IdleTimeout
+}
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -14,115 +14,108 @@
 	"sagelever/internal/upstream"
 )
 
-// sendResult is what came of a send.
+// maxNewConns is the number of new connections that one send may use up. The first may have been opened ahead of time
+// and closed by the backend since.
+const maxNewConns = 2
+
+// sendResult is the result of one send.
 type sendResult struct {
 	balancer.Outcome
-	rule              retry.Rule // what follows
-	attempt           *attempt
-	header            http.Header
-	body              []byte
-	length            int64 // -1 where it is not known
-	remainder         io.ReadCloser
-	release           func()
-	abortOnDisconnect func() (stop func() bool) // has the rest of the answer broken off once the client is gone
+	rule      retry.Rule // what follows from the outcome
+	attempt   *attempt   // nil if the request was never sent
+	header    http.Header
+	body      []byte        // the response's body, or the first part of a long one
+	length    int64         // of the response's body in bytes, -1 if it is not known
+	remainder io.ReadCloser // what follows body; nil if body is complete
+
+	releaseBuffer func() // returns the memory reserved for body; nil if there is none
+
+	// cancelOnDisconnect cancels the send once the client has disconnected, until stop is called.
+	cancelOnDisconnect func() (stop func() bool)
 }
 
+// close releases what the result holds. It may be called more than once.
 func (r *sendResult) close() {
 	if r.remainder != nil {
-		r.remainder.Close()
+		_ = r.remainder.Close() // nothing more is read from it
 	}
-	if r.release != nil {
-		r.release()
-		r.release = nil
+	if r.releaseBuffer != nil {
+		r.releaseBuffer()
+		r.releaseBuffer = nil
 	}
 }
 
-// send carries a request to an appliance once and reads the answer. It never sends by itself a second time.
-func (p *Proxy) send(ctx context.Context, r *http.Request, req *balancer.Request, backend *balancer.Backend, body []byte, remainder io.Reader) *sendResult {
+// send sends a request to a backend once and reads the response, up to maxBufferedBody bytes of its body. It never
+// sends twice: whether the request is sent again is for the caller to decide, by the rule in the result.
+func (p *Proxy) send(ctx context.Context, r *http.Request, request *balancer.Request, backend *balancer.Backend,
+	body requestBody) *sendResult {
 	startedAt := time.Now()
-	attempt := newAttempt(r, func() (retry.Event, bool) { return p.writeGate(r, backend) })
+	attempt := newAttempt(r, func() (retry.Event, bool) { return p.checkWrite(r, backend) })
 	if p.onAttempt != nil {
 		p.onAttempt(r, attempt)
 	}
 	result := &sendResult{attempt: attempt, length: -1}
 	defer func() { result.Latency = time.Since(startedAt) }()
-	resp, err := p.roundTrip(ctx, attempt, newBackendRequest(r, req, body, remainder), body, remainder != nil)
+	resp, err := p.roundTrip(ctx, attempt, newBackendRequest(r, request, body), body)
 	result.Connected = attempt.connected.Load() && attempt.exchange.WriteStarted()
 	if err != nil {
-		p.recordFailure(ctx, result, attempt.failureEvent(ctx, err))
+		result.recordFailure(ctx, attempt.failureEvent(ctx, err))
 		return result
 	}
 	attempt.headerRead.Store(true)
-	result.Status, result.header, result.ClosesConnection = resp.StatusCode, resp.Header, resp.Close
+	result.Status = resp.StatusCode
+	result.header = resp.Header
+	result.ClosesConnection = resp.Close
 	if err := p.readResponseBody(result, resp); err != nil {
-		resp.Body.Close()
-		p.recordFailure(ctx, result, attempt.failureEvent(ctx, err))
+		_ = resp.Body.Close() // the error of the read counts
+		result.recordFailure(ctx, attempt.failureEvent(ctx, err))
 		return result
 	}
-	p.recordResponse(result, responseEvent(result.Status, result.header))
-	p.counters.sendsByDistance[req.SentTo.Distance].Add(1)
-	p.counters.bytesByDistance[req.SentTo.Distance].Add(int64(len(body)) + max(0, result.length))
+	result.recordResponse(responseEvent(result.Status, result.header))
+	distance := request.SentTo.Distance
+	p.counters.sendsByDistance[distance].Add(1)
+	p.counters.bytesByDistance[distance].Add(int64(len(body.buffered)) + max(0, result.length))
 	return result
 }
 
-// writeGate is asked before the first byte of a send: nothing is begun for a client that is gone, or at an appliance that
-// leaves meanwhile.
-func (p *Proxy) writeGate(r *http.Request, backend *balancer.Backend) (event retry.Event, forbidden bool) {
+// checkWrite is asked right before the first byte of a send is written. It forbids the write, and names the event, if
+// the client has disconnected or the permission to send to the backend has ended since the backend was picked.
+func (p *Proxy) checkWrite(r *http.Request, backend *balancer.Backend) (event retry.Event, forbidden bool) {
 	p.mu.Lock()
-	open := p.balancer.MayWrite(backend, time.Now())
+	permitted := p.balancer.MayWrite(backend, time.Now())
 	p.mu.Unlock()
 	if r.Context().Err() != nil {
 		return retry.ClientDisconnected, true
 	}
-	return retry.PermissionRevoked, !open
+	return retry.PermissionRevoked, !permitted
 }
 
-// maxNewConns is how many new connections one send may use up: one that was opened ahead may have ended since.
-const maxNewConns = 2
-
-// roundTrip writes a request once and reads the head of its answer. A kept connection that has ended before anything was
-// written on it is passed over for the next.
-func (p *Proxy) roundTrip(ctx context.Context, a *attempt, outbound *http.Request, body []byte, streamed bool) (*http.Response, error) {
-	outbound = outbound.WithContext(httptrace.WithClientTrace(ctx, a.clientTrace()))
-	for newConns := 0; ; {
-		if !streamed {
-			upstream.SetNonReplayableBody(outbound, body)
+// roundTrip writes a request once and reads the header of the response. A reused connection that turns out to be closed
+// before anything was written on it is replaced by the next, as no backend has seen the request.
+func (p *Proxy) roundTrip(ctx context.Context, current *attempt, outbound *http.Request,
+	body requestBody) (*http.Response, error) {
+	outbound = outbound.WithContext(httptrace.WithClientTrace(ctx, current.clientTrace()))
+	newConns := 0
+	for {
+		if body.replayable() {
+			upstream.SetNonReplayableBody(outbound, body.buffered)
 		}
-		a.resetConnection()
+		current.resetConnection()
 		resp, err := p.transport.RoundTrip(outbound)
-		switch {
-		case err == nil, streamed, !a.connected.Load(), a.exchange.WriteStarted(), a.withheldBy.Load() != nil, ctx.Err() != nil:
+		if err == nil || !body.replayable() || !current.mayTakeNextConnection() || ctx.Err() != nil {
 			return resp, err
-		case !a.reused.Load():
-			if newConns++; newConns == maxNewConns {
+		}
+		if !current.reused.Load() {
+			newConns++
+			if newConns == maxNewConns {
 				return nil, err
 			}
 		}
 	}
 }
 
-// recordFailure notes what follows from an event that left no whole answer.
-func (p *Proxy) recordFailure(ctx context.Context, result *sendResult, event retry.Event) {
-	result.rule = retry.Decide(result.attempt.phase(), event)
-	result.Execution = result.rule.Execution
-	result.Withheld = result.attempt.withheldBy.Load() != nil
-	result.Cancelled = ctx.Err() != nil
-	result.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
-}
-
-// recordResponse notes what follows from an answer.
-func (p *Proxy) recordResponse(result *sendResult, event retry.Event) {
-	phase := result.attempt.phase()
-	if !result.attempt.requestWritten.Load() { // it has come early
-		phase = retry.WritingBody
-	}
-	result.rule = retry.Decide(phase, event)
-	result.Execution = result.rule.Execution
-	result.Succeeded = event == retry.ResponseReceived && result.Status/100 == 2
-	result.attempt.complete.Store(result.remainder == nil)
-}
-
-// readResponseBody reads an answer's body whole where it is short; the rest of a longer one is passed on as it comes.
+// readResponseBody reads a response's body if it is short, and the first part of a longer one. Memory for it counts as
+// used from before it is read.
 func (p *Proxy) readResponseBody(result *sendResult, resp *http.Response) error {
 	result.length = resp.ContentLength
 	if result.attempt.method == http.MethodHead {
@@ -133,7 +126,7 @@
 		reserved = maxBufferedBody
 	}
 	p.bufferedBytes.Add(reserved)
-	result.release = func() { p.bufferedBytes.Add(-reserved) }
+	result.releaseBuffer = func() { p.bufferedBytes.Add(-reserved) }
 	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody {
 		result.body = make([]byte, resp.ContentLength)
 		if _, err := io.ReadFull(resp.Body, result.body); err != nil {
@@ -155,3 +148,24 @@
 	result.remainder = resp.Body
 	return nil
 }
+
+// recordFailure records what follows from an event that left no complete response.
+func (r *sendResult) recordFailure(ctx context.Context, event retry.Event) {
+	r.rule = retry.Decide(r.attempt.phase(), event)
+	r.Execution = r.rule.Execution
+	r.Withheld = r.attempt.withheldBy.Load() != nil
+	r.Cancelled = ctx.Err() != nil
+	r.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
+}
+
+// recordResponse records what follows from a response.
+func (r *sendResult) recordResponse(event retry.Event) {
+	phase := r.attempt.phase()
+	if !r.attempt.requestWritten.Load() { // the backend has responded early
+		phase = retry.WritingBody
+	}
+	r.rule = retry.Decide(phase, event)
+	r.Execution = r.rule.Execution
+	r.Succeeded = event == retry.ResponseReceived && r.Status/100 == 2
+	r.attempt.complete.Store(r.remainder == nil)
+}
--- a/internal/proxy/subscription.go
+++ b/internal/proxy/subscription.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"net/http"
-	"sort"
 	"strconv"
 	"sync"
 	"time"
@@ -19,106 +18,87 @@
 )
 
 const (
-	pullRetryDelay     = 100 * time.Millisecond
-	unreachableBackoff = 2 * time.Second        // a member that can't be reached is passed over for so long
-	noQuorumBackoff    = 500 * time.Millisecond // and one that does not hear the core: at a start that is soon over
-	startupFanout      = 4                      // members asked in a round at the start
-	fullSyncAfter      = 30 * time.Second       // after which it asks for all: stewards forget lives that have left a minute ago
+	// pullRetryDelay is the pause after a pull that failed or returned nothing at once.
+	pullRetryDelay = 100 * time.Millisecond
+
+	// unreachableBackoff is how long a controller that cannot be reached is avoided.
+	unreachableBackoff = 2 * time.Second
+
+	// noQuorumBackoff is how long a controller without quorum is avoided. It is short because a controller that has
+	// just started is without quorum for a moment.
+	noQuorumBackoff = 500 * time.Millisecond
+
+	// startupFanout is the number of controllers that are asked in one round at the start.
+	startupFanout = 4
+
+	// fullSyncAfter is the time without updates after which the proxy asks for everything again. It is below the
+	// minute after which controllers forget the incarnations that have left.
+	fullSyncAfter = 30 * time.Second
 )
 
-// subscription pulls from the core what this relay lacks, by the number that it has seen of each source, and holds the lease.
+// subscription pulls updates from one controller at a time, by long polling, and so renews the lease of the proxy. Each
+// pull says how far the proxy has come with the log of every origin, so that any controller can continue where another
+// stopped.
 type subscription struct {
 	proxy       *Proxy
 	client      *http.Client
-	incarnation string
-	pollTimeout time.Duration // how long a pull waits for news
-
-	mu              sync.Mutex
-	controllers     map[string]message.Member // by address
-	lastUpdate      time.Time                 // when it last heard news
-	progress        replication.Vector        // how far this relay has come, by every source's numbers
-	legacyProgress  map[string]uint64         // the same for a source that speaks the version before, by its own
-	legacySources   map[string]string         // which such a source an address was last
-	backoffUntil    map[string]time.Time      // until when an address is passed over
-	sourceAddr      string                    // the address pulled from
-	values          map[string]quorum.Value
-	advertisedAddr  string
-	advertVersion   uint64
-	reportedTallies map[string]string
-	tallyVersion    uint64
-	lastSurvey      uint64 // the last census that was answered, of the address pulled from
-	leaseReleased   bool   // the lease is given back: no pull may ask for it again
-}
+	incarnation string        // names this run of the proxy in its release tallies
+	pollTimeout time.Duration // how long a controller may hold a pull until it has updates
 
-func newSubscription(proxy *Proxy) *subscription {
-	s := &subscription{proxy: proxy, pollTimeout: lease.PullWait(proxy.settings.RuleLimits.DrainTime), incarnation: proxy.settings.Node + "@" + strconv.FormatInt(time.Now().UnixNano(), 36),
-		controllers: map[string]message.Member{}, progress: replication.Vector{}, legacyProgress: map[string]uint64{}, legacySources: map[string]string{}, backoffUntil: map[string]time.Time{},
-		values: map[string]quorum.Value{}, reportedTallies: map[string]string{}, advertVersion: uint64(time.Now().UnixMilli())}
-	s.client = rpc.NewClient(proxy.dial)
-	s.addControllers(append([]string{net.JoinHostPort(proxy.settings.IP, "0")}, proxy.settings.SeedAddresses...)) // there may be a steward here
-	return s
-}
+	mu           sync.Mutex
+	controllers  map[string]message.Member // by address
+	backoffUntil map[string]time.Time      // by address of a controller: until when it is avoided
+	sourceAddr   string                    // the controller that was pulled from last
 
-// addControllers takes up control addresses of members.
-func (s *subscription) addControllers(contacts []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, contact := range contacts {
-		if host, _, err := net.SplitHostPort(contact); err == nil {
-			addr := net.JoinHostPort(host, s.proxy.settings.PeerPort())
-			if _, known := s.controllers[addr]; !known {
-				s.controllers[addr] = message.Member{Addr: addr}
-			}
-		}
-	}
-}
+	lastUpdate time.Time          // when the last pull that was answered was sent
+	progress   replication.Vector // the position in the log of every origin
+	values     map[string]quorum.Value
 
-// candidates lists the members to pull from: those that have not just failed, the near ones first.
-func (s *subscription) candidates() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := time.Now()
-	addrs := make([]string, 0, len(s.controllers))
-	distances := map[string]int{}
-	for addr, controller := range s.controllers {
-		addrs = append(addrs, addr)
-		if distances[addr] = s.distance(controller); now.Before(s.backoffUntil[addr]) {
-			distances[addr] += unknownDistance + 1
-		}
-	}
-	sort.Slice(addrs, func(i, j int) bool {
-		return distances[addrs[i]] < distances[addrs[j]] || distances[addrs[i]] == distances[addrs[j]] && addrs[i] < addrs[j]
-	})
-	return addrs
+	// Positions at controllers of the previous protocol version, which number their updates themselves.
+	legacyProgress map[string]uint64 // by name of the controller
+	legacySources  map[string]string // the name, by address
+
+	advertisedAddr string // the client address in the lease; empty while clients should not come
+	advertVersion  uint64 // grows with each change of advertisedAddr
+	leaseReleased  bool   // the lease is released, and no pull may renew it
+
+	reportedTallies map[string]string // the last reported tally, by service
+	tallyVersion    uint64            // grows with each tally reported
+	lastSurvey      uint64            // the last in-flight survey of sourceAddr that was answered
 }
 
-// unknownDistance is the distance of a member of which nothing but its address is known.
-const unknownDistance = 3
-
-// distance is 0 for a member in this zone, 1 in the region, 2 beyond it.
-func (s *subscription) distance(controller message.Member) int {
-	switch {
-	case controller.Zone == "":
-		return unknownDistance
-	case controller.Zone == s.proxy.settings.Zone:
-		return 0
-	case s.proxy.settings.Zones[controller.Zone] == s.proxy.settings.Region:
-		return 1
+func newSubscription(proxy *Proxy) *subscription {
+	now := time.Now()
+	s := &subscription{
+		proxy:           proxy,
+		client:          rpc.NewClient(proxy.dial),
+		incarnation:     proxy.settings.Node + "@" + strconv.FormatInt(now.UnixNano(), 36),
+		pollTimeout:     lease.PullWait(proxy.settings.RuleLimits.DrainTime),
+		controllers:     map[string]message.Member{},
+		backoffUntil:    map[string]time.Time{},
+		progress:        replication.Vector{},
+		values:          map[string]quorum.Value{},
+		legacyProgress:  map[string]uint64{},
+		legacySources:   map[string]string{},
+		advertVersion:   uint64(now.UnixMilli()),
+		reportedTallies: map[string]string{},
 	}
-	return 2
+	ownAddr := net.JoinHostPort(proxy.settings.IP, "0") // a controller may run on the same machine
+	s.addControllers(append([]string{ownAddr}, proxy.settings.SeedAddresses...))
+	return s
 }
 
-// run pulls for as long as the relay works. A source that can't be reached, or does not hear most of the core, is left for
-// the next; it is come back to when it is near and some seconds have passed.
+// run pulls until ctx ends. A controller that cannot be reached or has no quorum is left for the next one.
 func (s *subscription) run(ctx context.Context) {
 	s.findInitialSource(ctx)
-	var unsoundAddr string
+	lostQuorum := false // of the controller pulled from last, so that the loss is logged once
 	for ctx.Err() == nil {
-		addrs := s.candidates()
-		if len(addrs) == 0 {
+		candidates := s.candidates()
+		if len(candidates) == 0 {
 			return
 		}
-		addr, startedAt := addrs[0], time.Now()
+		addr := candidates[0]
+		startedAt := time.Now()
 		response, err := s.pull(ctx, addr, s.pollTimeout)
 		if err != nil {
 			s.backOff(addr, unreachableBackoff)
@@ -126,27 +106,28 @@
 			continue
 		}
 		if !response.HasQuorum {
-			if unsoundAddr == "" {
-				s.proxy.log.Warn("the source does not hear most of the core", zap.String("source", response.Source))
+			if !lostQuorum {
+				s.proxy.log.Warn("controller has no quorum", zap.String("controller", response.Source))
 			}
-			unsoundAddr = addr
+			lostQuorum = true
 			s.backOff(addr, noQuorumBackoff)
 			s.pause(ctx)
 			continue
 		}
-		unsoundAddr = ""
-		if len(response.Items) == 0 && time.Since(startedAt) < pullRetryDelay { // a source that answers at once without news must not be asked without end
-			s.pause(ctx)
+		lostQuorum = false
+		if len(response.Items) == 0 && time.Since(startedAt) < pullRetryDelay {
+			s.pause(ctx) // a controller that does not hold pulls must not be asked in a tight loop
 		}
 	}
 }
 
-// findInitialSource finds a sound source at the start. Where many start at once some are down, and some do not hear the core yet: one
-// after the other is asked, and none is waited for long.
+// findInitialSource pulls until a controller with quorum has answered. When a whole site starts at once some
+// controllers are down and some without quorum yet, so that they are asked one after the other and none is waited for
+// long: a pull that has no answer yet goes on while the next controller is asked.
 func (s *subscription) findInitialSource(ctx context.Context) {
 	for ctx.Err() == nil && !s.proxy.synced.Load() {
-		addrs := s.candidates()
-		for _, addr := range addrs[:min(len(addrs), startupFanout)] {
+		candidates := s.candidates()
+		for _, addr := range candidates[:min(len(candidates), startupFanout)] {
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
@@ -173,10 +154,3 @@
 	case <-ctx.Done():
 	}
 }
-
-// backOff passes an address over for a while.
-func (s *subscription) backOff(addr string, duration time.Duration) {
-	s.mu.Lock()
-	s.backoffUntil[addr] = time.Now().Add(duration)
-	s.mu.Unlock()
-}
--- /dev/null
+++ b/internal/proxy/ticker.go
@@ -0,0 +1,82 @@
+package proxy
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// queueCheckInterval is the pause between dispatches of queued requests while there are any.
+	queueCheckInterval = 20 * time.Millisecond
+
+	// idleCheckInterval is the pause while no request is queued. It is longer because each tick wakes the process.
+	idleCheckInterval = 12 * queueCheckInterval
+
+	tallyReportInterval = time.Second
+	countersLogInterval = 10 * time.Second
+)
+
+// tickerState is what the ticker remembers from one tick to the next.
+type tickerState struct {
+	lastTallyReport time.Time
+	lastCountersLog time.Time
+	leaseValid      bool
+}
+
+// runTicker does the periodic work of the proxy until ctx ends: it dispatches queued requests, starts health checks,
+// reports release tallies and logs the counters.
+func (p *Proxy) runTicker(ctx context.Context) {
+	ticker := time.NewTicker(idleCheckInterval)
+	defer ticker.Stop()
+	state := tickerState{lastTallyReport: time.Now(), lastCountersLog: time.Now(), leaseValid: true}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.requestQueued:
+			ticker.Reset(queueCheckInterval)
+		case now := <-ticker.C:
+			ticker.Reset(p.tick(ctx, &state, now))
+		}
+	}
+}
+
+// tick does the work that is due at now and returns the pause until the next tick.
+func (p *Proxy) tick(ctx context.Context, state *tickerState, now time.Time) time.Duration {
+	p.mu.Lock()
+	p.connPool.closeExpired(now)
+	p.balancer.DispatchAll(now)
+	hasQueued := p.balancer.HasQueued()
+	checks := p.balancer.TakeHealthChecks()
+	leaseValid := p.balancer.LeaseValid(now)
+	p.mu.Unlock()
+
+	p.logLeaseChange(state, leaseValid)
+	p.startHealthChecks(checks)
+	interval := idleCheckInterval
+	if hasQueued {
+		interval = queueCheckInterval
+	}
+	if now.Sub(state.lastTallyReport) > tallyReportInterval {
+		state.lastTallyReport = now
+		go p.subscription.reportTallies(ctx)
+	}
+	if now.Sub(state.lastCountersLog) > countersLogInterval {
+		state.lastCountersLog = now
+		p.counters.logTo(p.log)
+	}
+	return interval
+}
+
+// logLeaseChange logs when the send lease expires and when it is valid again.
+func (p *Proxy) logLeaseChange(state *tickerState, leaseValid bool) {
+	if leaseValid == state.leaseValid {
+		return
+	}
+	state.leaseValid = leaseValid
+	if leaseValid {
+		p.log.Info("send lease valid again")
+	} else {
+		p.log.Warn("send lease expired, checking backends directly")
+	}
+}
