--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -102,6 +102,8 @@
 			return
 		}
 		result := p.send(ctx, r, request, backend, body)
+		// FIXME: the outcome of a request with a streamed body is never reported to the balancer, which goes on to count
+		// it as in flight at its backend.
 		if body.replayable() && p.shouldRetry(request, backend, result) {
 			result.close()
 			continue
--- a/internal/proxy/retry/execution.go
+++ b/internal/proxy/retry/execution.go
@@ -1,38 +1,25 @@
-// Package verdict says of every send to an appliance whether its request may have run there. All that a relay may do
-// next hangs on it: a risky request is sent again, or refused with the promise that it has not run, only after NotExecuted.
+// Package retry decides what follows from the end of a send: whether the request may have been executed, what the
+// client gets, whether the request may be sent again, and whether the connection may be reused.
+//
+// The decision is a table over the phase that the send has reached and the event that ended it (see Decide). Everything
+// depends on whether a backend may have executed the request: one that is not idempotent is sent again, and a client is
+// told that its request was not executed, only if that is certain.
 package retry
 
-import "github.com/go-faster/errors"
-
-// Execution is what is known of one send. Its zero value is the careful one.
+// Execution is what is known about the execution of a request. The zero value is the safe assumption.
 type Execution uint8
 
+// A response proves anything only if it carries the id of this very attempt.
 const (
-	MaybeExecuted Execution = iota // written, at least in part, and no answer tells
-	NotExecuted                    // not written whole, or turned away by an answer that says so
-	Executed                       // an answer of the appliance to this very request came whole
+	MaybeExecuted Execution = iota // the request was written, at least in part, and no response tells
+	NotExecuted                    // nothing was written, or a response says that the request was not executed
+	Executed                       // a response has arrived completely
 )
 
 func (e Execution) String() string { return [...]string{"may have run", "never ran", "ran"}[e] }
 
-// ExecutionError is why a send has no answer, and what that says of its request.
-type ExecutionError struct {
-	Execution Execution
-	Cause     error
-}
-
-func (e *ExecutionError) Error() string { return e.Execution.String() + ": " + e.Cause.Error() }
-func (e *ExecutionError) Unwrap() error { return e.Cause }
-
-// ExecutionOf reads the verdict of an error; an error that carries none may have run.
-func ExecutionOf(err error) Execution {
-	if e, ok := errors.Into[*ExecutionError](err); ok {
-		return e.Execution
-	}
-	return MaybeExecuted
-}
-
-// Combine is what two sends of one request together allow: the request never ran only if neither did.
+// Combine returns what is known about the execution of a request after two of its sends. The request was certainly not
+// executed only if neither send was.
 func Combine(a, b Execution) Execution {
 	switch {
 	case a == Executed || b == Executed:
--- /dev/null
+++ b/internal/proxy/retry/table_test.go
@@ -0,0 +1,131 @@
+package retry
+
+import "testing"
+
+// forEachRule calls f for every phase and event.
+func forEachRule(f func(Phase, Event, Rule)) {
+	for _, phase := range AllPhases() {
+		for _, event := range AllEvents() {
+			f(phase, event, Decide(phase, event))
+		}
+	}
+}
+
+// Every phase and event has a name of its own, and the parts of every rule fit together.
+func TestRuleTableIsConsistent(t *testing.T) {
+	names := map[string]bool{}
+	for _, phase := range AllPhases() {
+		names[phase.String()] = true
+	}
+	for _, event := range AllEvents() {
+		names[event.String()] = true
+	}
+	if len(names) != len(AllPhases())+len(AllEvents()) {
+		t.Errorf("%d names for %d phases and %d events", len(names), len(AllPhases()), len(AllEvents()))
+	}
+	forEachRule(func(phase Phase, event Event, rule Rule) {
+		// Each part has a name: String panics for a value that has none.
+		_ = rule.Continuation.String() + rule.Execution.String() + rule.Response.String() + rule.Retry.String() +
+			rule.Connection.String()
+		if !rule.Possible {
+			if rule != impossibleRule {
+				t.Errorf("%v, %v: impossible, and more is said: %+v", phase, event, rule)
+			}
+			return
+		}
+		if (rule.Continuation == Continues) != (rule.Response == Pending) {
+			t.Errorf("%v, %v: %v, and the client gets %v", phase, event, rule.Continuation, rule.Response)
+		}
+		if (rule.Connection == NoConnection) != (phase < Connected) {
+			t.Errorf("%v, %v: the connection is %v", phase, event, rule.Connection)
+		}
+	})
+}
+
+// A request that is not idempotent is sent again only if it was certainly not executed, and only then the client is
+// told so.
+func TestNonIdempotentIsRetriedOnlyIfNotExecuted(t *testing.T) {
+	forEachRule(func(phase Phase, event Event, rule Rule) {
+		if rule.Retry == Always && rule.Execution != NotExecuted {
+			t.Errorf("%v, %v: sent again though it %v", phase, event, rule.Execution)
+		}
+		if rule.Response == ServiceUnavailable && rule.Execution != NotExecuted {
+			t.Errorf("%v, %v: 503 though it %v", phase, event, rule.Execution)
+		}
+		clientHasResponse := rule.Response == Aborted || phase == Streaming || phase == Complete
+		if rule.Retry != Never && clientHasResponse {
+			t.Errorf("%v, %v: sent again after a response", phase, event)
+		}
+	})
+}
+
+// Once anything is written, only a response to this very attempt proves that the request was not executed.
+func TestOnlyOwnResponseProvesNotExecuted(t *testing.T) {
+	proof := map[Event]bool{Declined: true, Misdirected: true, RequestRejected: true}
+	forEachRule(func(phase Phase, event Event, rule Rule) {
+		if !rule.Possible || phase == Complete {
+			return
+		}
+		notExecuted := rule.Execution == NotExecuted
+		if phase >= WritingHeader && notExecuted != proof[event] {
+			t.Errorf("%v, %v: %v", phase, event, rule.Execution)
+		}
+		if phase < WritingHeader && !notExecuted {
+			t.Errorf("%v, %v: %v with nothing written", phase, event, rule.Execution)
+		}
+	})
+}
+
+// A connection is reused only after a response that was awaited and is complete, and only such a response is forwarded.
+func TestOnlyCompleteExchangesAllowReuse(t *testing.T) {
+	complete := map[Event]bool{
+		ResponseReceived:   true,
+		ServerError:        true,
+		Declined:           true,
+		Misdirected:        true,
+		RequestRejected:    true,
+		UnconfirmedRefusal: true,
+	}
+	forEachRule(func(phase Phase, event Event, rule Rule) {
+		ends := rule.Possible && rule.Continuation != Continues && phase != Complete
+		if ends && rule.Connection == Reuse && (!complete[event] || phase < AwaitingResponse) {
+			t.Errorf("%v, %v: the connection is reused", phase, event)
+		}
+		if event.IsResponse() && phase == Complete && rule.Connection != Discard {
+			t.Errorf("%v, %v: the connection is reused after a second response", phase, event)
+		}
+		if rule.Response == Forwarded && phase != Complete && !complete[event] {
+			t.Errorf("%v, %v: forwarded", phase, event)
+		}
+	})
+}
+
+// A client that disconnects, a shutdown and the end of the permission to send interrupt no request that is written and
+// not idempotent.
+func TestWrittenRequestsAreNotInterrupted(t *testing.T) {
+	forEachRule(func(phase Phase, event Event, rule Rule) {
+		if phase < WritingHeader || phase > ReadingBody {
+			return
+		}
+		switch event {
+		case ClientDisconnected:
+			if rule.Continuation != EndedIfIdempotent {
+				t.Errorf("%v, %v: %v", phase, event, rule.Continuation)
+			}
+		case Shutdown, PermissionRevoked:
+			if rule.Continuation != Continues {
+				t.Errorf("%v, %v: %v", phase, event, rule.Continuation)
+			}
+		}
+	})
+}
+
+// A reset and a close have the same rule, so that it does not matter which of them the system reports.
+func TestConnectionResetEqualsClose(t *testing.T) {
+	for _, phase := range AllPhases() {
+		reset, closed := Decide(phase, ConnectionReset), Decide(phase, ConnectionClosed)
+		if reset.Possible && closed.Possible && reset != closed {
+			t.Errorf("%v: %+v and %+v", phase, reset, closed)
+		}
+	}
+}
