--- a/internal/upstream/readable_other.go
+++ b/internal/upstream/readable_other.go
@@ -4,5 +4,6 @@
 
 import "net"
 
-// readable is for systems that tell without reading; elsewhere only what has been read with an answer is seen behind it.
+// readable reports whether a read would not wait. These systems do not tell, so that only what has been read together
+// with a response is seen after it.
 func readable(*net.TCPConn) bool { return false }
--- a/internal/upstream/readable_unix.go
+++ b/internal/upstream/readable_unix.go
@@ -7,15 +7,16 @@
 	"syscall"
 )
 
-// readable tells whether a connection has something to be read, be it its end.
-func readable(conn *net.TCPConn) (readable bool) {
+// readable reports whether a read would not wait, because there is data, the end of the connection or an error.
+func readable(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
 	}
+	hasInput := false
 	err = raw.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		readable = err != syscall.EAGAIN && err != syscall.EINTR
+		hasInput = err != syscall.EAGAIN && err != syscall.EINTR
 	})
-	return readable || err != nil
+	return hasInput || err != nil
 }
