--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,15 @@
 // Package proxy is the data plane of one machine. It accepts requests from clients, asks the balancer for a backend,
-// forwards each request there and the response back. It learns the configuration and the backends from the controllers,
-// by long polling (see subscription).
+// forwards each request there and the response back.
+//
+// A request passes through serveClient, forward and send to a backend, and its response through respond to the client.
+// What may follow from the end of a send is decided by package retry, where it goes by package balancer.
+//
+// The proxy learns the configuration, the backends and the releases from the controllers by long polling (see
+// subscription). With the same pulls it renews the lease by which clients find it, and the lease without which it sends
+// nothing to a backend unless that confirms by a health check that it serves.
+//
+// Proxy.mu may be held when connPool.mu is taken, not the other way round. subscription.mu is never held together with
+// either of them.
 package proxy
 
 import (
