--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -13,7 +13,7 @@
 type counters struct {
 	received     atomic.Int64 // requests from clients
 	served       atomic.Int64 // responses forwarded that count as a success
-	refused      atomic.Int64 // answered by the proxy itself, without execution
+	rejected     atomic.Int64 // answered by the proxy itself, without execution
 	failed       atomic.Int64 // answered with an error after the request may have been executed
 	dials        atomic.Int64 // connections opened to backends
 	retries      atomic.Int64
@@ -34,7 +34,7 @@
 	log.Info("request counters",
 		zap.Int64("received", c.received.Load()),
 		zap.Int64("served", c.served.Load()),
-		zap.Int64("refused", c.refused.Load()),
+		zap.Int64("rejected", c.rejected.Load()),
 		zap.Int64("failed", c.failed.Load()),
 		zap.Int64("dials", c.dials.Load()),
 		zap.Int64("retries", c.retries.Load()),
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -18,14 +18,14 @@
 // replyUnavailable answers 503, which promises the client that its request was not executed and never will be, and that
 // it may try again after the given time.
 func (p *Proxy) replyUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
-	p.counters.refused.Add(1)
+	p.counters.rejected.Add(1)
 	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
 // replyRejected answers a request that was not executed and that is wrong in itself.
 func (p *Proxy) replyRejected(w http.ResponseWriter, status int, reason string) {
-	p.counters.refused.Add(1)
+	p.counters.rejected.Add(1)
 	http.Error(w, reason, status)
 }
 
