--- a/internal/proxy/retry/event.go
+++ b/internal/proxy/retry/event.go
@@ -30,22 +30,22 @@
 
 func (e Event) String() string {
 	return [...]string{
-		ResponseReceived:     "answered",
-		ServerError:          "failed",
-		Declined:             "not run",
+		ResponseReceived:     "response received",
+		ServerError:          "server error",
+		Declined:             "declined",
 		Misdirected:          "misdirected",
-		RequestRejected:      "rejected",
-		UnconfirmedRefusal:   "unproven refusal",
-		ForeignResponse:      "foreign answer",
-		UnidentifiedResponse: "answer without an id",
-		UnsealedResponse:     "success without a seal",
-		MalformedResponse:    "spoilt answer",
-		ConnectionReset:      "reset",
-		ConnectionClosed:     "close",
-		Timeout:              "silence",
-		ClientDisconnected:   "caller gone",
+		RequestRejected:      "request rejected",
+		UnconfirmedRefusal:   "unconfirmed refusal",
+		ForeignResponse:      "foreign response",
+		UnidentifiedResponse: "unidentified response",
+		UnsealedResponse:     "unsealed response",
+		MalformedResponse:    "malformed response",
+		ConnectionReset:      "connection reset",
+		ConnectionClosed:     "connection closed",
+		Timeout:              "timeout",
+		ClientDisconnected:   "client disconnected",
 		Shutdown:             "shutdown",
-		PermissionRevoked:    "withdrawn",
+		PermissionRevoked:    "permission revoked",
 	}[e]
 }
 
--- a/internal/proxy/retry/execution.go
+++ b/internal/proxy/retry/execution.go
@@ -16,7 +16,9 @@
 	Executed                       // a response has arrived completely
 )
 
-func (e Execution) String() string { return [...]string{"may have run", "never ran", "ran"}[e] }
+func (e Execution) String() string {
+	return [...]string{"maybe executed", "not executed", "executed"}[e]
+}
 
 // Combine returns what is known about the execution of a request after two of its sends. The request was certainly not
 // executed only if neither send was.
--- a/internal/proxy/retry/rule.go
+++ b/internal/proxy/retry/rule.go
@@ -21,7 +21,9 @@
 	Continues                             // it goes on as if nothing had happened
 )
 
-func (c Continuation) String() string { return [...]string{"over", "over if repeatable", "goes on"}[c] }
+func (c Continuation) String() string {
+	return [...]string{"ended", "ended if idempotent", "continues"}[c]
+}
 
 // ClientResponse is what a client gets.
 type ClientResponse uint8
@@ -37,7 +39,7 @@
 )
 
 func (r ClientResponse) String() string {
-	return [...]string{"502", "504", "503 and a time", "the answer", "a cut answer", "waits on"}[r]
+	return [...]string{"502", "504", "503 with Retry-After", "forwarded", "aborted", "pending"}[r]
 }
 
 // Policy is which requests may be sent again.
@@ -50,7 +52,7 @@
 	Always                     // all
 )
 
-func (p Policy) String() string { return [...]string{"never", "if repeatable", "yes"}[p] }
+func (p Policy) String() string { return [...]string{"never", "if idempotent", "always"}[p] }
 
 // Allows reports whether a request may be sent again.
 func (p Policy) Allows(idempotent bool) bool { return p == Always || p == IfIdempotent && idempotent }
@@ -65,7 +67,7 @@
 	NoConnection                    // there is none
 )
 
-func (d Disposition) String() string { return [...]string{"dropped", "kept", "none"}[d] }
+func (d Disposition) String() string { return [...]string{"discarded", "reused", "none"}[d] }
 
 // withConnection returns the rule with another disposition of the connection.
 func (r Rule) withConnection(disposition Disposition) Rule {
