--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -1,61 +1,128 @@
 package server
 
 import (
-	"bytes"
+	"io"
 	"net/http"
-	"strings"
-	"time"
 
+	"github.com/go-faster/errors"
 	"github.com/gorilla/mux"
+	"github.com/mailru/easyjson"
 )
 
-// apiHandler is the tree of matchers for the calls of appliances and the operator.
+// Operations of the API, as named by the query parameter call of POST /api/rpc.
+const (
+	opHeartbeat      = "servers.pulse"
+	opSignOff        = "servers.sign_off"
+	opSettingsChange = "settings.change"
+	opSettingsRead   = "settings.read"
+	opReleaseBegin   = "releases.begin"
+	opReleaseRead    = "releases.read"
+	opClearOutBegin  = "clear_out.begin"
+	opClearOutFinish = "clear_out.finish"
+	opDrainBegin     = "drains.begin"
+	opDrainEnd       = "drains.end"
+	opDrainsRead     = "drains.read"
+)
+
+// targetParam names what an operation is about, as a query parameter: a backend, a service, a zone or a drain.
+const targetParam = "of"
+
+// Bounds of requests, in bytes.
+const (
+	maxConfigBytes = 16 << 20
+	maxBodyBytes   = 64 << 10 // of heartbeats and release orders
+	maxDrainBytes  = 4 << 10
+	maxTargetBytes = 256
+)
+
+// retryAfter is the Retry-After of a 503, in seconds: another controller may be asked sooner.
+const retryAfter = "0.2"
+
+// apiFunc handles an operation. An error that it returns decides the response; it has written nothing then.
+type apiFunc func(w http.ResponseWriter, r *http.Request) error
+
+// ServeHTTP implements http.Handler.
+func (f apiFunc) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if err := f(w, r); err != nil {
+		writeError(w, err)
+	}
+}
+
+// apiHandler serves backends and operators.
 func (s *Server) apiHandler() http.Handler {
 	router := mux.NewRouter()
 	router.UseEncodedPath()
-	rpc := router.Path("/api/rpc").Methods(http.MethodPost).Subrouter()
-	handle := func(call string, handler func(http.ResponseWriter, *http.Request)) {
-		rpc.NewRoute().Queries("call", call).HandlerFunc(handler)
-	}
-	handle("servers.pulse", s.handleHeartbeat)
-	handle("servers.sign_off", s.handleSignOff)
-	handle("settings.change", s.handleSettingsChange)
-	handle("settings.read", s.handleSettingsRead)
-	handle("releases.begin", s.handleReleaseBegin)
-	handle("releases.read", s.handleReleaseRead)
-	handle("clear_out.begin", s.clearOutHandler(true))
-	handle("clear_out.finish", s.clearOutHandler(false))
-	handle("drains.begin", s.handleDrainBegin)
-	handle("drains.end", s.handleDrainEnd)
-	handle("drains.read", s.handleDrainsRead)
+	operations := router.Path("/api/rpc").Methods(http.MethodPost).Subrouter()
+	handle := func(operation string, handler apiFunc) {
+		operations.NewRoute().Queries("call", operation).Handler(handler)
+	}
+	handle(opHeartbeat, s.handleHeartbeat)
+	handle(opSignOff, s.handleSignOff)
+	handle(opSettingsChange, s.handleSettingsChange)
+	handle(opSettingsRead, s.handleSettingsRead)
+	handle(opReleaseBegin, s.handleReleaseBegin)
+	handle(opReleaseRead, s.handleReleaseRead)
+	handle(opClearOutBegin, s.handleClearOutBegin)
+	handle(opClearOutFinish, s.handleClearOutFinish)
+	handle(opDrainBegin, s.handleDrainBegin)
+	handle(opDrainEnd, s.handleDrainEnd)
+	handle(opDrainsRead, s.handleDrainsRead)
 	return router
 }
 
-// lookupHandler answers clients that look for an agent.
-func (s *Server) lookupHandler() http.Handler {
-	r := mux.NewRouter()
-	r.Path("/api/lookup").Methods(http.MethodGet).HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.counters.lookups.Add(1)
-		query := r.URL.Query()
-		s.mu.Lock()
-		addresses := s.replica.ListenerAddrs(s.now(), query.Get("zone"), query.Get("region"), maxLookupAddresses)
-		s.mu.Unlock()
-		if len(addresses) == 0 {
-			writeUnavailable(w, "no agent is ready")
+// readTarget returns targetParam of a request.
+func readTarget(r *http.Request) (string, error) {
+	target := r.URL.Query().Get(targetParam)
+	if target == "" || len(target) > maxTargetBytes {
+		return "", invalidParam(targetParam + ": missing or too long")
+	}
+	return target, nil
+}
+
+// readBody reads the body of a request, up to a limit.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, error) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	if err == nil {
+		return data, nil
+	}
+	if isType[*http.MaxBytesError](err) {
+		return nil, &tooLargeError{err}
+	}
+	return nil, invalidRequest(err)
+}
+
+// writeError responds to an operation that failed.
+func writeError(w http.ResponseWriter, err error) {
+	status := statusOf(err)
+	if status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", retryAfter)
+	}
+	if shortage, ok := errors.Into[*insufficientCapacityError](err); ok {
+		if err = writeValue(w, status, shortage.response); err == nil {
 			return
 		}
-		var response bytes.Buffer
-		response.WriteString(`{"addresses":["`)
-		response.WriteString(strings.Join(addresses, `","`))
-		response.WriteString(`"],"valid":"`)
-		response.WriteString(min(lookupTTL, max(s.settings.RuleLimits.MaxTTL, time.Second)).String())
-		response.WriteString(`"}`)
-		writeJSON(w, response.Bytes())
-	})
-	return r
+		status = statusOf(err)
+	}
+	http.Error(w, err.Error(), status)
 }
 
-const (
-	lookupTTL          = 3 * time.Second // how long clients keep an answer: as long as a lost agent stays in some
-	maxLookupAddresses = 64              // addresses in an answer
-)
+// writeOK acknowledges an operation that has no result.
+func writeOK(w http.ResponseWriter) { writeJSON(w, http.StatusOK, []byte("{}")) }
+
+// writeValue responds with a value as JSON. After an error, which is an *encodingError, nothing has been written.
+func writeValue(w http.ResponseWriter, status int, value easyjson.Marshaler) error {
+	data, err := easyjson.Marshal(value)
+	if err != nil {
+		return &encodingError{err}
+	}
+	writeJSON(w, status, data)
+	return nil
+}
+
+// writeJSON responds with JSON. It leaves out the Date header, which no caller uses.
+func writeJSON(w http.ResponseWriter, status int, data []byte) {
+	w.Header()["Date"] = nil
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	w.Write(data)
+}
--- a/internal/control/server/clear_out.go
+++ b/internal/control/server/clear_out.go
@@ -10,71 +10,83 @@
 	"sagelever/internal/control/quorum"
 )
 
-// ackDeliveryTime is the time within which an answer that is given has reached its caller before the caller goes on to ask another
-// agent, after a second.
+// ackDeliveryTime is how long after the arrival of an order a response may be sent that surely reaches the caller
+// before it gives up, which is after a second, and repeats the order at another controller.
 const ackDeliveryTime = 700 * time.Millisecond
 
-// resendWindow is for how long an order that has no version may be the same one again.
+// resendWindow is how long an order without a version may be a repetition of an earlier one.
 func (s *Server) resendWindow() time.Duration {
 	return dedup.ResendWindow(s.settings.RuleLimits.ConfirmTimeout)
 }
 
-// clearOutHandler begins or ends the clearing out of a zone.
-func (s *Server) clearOutHandler(begin bool) func(http.ResponseWriter, *http.Request) {
-	operation := map[bool]string{true: "clear_out.begin ", false: "clear_out.finish "}[begin]
-	return func(w http.ResponseWriter, r *http.Request) {
-		zone, ok := targetParam(w, r)
-		if !ok {
-			return
-		}
-		if _, known := s.settings.Zones[zone]; !known {
-			writeError(w, &notFoundError{"of: there is no such zone"})
-			return
-		}
-		if !s.requireQuorum(w) {
-			return
-		}
-		started := s.now()
-		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
-		defer cancel()
-		version, err := s.operations.join(ctx, operation+zone, 0, func(ctx context.Context) (uint64, error) {
-			return s.proposeClearOut(ctx, zone, begin)
-		})
-		if err != nil {
-			writeError(w, err)
-			return
-		}
-		if begin {
-			s.awaitPropagation(ctx, drain.EvacuationKey(zone))
-		}
-		writeOK(w)
-		if s.now().Sub(started) < ackDeliveryTime && http.NewResponseController(w).Flush() == nil {
-			go s.recordAcknowledged(zone, version)
-		}
+// handleClearOutBegin takes all backends of a zone out of service.
+func (s *Server) handleClearOutBegin(w http.ResponseWriter, r *http.Request) error {
+	return s.changeClearOut(w, r, opClearOutBegin)
+}
+
+// handleClearOutFinish withdraws one order to clear out a zone. The zone is in service again once all are withdrawn.
+func (s *Server) handleClearOutFinish(w http.ResponseWriter, r *http.Request) error {
+	return s.changeClearOut(w, r, opClearOutFinish)
+}
+
+// changeClearOut carries out opClearOutBegin or opClearOutFinish.
+func (s *Server) changeClearOut(w http.ResponseWriter, r *http.Request, operation string) error {
+	zone, err := readTarget(r)
+	if err != nil {
+		return err
+	}
+	if _, known := s.settings.Zones[zone]; !known {
+		return &notFoundError{"of: there is no such zone"}
+	}
+	if err := s.requireQuorum(); err != nil {
+		return err
+	}
+	received := s.now()
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+	defer cancel()
+	begin := operation == opClearOutBegin
+	version, err := s.operations.join(ctx, operationKey(operation, zone), 0, func(ctx context.Context) (uint64, error) {
+		return s.proposeClearOut(ctx, zone, begin)
+	})
+	if err != nil {
+		return err
+	}
+	if begin {
+		s.awaitPropagation(ctx, drain.EvacuationKey(zone))
+	}
+	writeOK(w)
+	inTime := s.now().Sub(received) < ackDeliveryTime
+	if inTime && http.NewResponseController(w).Flush() == nil {
+		go s.recordAcknowledged(zone, version)
 	}
+	return nil
 }
 
-// proposeClearOut has a word on a zone decided and tells the version of the zone's register that stands with it.
+// proposeClearOut has an order on a zone chosen and returns the version that the zone's register has with it. Orders
+// add up, but a repetition of one that has not been acknowledged changes nothing.
 func (s *Server) proposeClearOut(ctx context.Context, zone string, begin bool) (version uint64, err error) {
 	now := s.now()
-	err = retryWithoutQuorum(ctx, callTimeout, func(ctx context.Context) error {
-		values, err := s.readPrefix(ctx, drain.AcknowledgedKey(zone))
+	err = retryTooFewResponses(ctx, callTimeout, func(ctx context.Context) error {
+		acknowledgedKey := drain.AcknowledgedKey(zone)
+		values, err := s.readPrefix(ctx, acknowledgedKey)
 		if err != nil {
 			return err
 		}
+		acknowledged := drain.ReadAcknowledged(values[acknowledgedKey])
 		key := drain.EvacuationKey(zone)
-		acknowledged := drain.ReadAcknowledged(values[drain.AcknowledgedKey(zone)])
-		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: drain.SetEvacuationOnce(begin, acknowledged, now, s.resendWindow())})
+		change := drain.SetEvacuationOnce(begin, acknowledged, now, s.resendWindow())
+		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
 		version = chosen[key].Version
 		return err
 	})
 	return version, err
 }
 
-// recordAcknowledged notes that the word which brought a version of a zone's register has had its answer. Where that fails, the same word
-// counts as sent again, which is what holds before it.
+// recordAcknowledged records that the order which has brought a version of a zone's register was acknowledged in time:
+// the same order is a new one from then on. After a failure it still counts as a repetition, as it did before.
 func (s *Server) recordAcknowledged(zone string, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
-	_, _ = s.propose(ctx, map[string]quorum.UpdateFunc{drain.AcknowledgedKey(zone): drain.Acknowledge(version)})
+	changes := map[string]quorum.UpdateFunc{drain.AcknowledgedKey(zone): drain.Acknowledge(version)}
+	_, _ = s.propose(ctx, changes) // see above: a failure does no harm
 }
--- a/internal/control/server/configuration.go
+++ b/internal/control/server/configuration.go
@@ -6,83 +6,68 @@
 	"maps"
 	"net/http"
 	"slices"
-	"sort"
+	"strings"
 	"sync"
 	"time"
 
-	"github.com/go-faster/errors"
-	"github.com/mailru/easyjson"
-
 	"sagelever/internal/control/config"
 	"sagelever/internal/control/quorum"
 )
 
-const (
-	callTimeout = 900 * time.Millisecond // callers give an agent a second
-	timePerItem = 3 * time.Millisecond   // and more for large bodies: what the rules of acknowledgements add for each route
-)
-
-// requireQuorum answers 503 where this member lacks contact with the core: it neither confirms nor refuses what others may know of.
-func (s *Server) requireQuorum(w http.ResponseWriter) bool {
-	s.mu.Lock()
-	ok := s.replica.HasQuorum(s.now())
-	s.mu.Unlock()
-	if !ok {
-		writeError(w, errNoQuorum)
-	}
-	return ok
-}
-
-// proposeTogether makes a change lasting that depends on all of its registers.
-func (s *Server) proposeTogether(ctx context.Context, keys []string, decide quorum.DecideFunc) (map[string]quorum.Value, error) {
-	s.counters.proposals.Add(1)
-	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.WriteAtomic(now, until, keys, decide) })
-}
+// timePerItem is added to callTimeout for each item of a change: callers wait that much longer for large ones.
+const timePerItem = 3 * time.Millisecond
 
-// parseChange reads a configuration and checks what can be said of it by itself.
-func parseChange(data []byte) (map[string]quorum.Value, error) {
-	call, err := config.ParseChangeRequest(data)
-	if err != nil {
-		return nil, &config.InvalidError{Err: err}
-	}
-	values, err := call.Values()
+// handleSettingsChange commits a change of the configuration: all of its items, or none.
+func (s *Server) handleSettingsChange(w http.ResponseWriter, r *http.Request) error {
+	data, err := readBody(w, r, maxConfigBytes)
 	if err != nil {
-		return nil, &config.InvalidError{Err: err}
-	}
-	return values, nil
-}
-
-// handleSettingsChange takes a configuration: whole and lasting, or not at all.
-func (s *Server) handleSettingsChange(w http.ResponseWriter, r *http.Request) {
-	data, ok := readBody(w, r, maxCallBytes)
-	if !ok {
-		return
+		return err
 	}
 	values, err := parseChange(data)
 	if err != nil {
-		writeError(w, err)
-		return
+		return err
 	}
-	if !s.requireQuorum(w) {
-		return
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
 	timeout := callTimeout + time.Duration(len(values))*timePerItem
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	_, err = s.operations.join(ctx, "settings.change "+config.ChangeText(values), len(data), func(ctx context.Context) (uint64, error) {
-		return 0, retryWithoutQuorum(ctx, timeout, func(ctx context.Context) error { return s.commitChange(ctx, values) })
+	key := operationKey(opSettingsChange, config.ChangeText(values))
+	err = s.operations.run(ctx, key, len(data), func(ctx context.Context) error {
+		return retryTooFewResponses(ctx, timeout, func(ctx context.Context) error {
+			return s.commitChange(ctx, values)
+		})
 	})
-	writeResult(w, err)
+	if err != nil {
+		return err
+	}
+	writeOK(w)
+	return nil
 }
 
-// commitChange has a round decide on a call that may come into force. What is in force is read only where the call's validity
-// depends on it: a read costs a message to all members, and by the size of the configuration.
+// parseChange returns the values that a change gives to registers. It checks what can be checked without knowing the
+// current configuration.
+func parseChange(data []byte) (map[string]quorum.Value, error) {
+	request, err := config.ParseChangeRequest(data)
+	if err != nil {
+		return nil, invalidRequest(err)
+	}
+	values, err := request.Values()
+	if err != nil {
+		return nil, invalidRequest(err)
+	}
+	return values, nil
+}
+
+// commitChange validates a change against the current configuration and commits it. The current configuration is read
+// only where validity depends on it, as a read costs a message to all members and grows with the configuration.
 func (s *Server) commitChange(ctx context.Context, values map[string]quorum.Value) error {
 	keys := slices.Sorted(maps.Keys(values))
 	if !config.DependsOnOtherItems(values) {
 		return s.commitWith(ctx, keys, config.Commit(values), values)
 	}
-	if ended, err := s.commitIndependent(ctx, keys, values); ended {
+	if done, err := s.commitSelfContained(ctx, keys, values); done {
 		return err
 	}
 	current, err := s.readPrefix(ctx, config.KeyPrefix)
@@ -95,10 +80,13 @@
 	return s.commitWith(ctx, keys, config.Commit(values), values)
 }
 
-// commitIndependent has a round decide on a call that stands alone; ended is false where it doesn't.
-func (s *Server) commitIndependent(ctx context.Context, keys []string, values map[string]quorum.Value) (ended bool, err error) {
-	missing, independent := config.RequiredServices(s.localValues(keys), values)
-	if !independent {
+// commitSelfContained commits a change whose validity depends on no more than the services that it refers to. done is
+// false if that is not so, or cannot be told without reading the configuration.
+func (s *Server) commitSelfContained(
+	ctx context.Context, keys []string, values map[string]quorum.Value,
+) (done bool, err error) {
+	missing, selfContained := config.RequiredServices(s.localValues(keys), values)
+	if !selfContained {
 		return false, nil
 	}
 	var services map[string]quorum.Value
@@ -108,16 +96,13 @@
 		}
 	}
 	err = s.commitWith(ctx, keys, config.CommitSelfContained(services, values), values)
-	_, inconclusive := errors.Into[*config.IndeterminateError](err)
-	return !inconclusive, err
+	return !isType[*config.IndeterminateError](err), err
 }
 
-// readKeys is what was acknowledged last of some registers.
-func (s *Server) readKeys(ctx context.Context, keys []string) (map[string]quorum.Value, error) {
-	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.ReadKeys(now, until, keys) })
-}
-
-func (s *Server) commitWith(ctx context.Context, keys []string, decide quorum.DecideFunc, values map[string]quorum.Value) error {
+// commitWith proposes a change by a decision function and returns what became of it.
+func (s *Server) commitWith(
+	ctx context.Context, keys []string, decide quorum.DecideFunc, values map[string]quorum.Value,
+) error {
 	chosen, err := s.proposeTogether(ctx, keys, decide)
 	if err != nil {
 		return err
@@ -125,23 +110,51 @@
 	return config.Outcome(chosen, values)
 }
 
-// localValues is what this member holds of some registers, which others may have changed since.
-func (s *Server) localValues(keys []string) map[string]quorum.Value {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := make(map[string]quorum.Value, len(keys))
-	for _, key := range keys {
-		out[key] = s.replica.Register(key).Value
-	}
-	return out
+// handleSettingsRead responds with all items of the current configuration.
+func (s *Server) handleSettingsRead(w http.ResponseWriter, r *http.Request) error {
+	if err := s.requireQuorum(); err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+	defer cancel()
+	values, err := s.readPrefix(ctx, config.KeyPrefix)
+	if err != nil {
+		return err
+	}
+	return writeValue(w, http.StatusOK, currentItems(values))
 }
 
-// sharedIndex is the index of what is in force, for calls that come at once.
+// currentItems returns the items that are not deleted, by type and name.
+func currentItems(values map[string]quorum.Value) config.ItemList {
+	list := config.ItemList{Items: []config.Item{}}
+	for key, value := range values {
+		kind, name, ok := config.SplitKey(key)
+		if !ok || value.Deleted {
+			continue
+		}
+		list.Items = append(list.Items, config.Item{
+			Type:     kind,
+			Metadata: config.Metadata{Name: name, Version: config.FormatVersion(value.Version)},
+			Body:     json.RawMessage(value.Body),
+		})
+	}
+	slices.SortFunc(list.Items, func(a, b config.Item) int {
+		if a.Type != b.Type {
+			return strings.Compare(a.Type, b.Type)
+		}
+		return strings.Compare(a.Metadata.Name, b.Metadata.Name)
+	})
+	return list
+}
+
+// sharedIndex is an index of the current configuration that concurrent changes use in turn. It is built by the first
+// one and then kept up to date, as building it costs more than a check.
 type sharedIndex struct {
 	mu    sync.Mutex
 	index *config.Index
 }
 
+// check validates a change against the current configuration.
 func (x *sharedIndex) check(current, values map[string]quorum.Value) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -151,39 +164,3 @@
 	x.index.Update(current)
 	return x.index.Check(values)
 }
-
-// handleSettingsRead gives all items that stand, as the last of all that were acknowledged.
-func (s *Server) handleSettingsRead(w http.ResponseWriter, r *http.Request) {
-	if !s.requireQuorum(w) {
-		return
-	}
-	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
-	defer cancel()
-	values, err := s.readPrefix(ctx, config.KeyPrefix)
-	if err != nil {
-		writeError(w, err)
-		return
-	}
-	data, err := easyjson.Marshal(currentItems(values))
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	writeJSON(w, data)
-}
-
-// currentItems are the items that stand, in a fixed order.
-func currentItems(values map[string]quorum.Value) config.ItemList {
-	out := config.ItemList{Items: []config.Item{}}
-	for key, value := range values {
-		if kind, name, ok := config.SplitKey(key); ok && !value.Deleted {
-			meta := config.Metadata{Name: name, Version: config.FormatVersion(value.Version)}
-			out.Items = append(out.Items, config.Item{Type: kind, Metadata: meta, Body: json.RawMessage(value.Body)})
-		}
-	}
-	sort.Slice(out.Items, func(i, j int) bool {
-		a, b := out.Items[i], out.Items[j]
-		return a.Type < b.Type || a.Type == b.Type && a.Metadata.Name < b.Metadata.Name
-	})
-	return out
-}
--- /dev/null
+++ b/internal/control/server/counters.go
@@ -0,0 +1,113 @@
+package server
+
+import (
+	"net/http"
+	"sync"
+	"sync/atomic"
+
+	"go.uber.org/zap"
+)
+
+// Distances of a peer, as indices of counters.sentBytes: traffic costs more the farther it goes.
+const (
+	sameZone = iota
+	sameRegion
+	otherRegion
+	distances // number of distances
+)
+
+// counters count what the controller has done since it started. They are logged every reportInterval.
+type counters struct {
+	heartbeats atomic.Int64
+	pulls      atomic.Int64
+	lookups    atomic.Int64
+	proposals  atomic.Int64
+	peerCalls  atomic.Int64
+	sentBytes  [distances]atomic.Int64 // in responses to pulls, by distance
+}
+
+// pathCounters count the requests to one path of the peer port and their body bytes, as sent.
+type pathCounters struct {
+	calls         atomic.Int64
+	receivedBytes atomic.Int64
+	sentBytes     atomic.Int64
+}
+
+// countPath wraps the handler of a path of the peer port so that its requests are counted.
+func (s *Server) countPath(path string, handler http.HandlerFunc) http.HandlerFunc {
+	counters := &pathCounters{}
+	s.pathCounters[path] = counters
+	return func(w http.ResponseWriter, r *http.Request) {
+		counters.calls.Add(1)
+		counters.receivedBytes.Add(max(0, r.ContentLength))
+		handler(&countingWriter{w, counters}, r)
+	}
+}
+
+// countingWriter counts the bytes of a response body.
+type countingWriter struct {
+	http.ResponseWriter
+	counters *pathCounters
+}
+
+func (w *countingWriter) Write(p []byte) (int, error) {
+	w.counters.sentBytes.Add(int64(len(p)))
+	return w.ResponseWriter.Write(p)
+}
+
+// countSent counts bytes that were sent to a peer in a zone.
+func (s *Server) countSent(zone string, size int) {
+	distance := otherRegion
+	switch {
+	case zone == s.self.Zone:
+		distance = sameZone
+	case s.settings.Zones[zone] == s.settings.Region:
+		distance = sameRegion
+	}
+	s.counters.sentBytes[distance].Add(int64(size))
+}
+
+// reportCounters logs all counters.
+func (s *Server) reportCounters() {
+	s.log.Info("counters",
+		zap.Int64("heartbeats", s.counters.heartbeats.Load()),
+		zap.Int64("pulls", s.counters.pulls.Load()),
+		zap.Int64("lookups", s.counters.lookups.Load()),
+		zap.Int64("proposals", s.counters.proposals.Load()),
+		zap.Int64("peerCalls", s.counters.peerCalls.Load()),
+		zap.Int64("bytesSentInZone", s.counters.sentBytes[sameZone].Load()),
+		zap.Int64("bytesSentInRegion", s.counters.sentBytes[sameRegion].Load()),
+		zap.Int64("bytesSentToOtherRegions", s.counters.sentBytes[otherRegion].Load()))
+	for path, counters := range s.pathCounters {
+		s.log.Info("peer calls",
+			zap.String("path", path),
+			zap.Int64("calls", counters.calls.Load()),
+			zap.Int64("receivedBytes", counters.receivedBytes.Load()),
+			zap.Int64("sentBytes", counters.sentBytes.Load()))
+	}
+}
+
+// failureLog logs when writes to the disk begin to fail and when they succeed again, once each.
+type failureLog struct {
+	log *zap.Logger
+
+	mu       sync.Mutex
+	failures int // consecutive
+}
+
+// record takes the result of a write.
+func (f *failureLog) record(err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err != nil {
+		f.failures++
+		if f.failures == 1 {
+			f.log.Warn("disk writes fail", zap.Error(err))
+		}
+		return
+	}
+	if f.failures > 0 {
+		f.log.Info("disk writes succeed again", zap.Int("failures", f.failures))
+	}
+	f.failures = 0
+}
--- a/internal/control/server/drain.go
+++ b/internal/control/server/drain.go
@@ -5,291 +5,244 @@
 	"maps"
 	"net/http"
 	"slices"
-	"sync"
-	"time"
 
 	"github.com/mailru/easyjson"
 
 	"sagelever/internal/control/drain"
-	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/replication"
 	"sagelever/internal/control/routing"
-	"sagelever/internal/rpc"
 )
 
-const (
-	surveyTimeout = 500 * time.Millisecond // for agents to answer a census: a call each in the zone, two between regions
-	maxDrainBytes = 4 << 10                // bytes of an operator's word on a drain
-)
-
-// handleInFlightReport takes an agent's answer to a census.
-func (s *Server) handleInFlightReport(w http.ResponseWriter, r *http.Request) {
-	report := &message.InFlightReport{}
-	if !rpc.ReadRequest(w, r, report) {
-		return
-	}
-	s.mu.Lock()
-	s.replica.RecordInFlightReport(report)
-	s.mu.Unlock()
-}
-
-// handleInFlightSurvey counts among the agents that hold a lease from here.
-func (s *Server) handleInFlightSurvey(w http.ResponseWriter, r *http.Request) {
-	survey := s.surveyLocal(r.Context())
-	rpc.WriteResponse(w, &survey)
-}
-
-// surveyLocal waits until all have answered, or for surveyTimeout.
-func (s *Server) surveyLocal(ctx context.Context) (survey message.InFlightSurvey) {
-	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
-	defer cancel()
-	s.step(func(now time.Time) { s.replica.StartInFlightSurvey(now) })
-	for {
-		s.mu.Lock()
-		survey = s.replica.SurveyResult()
-		s.mu.Unlock()
-		if len(survey.Missing) == 0 {
-			return survey
-		}
-		select {
-		case <-time.After(10 * time.Millisecond):
-		case <-ctx.Done():
-			return survey
-		}
-	}
+// drainTarget is what an order covers: a backend, a service in a zone, or a zone.
+type drainTarget struct {
+	zone  string
+	drain drain.Drain
 }
 
-// surveyAll asks every member for what its agents say. Unheard are agents that may have something out and have not answered.
-func (s *Server) surveyAll(ctx context.Context) (survey message.InFlightSurvey, unreachable []string) {
-	ctx, cancel := context.WithTimeout(ctx, surveyTimeout+callTimeout/2) // a member that hangs holds up no operator
-	defer cancel()
-	s.mu.Lock()
-	members := s.replica.OtherMembers()
-	s.mu.Unlock()
-	surveys := make(chan message.InFlightSurvey, len(members)+1)
-	var wg sync.WaitGroup
-	for _, member := range members {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			c := message.InFlightSurvey{}
-			if rpc.Post(ctx, s.peerClient, member.Addr, message.InFlightSurveyPath, []byte("{}"), &c) == nil {
-				surveys <- c
-			}
-		}()
-	}
-	surveys <- s.surveyLocal(ctx)
-	wg.Wait()
-	close(surveys)
-	for c := range surveys {
-		survey.Reports = append(survey.Reports, c.Reports...)
-	}
-	s.mu.Lock()
-	proxies := s.replica.RecentProxies(s.now())
-	s.mu.Unlock()
-	for _, node := range proxies {
-		if !slices.ContainsFunc(survey.Reports, func(w message.InFlightReport) bool { return w.From.Node == node }) {
-			unreachable = append(unreachable, node)
-		}
-	}
-	return survey, unreachable
-}
+// name is how operators name the target.
+func (t drainTarget) name() string { return t.drain.TargetName(t.zone) }
 
-// handleDrainBegin takes an operator's word that something gets no new work. Where too little room would be left it is refused
-// with the figures, unless it is to be done all the same.
-func (s *Server) handleDrainBegin(w http.ResponseWriter, r *http.Request) {
-	data, ok := readBody(w, r, maxDrainBytes)
-	if !ok {
-		return
+// handleDrainBegin takes backends out of service. It rejects an order that would leave too little capacity, unless the
+// order says to force it.
+func (s *Server) handleDrainBegin(w http.ResponseWriter, r *http.Request) error {
+	data, err := readBody(w, r, maxDrainBytes)
+	if err != nil {
+		return err
 	}
 	order := &drain.BeginRequest{}
 	if err := easyjson.Unmarshal(data, order); err != nil {
-		writeInvalid(w, err)
-		return
+		return invalidRequest(err)
 	}
-	if order.Target == "" || len(order.Target) > maxIDBytes {
-		writeError(w, invalidRequest("target: missing or too long"))
-		return
+	if order.Target == "" || len(order.Target) > maxTargetBytes {
+		return invalidParam("target: missing or too long")
 	}
-	if !s.requireQuorum(w) {
-		return
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
-	response, err := s.startDrain(r.Context(), order)
+	response, err := s.beginDrain(r.Context(), order)
 	if err != nil {
-		writeError(w, err)
-		return
+		return err
 	}
-	writeValue(w, http.StatusOK, response)
+	return writeValue(w, http.StatusOK, response)
 }
 
-// startDrain begins a drain, unless it stands or was begun lately: then the order is the same one again.
-func (s *Server) startDrain(ctx context.Context, order *drain.BeginRequest) (drain.Response, error) {
+// beginDrain begins a drain unless it is active or was begun within the resend window: then the order is a repetition.
+func (s *Server) beginDrain(ctx context.Context, order *drain.BeginRequest) (drain.Response, error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	values, err := s.readPrefix(readCtx, "")
 	if err != nil {
 		return drain.Response{}, err
 	}
-	if key, _, exists := drain.Find(values, order.Target); exists {
+	if key, _, active := drain.Find(values, order.Target); active {
 		s.awaitPropagation(ctx, key)
 		return drain.Response{Target: order.Target, AlreadyActive: true}, nil
 	}
-	s.mu.Lock()
-	backends := s.replica.Backends()
-	s.mu.Unlock()
-	zone, drainOrder, err := s.parseDrainTarget(order.Target, backends)
+	backends := s.backends()
+	target, err := s.findDrainTarget(order.Target, backends)
 	if err != nil {
 		if drain.AddedRecently(values, order.Target, s.now(), s.resendWindow()) {
-			return drain.Response{Target: order.Target}, nil // it has left since, and its drain with it
+			return drain.Response{Target: order.Target}, nil // the backend has ended since, and its drain with it
 		}
 		return drain.Response{}, err
 	}
-	response := drain.Response{Target: drainOrder.TargetName(zone)}
+	response := drain.Response{Target: target.name()}
 	if !order.Force {
-		response = s.checkCapacity(ctx, zone, drainOrder, values, backends)
+		response = s.checkCapacity(ctx, target, values, backends)
 		if len(response.Shortfalls) > 0 {
 			return drain.Response{}, &insufficientCapacityError{response}
 		}
 	}
-	key := drain.ListKey(zone)
-	if err := s.proposeDrain(ctx, zone, drainOrder, values); err != nil {
+	if err := s.proposeDrain(ctx, target, values); err != nil {
 		return drain.Response{}, err
 	}
-	s.awaitPropagation(ctx, key)
+	s.awaitPropagation(ctx, drain.ListKey(target.zone))
 	return response, nil
 }
 
-// parseDrainTarget reads what a word is about; *notFoundError where there is no such thing.
-func (s *Server) parseDrainTarget(name string, backends map[string]*replication.Backend) (zone string, drainOrder drain.Drain, err error) {
-	zone, drainOrder, err = drain.ParseTarget(name, s.settings.Zones, func(id string) string {
-		if a := backends[id]; a != nil {
-			return a.Zone
+// findDrainTarget resolves the name of a target. It returns a *notFoundError if nothing of that name is known.
+func (s *Server) findDrainTarget(name string, backends map[string]*replication.Backend) (drainTarget, error) {
+	zone, parsed, err := drain.ParseTarget(name, s.settings.Zones, func(id string) string {
+		if backend := backends[id]; backend != nil {
+			return backend.Zone
 		}
 		return ""
 	})
 	if err != nil {
-		return "", drainOrder, &notFoundError{"target: " + err.Error()}
+		return drainTarget{}, &notFoundError{"target: " + err.Error()}
 	}
-	serves := func(a *replication.Backend) bool { return a.Service == drainOrder.Service }
-	if drainOrder.Service != "" && !slices.ContainsFunc(slices.Collect(maps.Values(backends)), serves) {
-		return "", drainOrder, &notFoundError{"target: no appliance of such a service is known"}
+	inService := func(backend *replication.Backend) bool { return backend.Service == parsed.Service }
+	if parsed.Service != "" && !slices.ContainsFunc(slices.Collect(maps.Values(backends)), inService) {
+		return drainTarget{}, &notFoundError{"target: no backend of this service is known"}
 	}
-	return zone, drainOrder, nil
+	return drainTarget{zone: zone, drain: parsed}, nil
 }
 
-// checkCapacity tells what would be short, and which appliances go, if a drain were begun.
-func (s *Server) checkCapacity(ctx context.Context, zone string, drainOrder drain.Drain, values map[string]quorum.Value, backends map[string]*replication.Backend) drain.Response {
-	survey, unreachable := s.surveyAll(ctx)
+// checkCapacity returns the shortfalls of capacity that a drain would cause or, if there are none, the backends that it
+// would take out of service.
+func (s *Server) checkCapacity(
+	ctx context.Context, target drainTarget, values map[string]quorum.Value, backends map[string]*replication.Backend,
+) drain.Response {
+	survey := s.surveyAll(ctx)
 	_, loads := survey.ProgressReports()
-	order := drain.NewActiveDrain(zone, drainOrder, 0)
-	capacities := routing.BackendCapacities(routing.NewTable(values), backends, s.settings.Zones, s.now())
-	response := drain.Response{Target: drainOrder.TargetName(zone), Shortfalls: drain.CapacityShortfalls(loads, capacities, order.Covers), Unresponsive: unreachable}
-	if len(response.Shortfalls) == 0 {
+	planned := drain.NewActiveDrain(target.zone, target.drain, 0)
+	capacities := s.capacities(values, backends)
+	response := drain.Response{
+		Target:       target.name(),
+		Shortfalls:   drain.CapacityShortfalls(loads, capacities, planned.Covers),
+		Unresponsive: survey.unresponsive,
+	}
+	if len(response.Shortfalls) > 0 {
 		return response
 	}
 	for _, capacity := range capacities {
-		if order.Covers(capacity) && capacity.Serving {
+		if planned.Covers(capacity) && capacity.Serving {
 			response.Backends = append(response.Backends, capacity.ID)
 		}
 	}
 	return response
 }
 
-// proposeDrain has a drain's beginning decided.
-func (s *Server) proposeDrain(ctx context.Context, zone string, drainOrder drain.Drain, values map[string]quorum.Value) error {
-	key, now := drain.ListKey(zone), s.now()
+// proposeDrain adds a drain to the drains of its zone. It returns errTooManyDrains if there is no room for it.
+func (s *Server) proposeDrain(ctx context.Context, target drainTarget, values map[string]quorum.Value) error {
+	key := drain.ListKey(target.zone)
+	now := s.now()
 	ended := s.endedBackends(drain.ReadList(values[key]))
-	change := drain.AddRecorded(zone, drainOrder, func(id string) bool { return ended[id] }, now, s.resendWindow())
+	isEnded := func(id string) bool { return ended[id] }
+	change := drain.AddRecorded(target.zone, target.drain, isEnded, now, s.resendWindow())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := s.operations.join(ctx, "drains.begin "+zone+" "+drainOrder.TargetName(zone), 0, func(ctx context.Context) (uint64, error) {
+	operation := operationKey(opDrainBegin, target.zone, target.name())
+	return s.operations.run(ctx, operation, 0, func(ctx context.Context) error {
 		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
-		if err == nil && !slices.ContainsFunc(drain.ReadList(chosen[key]), drainOrder.SameTarget) {
-			err = &tooManyDrainsError{}
+		if err != nil {
+			return err
+		}
+		if !slices.ContainsFunc(drain.ReadList(chosen[key]), target.drain.SameTarget) {
+			return errTooManyDrains
 		}
-		return 0, err
+		return nil
 	})
-	return err
 }
 
-// endedBackends tells of which drains the appliance's life is over.
+// endedBackends returns which of the drained backends have ended, by ID.
 func (s *Server) endedBackends(drains []drain.Drain) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := map[string]bool{}
-	for _, drainOrder := range drains {
-		ended[drainOrder.ID] = drainOrder.ID != "" && s.replica.BackendEnded(drainOrder.ID)
+	for _, d := range drains {
+		ended[d.ID] = d.ID != "" && s.replica.BackendEnded(d.ID)
 	}
 	return ended
 }
 
-// handleDrainEnd withdraws a drain; 404 where none of that name stands, nor did lately.
-func (s *Server) handleDrainEnd(w http.ResponseWriter, r *http.Request) {
-	name, ok := targetParam(w, r)
-	if !ok || !s.requireQuorum(w) {
-		return
+// handleDrainEnd withdraws a drain. It rejects an order on one that is not active, unless the order is a repetition.
+func (s *Server) handleDrainEnd(w http.ResponseWriter, r *http.Request) error {
+	name, err := readTarget(r)
+	if err != nil {
+		return err
+	}
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	if err := s.stopDrain(ctx, name); err != nil {
-		writeError(w, err)
-		return
+	if err := s.endDrain(ctx, name); err != nil {
+		return err
 	}
-	writeValue(w, http.StatusOK, drain.Response{Target: name})
+	return writeValue(w, http.StatusOK, drain.Response{Target: name})
 }
 
-// stopDrain has the end of a drain decided; one that was withdrawn lately is withdrawn.
-func (s *Server) stopDrain(ctx context.Context, name string) error {
+// endDrain withdraws a drain; nothing happens if it was withdrawn within the resend window.
+func (s *Server) endDrain(ctx context.Context, name string) error {
 	values, err := s.readPrefix(ctx, drain.ListKey(""))
 	if err != nil {
 		return err
 	}
 	now := s.now()
-	key, drainOrder, exists := drain.Find(values, name)
-	if !exists {
+	key, active, found := drain.Find(values, name)
+	if !found {
 		if drain.RemovedRecently(values, name, now, s.resendWindow()) {
 			return nil
 		}
-		return &notFoundError{"of: no such drain stands"}
+		return errNoSuchDrain
 	}
-	change := drain.RemoveRecorded(drain.ZoneOfListKey(key), drainOrder, now, s.resendWindow())
-	_, err = s.operations.join(ctx, "drains.end "+name, 0, func(ctx context.Context) (uint64, error) {
+	change := drain.RemoveRecorded(drain.ZoneOfListKey(key), active, now, s.resendWindow())
+	return s.operations.run(ctx, operationKey(opDrainEnd, name), 0, func(ctx context.Context) error {
 		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
-		return 0, err
+		return err
 	})
-	return err
 }
 
-// handleDrainsRead tells how far the drains have come: all, or the one that is named.
-func (s *Server) handleDrainsRead(w http.ResponseWriter, r *http.Request) {
-	if !s.requireQuorum(w) {
-		return
+// errNoSuchDrain rejects an operation on a drain that is not active.
+var errNoSuchDrain = &notFoundError{"of: there is no such drain"}
+
+// handleDrainsRead responds with the progress of the active drains: of all, or of the named one.
+func (s *Server) handleDrainsRead(w http.ResponseWriter, r *http.Request) error {
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	values, err := s.readPrefix(ctx, drain.ListKey(""))
 	if err != nil {
-		writeError(w, err)
-		return
+		return err
 	}
-	orders := drain.ActiveDrains(values)
-	if name := r.URL.Query().Get("of"); name != "" {
-		orders = slices.DeleteFunc(orders, func(o drain.ActiveDrain) bool { return o.Target != name })
-		if len(orders) == 0 {
-			writeError(w, &notFoundError{"of: no such drain stands"})
-			return
+	active := drain.ActiveDrains(values)
+	if name := r.URL.Query().Get(targetParam); name != "" {
+		active = slices.DeleteFunc(active, func(d drain.ActiveDrain) bool { return d.Target != name })
+		if len(active) == 0 {
+			return errNoSuchDrain
 		}
 	}
-	response := drain.ProgressList{Drains: []drain.Progress{}}
-	if len(orders) > 0 {
-		survey, unreachable := s.surveyAll(r.Context())
-		reports, _ := survey.ProgressReports()
-		s.mu.Lock()
-		backends := s.replica.Backends()
-		s.mu.Unlock()
-		capacities := routing.BackendCapacities(routing.NewTable(values), backends, s.settings.Zones, s.now())
-		response.Drains = drain.MeasureProgress(orders, capacities, reports, unreachable, s.now())
+	list := drain.ProgressList{Drains: []drain.Progress{}}
+	if len(active) > 0 {
+		list.Drains = s.measureProgress(r.Context(), active, values)
 	}
-	writeValue(w, http.StatusOK, response)
+	return writeValue(w, http.StatusOK, list)
+}
+
+// measureProgress surveys the proxies for what drains wait for.
+func (s *Server) measureProgress(
+	ctx context.Context, active []drain.ActiveDrain, values map[string]quorum.Value,
+) []drain.Progress {
+	survey := s.surveyAll(ctx)
+	reports, _ := survey.ProgressReports()
+	capacities := s.capacities(values, s.backends())
+	return drain.MeasureProgress(active, capacities, reports, survey.unresponsive, s.now())
+}
+
+// backends returns the backends that are known and have not ended, by ID.
+func (s *Server) backends() map[string]*replication.Backend {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.replica.Backends()
+}
+
+// capacities returns the capacity of each backend by the given registers.
+func (s *Server) capacities(
+	values map[string]quorum.Value, backends map[string]*replication.Backend,
+) []drain.BackendCapacity {
+	return routing.BackendCapacities(routing.NewTable(values), backends, s.settings.Zones, s.now())
 }
--- /dev/null
+++ b/internal/control/server/errors.go
@@ -0,0 +1,80 @@
+package server
+
+import (
+	"net/http"
+
+	"github.com/go-faster/errors"
+
+	"sagelever/internal/control/config"
+	"sagelever/internal/control/drain"
+)
+
+// Reasons why an operation has no definite result. The caller may repeat it, at this controller or at another.
+var (
+	errInProgress        = errors.New("the operation is still in progress: ask again")
+	errTooManyOperations = errors.New("too many operations are in progress at this controller")
+	errNotReplicated     = errors.New("too few other members hold this yet")
+	errNoProxies         = errors.New("no proxy is ready")
+)
+
+// errTooManyDrains rejects a drain in a zone that has as many as are allowed.
+var errTooManyDrains = errors.New("this zone has too many drains")
+
+// notFoundError rejects an operation on something that does not exist.
+type notFoundError struct{ message string }
+
+func (e *notFoundError) Error() string { return e.message }
+
+// tooLargeError rejects a request whose body exceeds the limit.
+type tooLargeError struct{ err error }
+
+func (e *tooLargeError) Error() string { return e.err.Error() }
+
+func (e *tooLargeError) Unwrap() error { return e.err }
+
+// insufficientCapacityError rejects a drain that would leave too little capacity. The response tells where.
+type insufficientCapacityError struct{ response drain.Response }
+
+func (e *insufficientCapacityError) Error() string {
+	return "the drain would leave too little capacity"
+}
+
+// encodingError is a response that could not be encoded.
+type encodingError struct{ err error }
+
+func (e *encodingError) Error() string { return e.err.Error() }
+
+func (e *encodingError) Unwrap() error { return e.err }
+
+// invalidRequest rejects a request whose content is invalid.
+func invalidRequest(err error) error { return &config.InvalidError{Err: err} }
+
+// invalidParam rejects a request, naming the parameter or field that is invalid.
+func invalidParam(text string) error { return invalidRequest(errors.New(text)) }
+
+// statusOf maps an error to the status of the response. A 4xx is definite: the operation is rejected and the caller
+// need not repeat it. Everything that is not known to be rejected gets 503, so that the caller asks again, here or at
+// another controller.
+func statusOf(err error) int {
+	switch {
+	case isType[*config.InvalidError](err):
+		return http.StatusBadRequest
+	case isType[*config.ConflictError](err):
+		return http.StatusConflict
+	case isType[*insufficientCapacityError](err), errors.Is(err, errTooManyDrains):
+		return http.StatusConflict
+	case isType[*notFoundError](err):
+		return http.StatusNotFound
+	case isType[*tooLargeError](err):
+		return http.StatusRequestEntityTooLarge
+	case isType[*encodingError](err):
+		return http.StatusInternalServerError
+	}
+	return http.StatusServiceUnavailable
+}
+
+// isType reports whether an error in err's chain has type T.
+func isType[T error](err error) bool {
+	_, ok := errors.Into[T](err)
+	return ok
+}
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"net"
 	"net/http"
 	"time"
 
@@ -11,62 +10,66 @@
 	"sagelever/internal/control/replication"
 )
 
-// handleHeartbeat takes an appliance's word of itself.
-func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
-	id, ok := targetParam(w, r)
-	if !ok {
-		return
+// heartbeatResponse answers a heartbeat of a backend that had better send the next one to another controller.
+type heartbeatResponse struct {
+	NextAddress string `json:"nextBeatTo"` // the control address of the controller nearest to the backend
+}
+
+// handleHeartbeat records a backend's heartbeat. One that says that the backend drains is acknowledged only once enough
+// members hold that: the backend may then rely on it that no proxy sends it new requests.
+func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) error {
+	id, err := readTarget(r)
+	if err != nil {
+		return err
 	}
-	data, ok := readBody(w, r, maxHeartbeatBytes)
-	if !ok {
-		return
+	data, err := readBody(w, r, maxBodyBytes)
+	if err != nil {
+		return err
 	}
 	heartbeat, err := replication.ParseHeartbeat(data)
 	if err != nil {
-		writeInvalid(w, err)
-		return
+		return invalidRequest(err)
 	}
-	if !s.requireQuorum(w) {
-		return
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
 	s.counters.heartbeats.Add(1)
 	var nearest message.Member
 	s.step(func(now time.Time) { nearest = s.replica.RecordHeartbeat(now, id, heartbeat) })
 	if heartbeat.Phase == replication.PhaseDraining {
-		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
-		defer cancel()
-		if !s.awaitReplication(ctx, replication.BackendKey+id) {
-			writeUnavailable(w, "too few other agents hold this yet")
-			return
+		if err := s.awaitBackend(r.Context(), id); err != nil {
+			return err
 		}
 	}
-	response := []byte("{}")
-	if next := s.controlAddress(nearest); next != "" {
-		response, _ = json.Marshal(map[string]string{"nextBeatTo": next})
+	address := s.controlAddress(nearest)
+	if address == "" {
+		writeOK(w)
+		return nil
 	}
-	writeJSON(w, response)
-}
-
-// controlAddress is where a member takes the calls of appliances: all machines of a system have the same ports.
-func (s *Server) controlAddress(member message.Member) string {
-	_, port, err := net.SplitHostPort(s.settings.ListenAddresses["control"])
-	host, _, memberErr := net.SplitHostPort(member.Addr)
-	if err != nil || memberErr != nil {
-		return ""
+	response, err := json.Marshal(heartbeatResponse{NextAddress: address})
+	if err != nil {
+		return &encodingError{err}
 	}
-	return net.JoinHostPort(host, port)
+	writeJSON(w, http.StatusOK, response)
+	return nil
 }
 
-func (s *Server) handleSignOff(w http.ResponseWriter, r *http.Request) {
-	id, ok := targetParam(w, r)
-	if !ok || !s.requireQuorum(w) {
-		return
+// handleSignOff removes a backend that ends. It is acknowledged, with an empty body, once enough members hold that.
+func (s *Server) handleSignOff(_ http.ResponseWriter, r *http.Request) error {
+	id, err := readTarget(r)
+	if err != nil {
+		return err
+	}
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
-	key := replication.BackendKey + id
 	s.step(func(now time.Time) { s.replica.DeregisterBackend(now, id) })
-	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+	return s.awaitBackend(r.Context(), id)
+}
+
+// awaitBackend waits until enough members hold the state of a backend for it to be acknowledged.
+func (s *Server) awaitBackend(ctx context.Context, id string) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if !s.awaitReplication(ctx, key) {
-		writeUnavailable(w, "too few other agents hold this yet")
-	}
+	return s.awaitReplication(ctx, replication.BackendKey+id)
 }
--- /dev/null
+++ b/internal/control/server/lookup.go
@@ -0,0 +1,57 @@
+package server
+
+import (
+	"bytes"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/gorilla/mux"
+)
+
+const (
+	// lookupTTL is how long clients may use the result of a lookup: for that long, some still use a lost proxy.
+	lookupTTL = 3 * time.Second
+
+	// minLookupTTL is a lower bound of lookupTTL, whatever the settings say.
+	minLookupTTL = time.Second
+
+	// maxLookupAddresses bounds the addresses in a response.
+	maxLookupAddresses = 64
+)
+
+// lookupHandler serves clients that look for a proxy.
+func (s *Server) lookupHandler() http.Handler {
+	router := mux.NewRouter()
+	router.Path("/api/lookup").Methods(http.MethodGet).Handler(apiFunc(s.handleLookup))
+	return router
+}
+
+// handleLookup responds with the addresses of proxies, the nearest to the client's zone and region first.
+func (s *Server) handleLookup(w http.ResponseWriter, r *http.Request) error {
+	s.counters.lookups.Add(1)
+	query := r.URL.Query()
+	s.mu.Lock()
+	addresses := s.replica.ListenerAddrs(s.now(), query.Get("zone"), query.Get("region"), maxLookupAddresses)
+	s.mu.Unlock()
+	if len(addresses) == 0 {
+		return errNoProxies
+	}
+	writeJSON(w, http.StatusOK, formatLookup(addresses, s.lookupTTL()))
+	return nil
+}
+
+func (s *Server) lookupTTL() time.Duration {
+	return min(lookupTTL, max(s.settings.RuleLimits.MaxTTL, minLookupTTL))
+}
+
+// formatLookup encodes a response by hand, as lookups are frequent: addresses and durations need no escaping.
+func formatLookup(addresses []string, ttl time.Duration) []byte {
+	var response bytes.Buffer
+	response.WriteString(`{"addresses":["`)
+	response.WriteString(strings.Join(addresses, `","`))
+	response.WriteString(`"],"valid":"`)
+	response.WriteString(ttl.String())
+	response.WriteString(`"}`)
+	return response.Bytes()
+}
--- a/internal/control/server/operations.go
+++ b/internal/control/server/operations.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"strings"
 	"sync"
 	"time"
 
@@ -11,90 +12,115 @@
 )
 
 const (
-	maxOperations     = 64               // orders that are under way at once
-	maxOperationBytes = 2 * maxCallBytes // bytes of their calls, so that a few large ones don't fill the memory
-	operationTimeout  = 5 * time.Second  // for how long an order goes on by itself: it may be resent for about so long
-)
+	// maxOperations bounds the operations in progress at once.
+	maxOperations = 64
+
+	// maxOperationBytes bounds the bytes of their requests, so that a few large ones don't use up the memory.
+	maxOperationBytes = 2 * maxConfigBytes
 
-// Reasons why an order has no clear answer.
-var (
-	errInProgress        = errors.New("the order is under way: ask again")
-	errNoQuorum          = replica.ErrNoQuorum
-	errTooManyOperations = errors.New("too many orders are under way here")
+	// operationTimeout bounds an operation, which may take longer than its callers wait: they repeat it for about as
+	// long.
+	operationTimeout = 5 * time.Second
 )
 
-// operationGroup are the orders under way at this agent. An order that comes again joins the one that is under way, so that the two
-// don't race; one that is not over when its caller's time is goes on, and is answered when it comes again.
+// operationFunc carries out an operation. It returns the version that the changed register has with it, where somebody
+// uses that.
+type operationFunc func(ctx context.Context) (version uint64, err error)
+
+// operationGroup runs operations, each once however often it is requested while it is in progress, so that repetitions
+// of an order don't compete with it. An operation goes on after its callers have given up; they get its result by
+// requesting it again before it ends. The zero value is ready to use.
 type operationGroup struct {
 	mu    sync.Mutex
 	byKey map[string]*operation
-	bytes int // of the calls under way
+	bytes int // of the requests of all operations in progress
 }
 
+// operation is one in progress. version and err may be read once done is closed.
 type operation struct {
 	done    chan struct{}
-	size    int
+	size    int // bytes of its request
 	version uint64
 	err     error
 }
 
-// operationFunc is what an order has to have done: it tells the version of the register that stands with it, where that is wanted.
-type operationFunc = func(ctx context.Context) (version uint64, err error)
+// operationKey identifies an operation by its name and its arguments.
+func operationKey(name string, arguments ...string) string {
+	return name + " " + strings.Join(arguments, "\x00")
+}
+
+// run is join for an operation without a version.
+func (g *operationGroup) run(ctx context.Context, key string, size int, do func(ctx context.Context) error) error {
+	_, err := g.join(ctx, key, size, func(ctx context.Context) (uint64, error) { return 0, do(ctx) })
+	return err
+}
 
-// join waits for an order to end, and begins it unless it is under way. It returns errInProgress when ctx ends first. do is
-// called once for all who join, with a time of its own. size is how many bytes the order holds while it is under way.
-func (f *operationGroup) join(ctx context.Context, key string, size int, run operationFunc) (version uint64, err error) {
-	running, err := f.joinOrStart(key, size, run)
+// join waits for the operation with a key and returns its result. It starts the operation unless it is in progress;
+// then its do is not called. size is the number of bytes that the operation holds on to. join returns errInProgress if
+// ctx ends first, and errTooManyOperations if the operation can't be started.
+func (g *operationGroup) join(ctx context.Context, key string, size int, do operationFunc) (version uint64, err error) {
+	current, err := g.joinOrStart(key, size, do)
 	if err != nil {
 		return 0, err
 	}
 	select {
-	case <-running.done:
-		return running.version, running.err
+	case <-current.done:
+		return current.version, current.err
 	case <-ctx.Done():
 		return 0, errInProgress
 	}
 }
 
-func (f *operationGroup) joinOrStart(key string, size int, run operationFunc) (*operation, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if running := f.byKey[key]; running != nil {
-		return running, nil
+// joinOrStart returns the operation with a key, which it starts unless it is in progress.
+func (g *operationGroup) joinOrStart(key string, size int, do operationFunc) (*operation, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if current := g.byKey[key]; current != nil {
+		return current, nil
 	}
-	if len(f.byKey) >= maxOperations || f.bytes+size > maxOperationBytes {
+	if len(g.byKey) >= maxOperations || g.bytes+size > maxOperationBytes {
 		return nil, errTooManyOperations
 	}
-	if f.byKey == nil {
-		f.byKey = map[string]*operation{}
+	if g.byKey == nil {
+		g.byKey = map[string]*operation{}
 	}
-	running := &operation{done: make(chan struct{}), size: size}
-	f.byKey[key] = running
-	f.bytes += size
-	go f.execute(running, key, run)
-	return running, nil
+	started := &operation{done: make(chan struct{}), size: size}
+	g.byKey[key] = started
+	g.bytes += size
+	go g.execute(started, key, do)
+	return started, nil
 }
 
-func (f *operationGroup) execute(running *operation, key string, run operationFunc) {
+// execute carries out an operation, with a time limit of its own.
+func (g *operationGroup) execute(current *operation, key string, do operationFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
-	running.version, running.err = run(ctx)
-	f.mu.Lock()
-	delete(f.byKey, key)
-	f.bytes -= running.size
-	f.mu.Unlock()
-	close(running.done)
+	current.version, current.err = do(ctx)
+	g.remove(current, key)
+	close(current.done)
 }
 
-// retryWithoutQuorum does something again while too few members answer, until ctx ends. Each try has the time that a caller gives, so
-// that what it reads first is not old when it decides.
-func retryWithoutQuorum(ctx context.Context, timeout time.Duration, run func(ctx context.Context) error) error {
+func (g *operationGroup) remove(ended *operation, key string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.byKey, key)
+	g.bytes -= ended.size
+}
+
+// retryTooFewResponses repeats do while too few members respond, until ctx ends. Each attempt has a time limit of its
+// own, so that what it reads first is not outdated when it proposes.
+func retryTooFewResponses(ctx context.Context, timeout time.Duration, do func(ctx context.Context) error) error {
 	for {
-		attemptCtx, cancel := context.WithTimeout(ctx, timeout)
-		err := run(attemptCtx)
-		cancel()
+		err := attempt(ctx, timeout, do)
 		if !errors.Is(err, replica.ErrTooFewResponses) || ctx.Err() != nil {
 			return err
 		}
 	}
 }
+
+// attempt calls do with a time limit.
+func attempt(ctx context.Context, timeout time.Duration, do func(ctx context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	return do(ctx)
+}
--- /dev/null
+++ b/internal/control/server/peer_handler.go
@@ -0,0 +1,113 @@
+package server
+
+import (
+	"net/http"
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replica"
+	"sagelever/internal/rpc"
+)
+
+// maxPullWait bounds how long a pull may wait for updates, whatever the caller asks for.
+const maxPullWait = 10 * time.Second
+
+// peerHandler serves the other controllers and the proxies.
+func (s *Server) peerHandler() http.Handler {
+	mux := http.NewServeMux()
+	handle := func(path string, handler http.HandlerFunc) {
+		mux.HandleFunc(path, s.countPath(path, handler))
+	}
+	handle(message.PullPath, s.handlePull)
+	handle(message.TallyPath, s.handleTally)
+	handle(message.InFlightReportPath, s.handleInFlightReport)
+	handle(message.InFlightSurveyPath, s.handleInFlightSurvey)
+	for _, path := range []string{
+		message.PreparePath,
+		message.AcceptPath,
+		message.ReadPath,
+		message.StatePath,
+		message.GenerationPath,
+	} {
+		handle(path, s.replicaHandler(path))
+	}
+	return mux
+}
+
+// replicaHandler lets the replica handle the requests of other replicas to a path.
+func (s *Server) replicaHandler(path string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		request := &message.PeerRequest{}
+		if !rpc.ReadRequest(w, r, request) {
+			return
+		}
+		response, err := s.handleRequest(r.Context(), path, request)
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusServiceUnavailable)
+			return
+		}
+		rpc.WriteResponse(w, response)
+		s.counters.peerCalls.Add(1)
+	}
+}
+
+// handlePull responds with the updates that the caller lacks: at once if there are some, else when there are, or with
+// none when the caller's wait is over.
+func (s *Server) handlePull(w http.ResponseWriter, r *http.Request) {
+	request := &message.PullRequest{}
+	if !rpc.ReadRequest(w, r, request) {
+		return
+	}
+	waitMs := max(0, min(request.WaitMs, maxPullWait.Milliseconds()))
+	deadline := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
+	defer deadline.Stop()
+	var pending *replica.PendingPull
+	s.step(func(now time.Time) { pending = s.replica.HandlePull(now, request) })
+	s.mu.Lock()
+	response, ready := s.replica.AnswerPull(s.now(), pending)
+	for !ready {
+		updated := s.updated
+		s.mu.Unlock()
+		expired := false
+		select {
+		case <-updated:
+		case <-deadline.C:
+			expired = true
+		case <-r.Context().Done():
+			return
+		}
+		s.mu.Lock()
+		response, ready = s.replica.AnswerPull(s.now(), pending)
+		ready = ready || expired
+	}
+	s.mu.Unlock()
+	s.counters.pulls.Add(1)
+	s.countSent(request.From.Zone, rpc.WriteResponse(w, response))
+}
+
+// handleTally takes a proxy's tallies of the releases in progress. They come as items of a PullResponse.
+func (s *Server) handleTally(w http.ResponseWriter, r *http.Request) {
+	tallies := &message.PullResponse{}
+	if !rpc.ReadRequest(w, r, tallies) {
+		return
+	}
+	s.step(func(now time.Time) { s.replica.MergeTallies(now, tallies.Items) })
+	w.WriteHeader(http.StatusOK)
+}
+
+// handleInFlightReport takes a proxy's report for an in-flight survey.
+func (s *Server) handleInFlightReport(w http.ResponseWriter, r *http.Request) {
+	report := &message.InFlightReport{}
+	if !rpc.ReadRequest(w, r, report) {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replica.RecordInFlightReport(report)
+}
+
+// handleInFlightSurvey surveys the proxies that hold a lease from this controller.
+func (s *Server) handleInFlightSurvey(w http.ResponseWriter, r *http.Request) {
+	survey := s.surveyLocal(r.Context())
+	rpc.WriteResponse(w, &survey)
+}
--- a/internal/control/server/release.go
+++ b/internal/control/server/release.go
@@ -12,56 +12,71 @@
 	"sagelever/internal/settings"
 )
 
-// handleReleaseBegin takes an order to bring in a version. The same order again is acknowledged again, and begins nothing.
-func (s *Server) handleReleaseBegin(w http.ResponseWriter, r *http.Request) {
-	data, ok := readBody(w, r, maxHeartbeatBytes)
-	if !ok {
-		return
+// releaseStatus answers opReleaseRead.
+type releaseStatus struct {
+	Phase  string `json:"phase"`
+	Target string `json:"target"` // the version that is released
+}
+
+// handleReleaseBegin starts the release of a version of a service. A repetition of the order within the resend window
+// is acknowledged and starts nothing.
+func (s *Server) handleReleaseBegin(w http.ResponseWriter, r *http.Request) error {
+	data, err := readBody(w, r, maxBodyBytes)
+	if err != nil {
+		return err
 	}
 	order := &release.StartRequest{}
 	if err := easyjson.Unmarshal(data, order); err != nil {
-		writeInvalid(w, err)
-		return
+		return invalidRequest(err)
 	}
 	duration, err := settings.ParseDuration(order.Duration)
 	if err != nil || duration == 0 || order.Service == "" || order.Target == "" {
-		writeError(w, invalidRequest("service, target, over: want a service, a version and a time"))
-		return
+		return invalidParam("service, target, over: want a service, a version and a time")
 	}
-	if !s.requireQuorum(w) {
-		return
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
-	now := s.now() // of the order's coming: the term of a resend counts from there, however long the rounds take
-	change := release.StartOnce(order.Target, duration, now, s.resendWindow())
-	key := "releases.begin " + order.Service + "\x00" + order.Target + "\x00" + duration.String()
+	received := s.now() // the resend window starts here, however long the proposal takes
+	change := release.StartOnce(order.Target, duration, received, s.resendWindow())
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	_, err = s.operations.join(ctx, key, len(data), func(ctx context.Context) (uint64, error) {
+	key := operationKey(opReleaseBegin, order.Service, order.Target, duration.String())
+	err = s.operations.run(ctx, key, len(data), func(ctx context.Context) error {
 		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{release.RegisterKey(order.Service): change})
-		return 0, err
+		return err
 	})
-	writeResult(w, err)
+	if err != nil {
+		return err
+	}
+	writeOK(w)
+	return nil
 }
 
-// handleReleaseRead tells a release's phase. What is told has been chosen, so that no one is ever told otherwise.
-func (s *Server) handleReleaseRead(w http.ResponseWriter, r *http.Request) {
-	service, ok := targetParam(w, r)
-	if !ok || !s.requireQuorum(w) {
-		return
+// handleReleaseRead responds with the phase of a service's release. A phase that is reported has been chosen: no later
+// response contradicts it.
+func (s *Server) handleReleaseRead(w http.ResponseWriter, r *http.Request) error {
+	service, err := readTarget(r)
+	if err != nil {
+		return err
+	}
+	if err := s.requireQuorum(); err != nil {
+		return err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	key := release.RegisterKey(service)
 	values, err := s.readPrefix(ctx, key)
 	if err != nil {
-		writeError(w, err)
-		return
+		return err
 	}
 	current, ok := release.Read(values[key])
 	if !ok {
-		writeError(w, &notFoundError{"there is no release of this service"})
-		return
+		return &notFoundError{"there is no release of this service"}
+	}
+	response, err := json.Marshal(releaseStatus{Phase: current.Phase, Target: current.Target})
+	if err != nil {
+		return &encodingError{err}
 	}
-	response, _ := json.Marshal(map[string]string{"phase": current.Phase, "target": current.Target})
-	writeJSON(w, response)
+	writeJSON(w, http.StatusOK, response)
+	return nil
 }
--- /dev/null
+++ b/internal/control/server/run.go
@@ -0,0 +1,162 @@
+package server
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+	"go.uber.org/zap"
+
+	"sagelever/internal/tcp"
+)
+
+const (
+	// tickInterval is how often the replica does its periodic work.
+	tickInterval = 250 * time.Millisecond
+
+	// reportInterval is how often the counters are logged.
+	reportInterval = 10 * time.Second
+
+	// shutdownTimeout bounds how long requests in progress may take after the server has stopped listening.
+	shutdownTimeout = time.Second
+
+	// handoverTimeout bounds how long a member that shuts down waits for its successor to replace it: well within the
+	// time that the platform leaves a process after SIGTERM.
+	handoverTimeout = 2 * time.Second
+
+	// handoverPollInterval is how often a member that shuts down checks whether its successor has replaced it.
+	handoverPollInterval = 20 * time.Millisecond
+
+	// listenUserTimeout is TCP_USER_TIMEOUT of accepted connections.
+	listenUserTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+
+	readHeaderTimeout = 3 * time.Second
+	readTimeout       = 10 * time.Second
+	idleTimeout       = 30 * time.Second
+)
+
+// Run serves until ctx ends. Then it announces that this member leaves, goes on serving while a successor takes its
+// place, and closes the store. It returns once the listeners and the loops that it has started have ended; requests to
+// other controllers that are still in progress end by their own timeout.
+func (s *Server) Run(ctx context.Context) error {
+	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelWork()
+	var background sync.WaitGroup
+	servers, err := s.listen(&background)
+	if err != nil {
+		return err
+	}
+	s.step(func(time.Time) {}) // carries out what the replica has produced while it was restored
+	background.Go(func() { s.discoverMembers(workCtx) })
+	background.Go(func() { s.maintain(workCtx) })
+	s.log.Info("controller started", zap.String("node", s.settings.Node))
+
+	<-ctx.Done()
+	s.step(s.replica.Leave)
+	s.awaitHandover(workCtx)
+	shutdown(workCtx, servers)
+	cancelWork()
+	background.Wait()
+	return s.store.Close()
+}
+
+// listen starts an HTTP server on each configured address. The goroutines that serve belong to background.
+func (s *Server) listen(background *sync.WaitGroup) ([]*http.Server, error) {
+	endpoints := []struct {
+		address string
+		handler http.Handler
+	}{
+		{net.JoinHostPort(s.settings.IP, s.settings.PeerPort()), s.peerHandler()},
+		{s.settings.ListenAddresses["control"], s.apiHandler()},
+		{s.settings.ListenAddresses["directory"], s.lookupHandler()},
+	}
+	var servers []*http.Server
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
+			continue
+		}
+		listener, err := listenUserTimeout.Listen(endpoint.address)
+		if err != nil {
+			for _, server := range servers {
+				_ = server.Close() // the error of Listen is the one to report
+			}
+			return nil, errors.Wrap(err, "controller")
+		}
+		server := s.newHTTPServer(endpoint.handler)
+		servers = append(servers, server)
+		background.Go(func() { s.serve(server, listener) })
+	}
+	return servers, nil
+}
+
+func (s *Server) newHTTPServer(handler http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		IdleTimeout:       idleTimeout,
+		ErrorLog:          zap.NewStdLog(s.log),
+	}
+}
+
+func (s *Server) serve(server *http.Server, listener net.Listener) {
+	err := server.Serve(listener)
+	if !errors.Is(err, http.ErrServerClosed) {
+		s.log.Error("listener failed", zap.Stringer("address", listener.Addr()), zap.Error(err))
+	}
+}
+
+// shutdown stops the servers, giving the requests in progress shutdownTimeout in all.
+func shutdown(ctx context.Context, servers []*http.Server) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
+	defer cancel()
+	for _, server := range servers {
+		_ = server.Shutdown(ctx) // requests that take longer end with the process
+	}
+}
+
+// maintain runs the periodic work until ctx ends.
+func (s *Server) maintain(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	lastReport := time.Now()
+	for {
+		select {
+		case now := <-ticker.C:
+			s.step(s.replica.Maintain)
+			s.saveItems()
+			if now.Sub(lastReport) > reportInterval {
+				lastReport = now
+				s.reportCounters()
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// awaitHandover waits until the successor that is ready to replace this member, if there is one, has done so.
+func (s *Server) awaitHandover(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, min(handoverTimeout, s.settings.RuleLimits.ShutdownGrace/2))
+	defer cancel()
+	poll(ctx, handoverPollInterval, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return !s.replica.HandingOver(s.now())
+	})
+}
+
+// poll calls condition, at once and then after each interval, until it holds or ctx ends. It reports whether it held.
+func poll(ctx context.Context, interval time.Duration, condition func() bool) bool {
+	for !condition() {
+		select {
+		case <-time.After(interval):
+		case <-ctx.Done():
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/control/server/tasks.go
@@ -0,0 +1,104 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/quorum"
+	"sagelever/internal/control/replica"
+)
+
+// callTimeout bounds an operation on behalf of a caller: callers give up on a controller after a second.
+const callTimeout = 900 * time.Millisecond
+
+// handleRequest lets the replica handle another controller's request and waits for the response. The response is sent
+// only once what it promises is on the disk.
+func (s *Server) handleRequest(
+	ctx context.Context, path string, request *message.PeerRequest,
+) (*message.PeerResponse, error) {
+	done := make(chan replica.OutgoingResponse, 1)
+	s.step(func(now time.Time) {
+		s.lastCallID++
+		s.pendingCalls[s.lastCallID] = done
+		s.replica.HandleRequest(now, s.lastCallID, path, request)
+	})
+	select {
+	case outgoing := <-done:
+		return outgoing.Response, outgoing.Err
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// runTask starts an operation of the replica that needs other members and waits for its result. start returns the
+// operation's ID; until is when the replica may give up. It returns replica.ErrTooFewResponses if ctx ends first.
+func (s *Server) runTask(
+	ctx context.Context, start func(now, until time.Time) uint64,
+) (map[string]quorum.Value, error) {
+	done := make(chan replica.Completion, 1)
+	timeout := callTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		timeout = time.Until(deadline)
+	}
+	s.step(func(now time.Time) {
+		id := start(now, now.Add(timeout))
+		s.pendingTasks[id] = done
+	})
+	select {
+	case completion := <-done:
+		return completion.Values, completion.Err
+	case <-ctx.Done():
+		return nil, replica.ErrTooFewResponses
+	}
+}
+
+// propose changes registers, each by itself, and returns their values as chosen.
+func (s *Server) propose(
+	ctx context.Context, changes map[string]quorum.UpdateFunc,
+) (map[string]quorum.Value, error) {
+	s.counters.proposals.Add(1)
+	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.Write(now, until, changes) })
+}
+
+// proposeTogether changes several registers by one decision that depends on all of them, and returns their values as
+// chosen.
+func (s *Server) proposeTogether(
+	ctx context.Context, keys []string, decide quorum.DecideFunc,
+) (map[string]quorum.Value, error) {
+	s.counters.proposals.Add(1)
+	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.WriteAtomic(now, until, keys, decide) })
+}
+
+// readPrefix reads the registers whose keys start with prefix. The values are at least as new as any that was
+// acknowledged before the call.
+func (s *Server) readPrefix(ctx context.Context, prefix string) (map[string]quorum.Value, error) {
+	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.Read(now, until, prefix) })
+}
+
+// readKeys reads some registers, with the guarantee of readPrefix.
+func (s *Server) readKeys(ctx context.Context, keys []string) (map[string]quorum.Value, error) {
+	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.ReadKeys(now, until, keys) })
+}
+
+// localValues reads some registers from this replica alone: other members may have chosen newer values.
+func (s *Server) localValues(keys []string) map[string]quorum.Value {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	values := make(map[string]quorum.Value, len(keys))
+	for _, key := range keys {
+		values[key] = s.replica.Register(key).Value
+	}
+	return values
+}
+
+// requireQuorum returns replica.ErrNoQuorum where this member is cut off from the majority. It can then neither confirm
+// nor reject anything, as the other members may have decided otherwise.
+func (s *Server) requireQuorum() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.replica.HasQuorum(s.now()) {
+		return replica.ErrNoQuorum
+	}
+	return nil
+}
