--- /dev/null
+++ b/internal/control/server/drain_test.go
@@ -0,0 +1,71 @@
+package server
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"sagelever/internal/control/drain"
+	"sagelever/internal/control/quorum"
+	"sagelever/internal/control/routing"
+)
+
+// A repeated order on a drain is confirmed again: to begin it once its backend has ended, to end it once there is none.
+func TestRepeatedDrainOrder(t *testing.T) {
+	t.Parallel()
+	cluster := newStartedCluster(t)
+	cluster.mustCall(0, "servers.pulse&of=i1", heartbeatBody(1, "ready"))
+	order := `{"target":"i1","force":true}`
+	cluster.wantStatus(0, http.StatusOK, "drains.begin", order)
+	waitUntil(t, "another member knows of the drain", func() bool {
+		status, _ := cluster.call(1, "drains.begin", order)
+		return status == http.StatusOK
+	})
+	cluster.wantStatus(1, http.StatusOK, "drains.end&of=i1", "")
+	for i := range memberCount {
+		cluster.wantStatus(i, http.StatusOK, "drains.end&of=i1", "")
+		cluster.wantStatus(i, http.StatusNotFound, "drains.end&of=i2", "")
+	}
+	cluster.mustCall(2, "servers.sign_off&of=i1", "")
+	cluster.clockOffset.Store(int64(2 * time.Minute)) // longer than ended backends are remembered
+	waitUntil(t, "the backend is forgotten", func() bool {
+		status, _ := cluster.call(0, "drains.begin", order)
+		return status == http.StatusNotFound
+	})
+	cluster.wantStatus(0, http.StatusNotFound, "drains.end&of=i1", "")
+}
+
+// Two operators clear out one zone, through two members: the first one to withdraw the order does not withdraw the
+// other's.
+func TestNestedClearOut(t *testing.T) {
+	t.Parallel()
+	const zone = "a1"
+	cluster := newStartedCluster(t)
+	clearOut := func() quorum.Value { return cluster.running[2].register(drain.EvacuationKey(zone)).Value }
+	// Each order brings a new version of the zone's register, and it is over once that is recorded as acknowledged.
+	awaitAcknowledged := func(operation string, version int) {
+		t.Helper()
+		waitUntil(t, operation, func() bool {
+			current := clearOut().Version
+			acknowledged := drain.ReadAcknowledged(cluster.running[2].register(drain.AcknowledgedKey(zone)).Value)
+			return current == uint64(version) && acknowledged == current
+		})
+	}
+	for i, tt := range []struct {
+		operation   string
+		wantCleared bool
+	}{
+		{"clear_out.begin", true},
+		{"clear_out.begin", true},
+		{"clear_out.finish", true},
+		{"clear_out.finish", false},
+	} {
+		cluster.mustCall(i%memberCount, tt.operation+"&of="+zone, "")
+		awaitAcknowledged(fmt.Sprint("order ", i+1, ", ", tt.operation), i+1)
+		table := routing.NewTable(map[string]quorum.Value{drain.EvacuationKey(zone): clearOut()})
+		if got := table.Evacuated[zone]; got != tt.wantCleared {
+			t.Errorf("after order %d, %s: cleared out %v, want %v", i+1, tt.operation, got, tt.wantCleared)
+		}
+	}
+}
--- a/internal/rpc/compression.go
+++ b/internal/rpc/compression.go
@@ -8,34 +8,52 @@
 	"github.com/go-faster/errors"
 )
 
-// minCompressBytes is the size in bytes from which a message is packed: below it a packet or two hold it as it is.
-const minCompressBytes = 1400
+const (
+	// minCompressBytes is the size from which a message is compressed: a smaller one fits into a packet or two as it
+	// is.
+	minCompressBytes = 1400
 
-// Compress makes a large message smaller, as bytes between zones and regions are dear.
+	gzipEncoding = "gzip"
+)
+
+// ErrTooLarge is returned for a message of more than MaxMessageBytes.
+var ErrTooLarge = errors.New("the message is too large")
+
+// Compress returns a message as it is to be sent, and its Content-Encoding: empty if it is not compressed.
 func Compress(body []byte) (compressed []byte, encoding string) {
 	if len(body) < minCompressBytes {
 		return body, ""
 	}
 	var buffer bytes.Buffer
-	writer, _ := gzip.NewWriterLevel(&buffer, gzip.BestSpeed)
-	if _, err := writer.Write(body); err != nil || writer.Close() != nil {
+	writer, err := gzip.NewWriterLevel(&buffer, gzip.BestSpeed)
+	if err != nil {
+		return body, ""
+	}
+	if _, err := writer.Write(body); err != nil {
+		return body, ""
+	}
+	if err := writer.Close(); err != nil {
 		return body, ""
 	}
-	return buffer.Bytes(), "gzip"
+	return buffer.Bytes(), gzipEncoding
 }
 
-// Decompress reads a message whole, within its bound.
+// Decompress reads a message to its end. An encoding other than gzip means that it is not compressed. It returns
+// ErrTooLarge if there is more than MaxMessageBytes.
 func Decompress(r io.Reader, encoding string) ([]byte, error) {
-	if encoding == "gzip" {
-		zipped, err := gzip.NewReader(r)
+	if encoding == gzipEncoding {
+		decompressor, err := gzip.NewReader(r)
 		if err != nil {
 			return nil, err
 		}
-		r = zipped
+		r = decompressor
 	}
 	data, err := io.ReadAll(io.LimitReader(r, MaxMessageBytes+1))
-	if err == nil && len(data) > MaxMessageBytes {
-		err = errors.New("the message is too long")
+	if err != nil {
+		return data, err
+	}
+	if len(data) > MaxMessageBytes {
+		return nil, ErrTooLarge
 	}
-	return data, err
+	return data, nil
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,41 +1,59 @@
+// Package rpc carries messages between nodes: controllers and proxies call the peer port of controllers with it. A call
+// is an HTTP POST of a JSON message; both directions are compressed where that is worth it, as traffic between zones
+// and regions is expensive.
 package rpc
 
 import (
 	"bytes"
 	"context"
+	"fmt"
 	"net"
 	"net/http"
 	"time"
 
-	"sagelever/internal/tcp"
-
-	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
+
+	"sagelever/internal/tcp"
 )
 
-// MaxMessageBytes bounds the bytes of a message between agents: some ten thousand routes.
-const MaxMessageBytes = 32 << 20
+const (
+	// MaxMessageBytes bounds a message, decompressed: some ten thousand routes.
+	MaxMessageBytes = 32 << 20
+
+	// userTimeout is TCP_USER_TIMEOUT of the connections between nodes: how long sent data may remain unacknowledged.
+	userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
 
-// DialFunc opens a connection.
+	dialTimeout         = time.Second
+	maxIdleConnsPerHost = 4
+	idleConnTimeout     = 20 * time.Second
+)
+
+// DialFunc opens a connection, as net.Dialer's DialContext does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// userTimeout is for how long a connection between nodes stays up without any acknowledgement from the other machine.
-const userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+// StatusError is a response other than 200.
+type StatusError struct {
+	Path   string
+	Status string // code and text
+}
+
+func (e *StatusError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Status) }
 
-// NewClient is what agents call one another with; dial is the way that connections take, nil for the usual one.
+// NewClient returns an HTTP client for Post. It connects by dial; by TCP with a user timeout if that is nil.
 func NewClient(dial DialFunc) *http.Client {
 	if dial == nil {
-		dial = userTimeout.Dialer(time.Second).DialContext
+		dial = userTimeout.Dialer(dialTimeout).DialContext
 	}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
-		MaxIdleConnsPerHost: 4,
-		IdleConnTimeout:     20 * time.Second,
-		DisableCompression:  true,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true, // Post decompresses by itself, and bounds the result
 	}}
 }
 
-// Post makes one call on the port between agents.
+// Post sends a message to the peer port at an address and decodes the response into out, unless that is nil. It returns
+// a *StatusError if the response is not 200. ctx bounds the whole call.
 func Post(ctx context.Context, client *http.Client, address, path string, body []byte, out easyjson.Unmarshaler) error {
 	compressed, encoding := Compress(body)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(compressed))
@@ -56,7 +74,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("%s: %s", path, resp.Status)
+		return &StatusError{Path: path, Status: resp.Status}
 	}
 	if out == nil {
 		return nil
@@ -64,17 +82,21 @@
 	return easyjson.Unmarshal(data, out)
 }
 
+// ReadRequest decodes the message of a request. Where it can't, it responds with 400 and returns false.
 func ReadRequest(w http.ResponseWriter, r *http.Request, message easyjson.Unmarshaler) bool {
-	data, err := Decompress(http.MaxBytesReader(w, r.Body, MaxMessageBytes), r.Header.Get("Content-Encoding"))
+	body := http.MaxBytesReader(w, r.Body, MaxMessageBytes)
+	data, err := Decompress(body, r.Header.Get("Content-Encoding"))
 	if err == nil {
 		err = easyjson.Unmarshal(data, message)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
+		return false
 	}
-	return err == nil
+	return true
 }
 
+// WriteResponse responds with a message. It returns the size of the body as sent.
 func WriteResponse(w http.ResponseWriter, message easyjson.Marshaler) (size int) {
 	body, err := easyjson.Marshal(message)
 	if err != nil {
@@ -83,7 +105,8 @@
 	}
 	compressed, encoding := Compress(body)
 	header := w.Header()
-	header["Date"], header["Content-Type"] = nil, []string{"application/json"}
+	header["Date"] = nil
+	header["Content-Type"] = []string{"application/json"}
 	if encoding != "" {
 		header.Set("Content-Encoding", encoding)
 	}
