--- a/internal/control/server/drain.go
+++ b/internal/control/server/drain.go
@@ -94,7 +94,7 @@
 	}
 	inService := func(backend *replication.Backend) bool { return backend.Service == parsed.Service }
 	if parsed.Service != "" && !slices.ContainsFunc(slices.Collect(maps.Values(backends)), inService) {
-		return drainTarget{}, &notFoundError{"target: no backend of this service is known"}
+		return drainTarget{}, &notFoundError{"target: no appliance of such a service is known"}
 	}
 	return drainTarget{zone: zone, drain: parsed}, nil
 }
@@ -196,7 +196,7 @@
 }
 
 // errNoSuchDrain rejects an operation on a drain that is not active.
-var errNoSuchDrain = &notFoundError{"of: there is no such drain"}
+var errNoSuchDrain = &notFoundError{"of: no such drain stands"}
 
 // handleDrainsRead responds with the progress of the active drains: of all, or of the named one.
 func (s *Server) handleDrainsRead(w http.ResponseWriter, r *http.Request) error {
