--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -93,15 +93,15 @@
 
 // writeError responds to an operation that failed.
 func writeError(w http.ResponseWriter, err error) {
-	status := statusOf(err)
-	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAfter)
-	}
 	if shortage, ok := errors.Into[*insufficientCapacityError](err); ok {
-		if err = writeValue(w, status, shortage.response); err == nil {
+		err = writeValue(w, statusOf(err), shortage.response)
+		if err == nil {
 			return
 		}
-		status = statusOf(err)
+	}
+	status := statusOf(err)
+	if status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", retryAfter)
 	}
 	http.Error(w, err.Error(), status)
 }
--- a/internal/control/server/compatibility_test.go
+++ b/internal/control/server/compatibility_test.go
@@ -123,8 +123,8 @@
 		item, proposal, proposal, legacyBodies[item])
 }
 
-// Members that are started together on disks of a version that knew no configuration of members serve what two of three had
-// confirmed, whichever of them is asked.
+// Members that are started together on disks of a version that knew no configuration of members serve what two of three
+// had confirmed, whichever of them is asked.
 func TestLegacyStoreWithoutConfiguration(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
--- a/internal/control/server/lookup.go
+++ b/internal/control/server/lookup.go
@@ -10,10 +10,9 @@
 )
 
 const (
-	// lookupTTL is how long clients may use the result of a lookup: for that long, some still use a lost proxy.
-	lookupTTL = 3 * time.Second
-
-	// minLookupTTL is a lower bound of lookupTTL, whatever the settings say.
+	// maxLookupTTL and minLookupTTL bound how long clients may use the result of a lookup, whatever the settings say.
+	// For that long, some of them still use a proxy that is lost.
+	maxLookupTTL = 3 * time.Second
 	minLookupTTL = time.Second
 
 	// maxLookupAddresses bounds the addresses in a response.
@@ -41,8 +40,9 @@
 	return nil
 }
 
+// lookupTTL is how long clients may use the result of a lookup.
 func (s *Server) lookupTTL() time.Duration {
-	return min(lookupTTL, max(s.settings.RuleLimits.MaxTTL, minLookupTTL))
+	return min(maxLookupTTL, max(s.settings.RuleLimits.MaxTTL, minLookupTTL))
 }
 
 // formatLookup encodes a response by hand, as lookups are frequent: addresses and durations need no escaping.
--- a/internal/control/server/peer_handler.go
+++ b/internal/control/server/peer_handler.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -63,26 +64,36 @@
 	defer deadline.Stop()
 	var pending *replica.PendingPull
 	s.step(func(now time.Time) { pending = s.replica.HandlePull(now, request) })
-	s.mu.Lock()
-	response, ready := s.replica.AnswerPull(s.now(), pending)
-	for !ready {
+	response := s.awaitUpdates(r.Context(), pending, deadline.C)
+	if response == nil {
+		return // the caller is gone
+	}
+	s.counters.pulls.Add(1)
+	s.countSent(request.From.Zone, rpc.WriteResponse(w, response))
+}
+
+// awaitUpdates returns the response to a pull once there are updates, and at the deadline at the latest. It returns nil
+// if ctx ends first.
+func (s *Server) awaitUpdates(
+	ctx context.Context, pending *replica.PendingPull, deadline <-chan time.Time,
+) *message.PullResponse {
+	expired := false
+	for {
+		s.mu.Lock()
+		response, ready := s.replica.AnswerPull(s.now(), pending)
 		updated := s.updated
 		s.mu.Unlock()
-		expired := false
+		if ready || expired {
+			return response
+		}
 		select {
 		case <-updated:
-		case <-deadline.C:
+		case <-deadline:
 			expired = true
-		case <-r.Context().Done():
-			return
+		case <-ctx.Done():
+			return nil
 		}
-		s.mu.Lock()
-		response, ready = s.replica.AnswerPull(s.now(), pending)
-		ready = ready || expired
 	}
-	s.mu.Unlock()
-	s.counters.pulls.Add(1)
-	s.countSent(request.From.Zone, rpc.WriteResponse(w, response))
 }
 
 // handleTally takes a proxy's tallies of the releases in progress. They come as items of a PullResponse.
--- a/internal/control/server/tasks.go
+++ b/internal/control/server/tasks.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// runTask starts an operation of the replica that needs other members and waits for its result. start returns the
-// operation's ID; until is when the replica may give up. It returns replica.ErrTooFewResponses if ctx ends first.
+// runTask starts a task of the replica, a proposal or a read that needs other members, and waits for its result. start
+// returns the task's ID; until is when the replica may give up. It returns replica.ErrTooFewResponses if ctx ends
+// first.
 func (s *Server) runTask(
 	ctx context.Context, start func(now, until time.Time) uint64,
 ) (map[string]quorum.Value, error) {
