--- a/internal/control/server/clear_out.go
+++ b/internal/control/server/clear_out.go
@@ -5,7 +5,6 @@
 	"net/http"
 	"time"
 
-	"sagelever/internal/control/dedup"
 	"sagelever/internal/control/drain"
 	"sagelever/internal/control/quorum"
 )
@@ -14,11 +13,6 @@
 // before it gives up, which is after a second, and repeats the order at another controller.
 const ackDeliveryTime = 700 * time.Millisecond
 
-// resendWindow is how long an order without a version may be a repetition of an earlier one.
-func (s *Server) resendWindow() time.Duration {
-	return dedup.ResendWindow(s.settings.RuleLimits.ConfirmTimeout)
-}
-
 // handleClearOutBegin takes all backends of a zone out of service.
 func (s *Server) handleClearOutBegin(w http.ResponseWriter, r *http.Request) error {
 	return s.changeClearOut(w, r, opClearOutBegin)
--- a/internal/control/server/drain.go
+++ b/internal/control/server/drain.go
@@ -195,9 +195,6 @@
 	})
 }
 
-// errNoSuchDrain rejects an operation on a drain that is not active.
-var errNoSuchDrain = &notFoundError{"of: no such drain stands"}
-
 // handleDrainsRead responds with the progress of the active drains: of all, or of the named one.
 func (s *Server) handleDrainsRead(w http.ResponseWriter, r *http.Request) error {
 	if err := s.requireQuorum(); err != nil {
--- a/internal/control/server/errors.go
+++ b/internal/control/server/errors.go
@@ -20,6 +20,9 @@
 // errTooManyDrains rejects a drain in a zone that has as many as are allowed.
 var errTooManyDrains = errors.New("this zone has too many drains")
 
+// errNoSuchDrain rejects an operation on a drain that is not active.
+var errNoSuchDrain = &notFoundError{"of: no such drain stands"}
+
 // notFoundError rejects an operation on something that does not exist.
 type notFoundError struct{ message string }
 
--- a/internal/control/server/operations.go
+++ b/internal/control/server/operations.go
@@ -8,6 +8,7 @@
 
 	"github.com/go-faster/errors"
 
+	"sagelever/internal/control/dedup"
 	"sagelever/internal/control/replica"
 )
 
@@ -107,6 +108,11 @@
 	g.bytes -= ended.size
 }
 
+// resendWindow is how long an order without a version may be a repetition of an earlier one.
+func (s *Server) resendWindow() time.Duration {
+	return dedup.ResendWindow(s.settings.RuleLimits.ConfirmTimeout)
+}
+
 // retryTooFewResponses repeats do while too few members respond, until ctx ends. Each attempt has a time limit of its
 // own, so that what it reads first is not outdated when it proposes.
 func retryTooFewResponses(ctx context.Context, timeout time.Duration, do func(ctx context.Context) error) error {
--- a/internal/control/server/run.go
+++ b/internal/control/server/run.go
@@ -39,8 +39,8 @@
 )
 
 // Run serves until ctx ends. Then it announces that this member leaves, goes on serving while a successor takes its
-// place, and closes the store. It returns once the listeners and the loops that it has started have ended; requests to
-// other controllers that are still in progress end by their own timeout.
+// place, and closes the store. It returns once the listeners and the loops that it has started have ended; operations
+// and requests to other controllers that are still in progress end by their own time limits.
 func (s *Server) Run(ctx context.Context) error {
 	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelWork()
