--- a/internal/control/storage/filesystem.go
+++ b/internal/control/storage/filesystem.go
@@ -6,53 +6,62 @@
 	"path/filepath"
 )
 
-// FileSystem is a folder on a disk, as the vault uses it; tests hand in one that fails, and loses its power.
+// FileSystem is the directory in which a store keeps its files. The store uses Dir; tests substitute an implementation
+// that injects errors and power failures.
 type FileSystem interface {
+	// ReadFile returns the whole content of a file. The error of a missing file is os.ErrNotExist by errors.Is.
 	ReadFile(name string) ([]byte, error)
-	OpenAppend(name string) (File, error) // opened to write at its end, made where there is none
-	Create(name string) (File, error)     // begun anew
+	// OpenAppend opens a file for writing at its end, and creates it if it is missing.
+	OpenAppend(name string) (File, error)
+	// Create creates an empty file, or truncates an existing one, and opens it for writing at its end.
+	Create(name string) (File, error)
+	// Rename renames a file and replaces an existing one atomically.
 	Rename(from, to string) error
+	// Remove deletes a file.
 	Remove(name string) error
-	SyncDir() error // makes names last
+	// SyncDir makes earlier creations and renames durable.
+	SyncDir() error
 }
 
-// File is one that is written to.
+// File is a file that is open for writing at its end.
 type File interface {
 	io.WriteCloser
+	// Truncate cuts the file to a size in bytes.
 	Truncate(size int64) error
+	// Sync makes all earlier writes durable. After an error it is unknown which of them are.
 	Sync() error
 }
 
-// Dir is a folder of this machine.
+// Dir is a directory of the operating system, by its path. It implements FileSystem.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// ReadFile reads a file whole.
+// ReadFile implements FileSystem.
 func (d Dir) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// OpenAppend opens a file to write at its end.
+// OpenAppend implements FileSystem.
 func (d Dir) OpenAppend(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
-// Create begins a file anew.
+// Create implements FileSystem.
 func (d Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
-// Rename gives a file another name, in the place of whatever has it.
+// Rename implements FileSystem.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Remove removes a file.
+// Remove implements FileSystem.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// SyncDir makes names last.
+// SyncDir implements FileSystem.
 func (d Dir) SyncDir() error {
-	handle, err := os.Open(string(d))
+	directory, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer handle.Close()
-	return handle.Sync()
+	defer directory.Close()
+	return directory.Sync()
 }
--- a/internal/control/storage/record.go
+++ b/internal/control/storage/record.go
@@ -1,35 +1,46 @@
 package storage
 
 import (
-	"bufio"
-	"bytes"
 	"fmt"
 	"hash/crc32"
-	"io"
-	"strconv"
-	"strings"
 )
 
+// checksumLen is the length of the checksum in front of every stored value: CRC-32 (IEEE) in eight hexadecimal digits.
 const checksumLen = 8
 
+// recordOverhead is about how many bytes a "set" command takes beside its key and value.
+const recordOverhead = 27
+
+// The commands of the file format, which is that of buntdb's own append-only files.
+const (
+	setCommand    = "set"
+	deleteCommand = "del"
+)
+
+// addChecksum returns a value with a checksum over its key and itself in front.
 func addChecksum(key, value string) string {
 	return fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(key+"\n"+value))) + value
 }
 
-func verifyChecksum(key, sealed string) (string, bool) {
+// verifyChecksum returns the value without its checksum, and whether the checksum is right.
+func verifyChecksum(key, sealed string) (value string, ok bool) {
 	if len(sealed) < checksumLen || addChecksum(key, sealed[checksumLen:])[:checksumLen] != sealed[:checksumLen] {
 		return "", false
 	}
 	return sealed[checksumLen:], true
 }
 
-// appendSetCommand writes a command as buntdb's files have them: set, the key, the value with its seal.
+// appendSetCommand appends the command that sets a key, with the value's checksum.
 func appendSetCommand(dst []byte, key, value string) []byte {
-	return appendCommand(dst, "set", key, addChecksum(key, value))
+	return appendCommand(dst, setCommand, key, addChecksum(key, value))
 }
 
-func appendDeleteCommand(dst []byte, key string) []byte { return appendCommand(dst, "del", key) }
+// appendDeleteCommand appends the command that deletes a key.
+func appendDeleteCommand(dst []byte, key string) []byte {
+	return appendCommand(dst, deleteCommand, key)
+}
 
+// appendCommand appends a command in the Redis serialization protocol (RESP): an array of bulk strings.
 func appendCommand(dst []byte, parts ...string) []byte {
 	dst = fmt.Appendf(dst, "*%d\r\n", len(parts))
 	for _, part := range parts {
@@ -38,71 +49,7 @@
 	return dst
 }
 
-// estimatedRecordSize is what a value takes in a file that is written anew, within some bytes.
-func estimatedRecordSize(key, sealed string) int64 { return int64(len(key) + len(sealed) + 27) }
-
-// validPrefix is how many bytes from the start are whole commands with sound values. It is not sound where a mark behind them
-// says that more had been synced: then what the file lacks may have been spoken of.
-func validPrefix(data []byte) (validLen int, intact bool) {
-	validLen = parseCommands(data, func(int) {})
-	intact = true
-	// Whatever sound commands stand behind a flaw may say that it lies where all was synced.
-	for rest := data[validLen:]; len(rest) > 0; {
-		offset := bytes.Index(rest, []byte("*3\r\n$3\r\nset\r\n$6\r\n"+syncedKey))
-		if offset < 0 {
-			break
-		}
-		rest = rest[offset:]
-		parsed := parseCommands(rest, func(synced int) { intact = intact && synced <= validLen })
-		rest = rest[max(1, parsed):]
-	}
-	return validLen, intact
-}
-
-// parseCommands reads whole commands with sound values from the start of data; it tells marks, and how many bytes it read.
-func parseCommands(data []byte, onSyncedOffset func(synced int)) (validLen int) {
-	reader := bufio.NewReader(bytes.NewReader(data))
-	readLength := func(prefix byte) (int, int, bool) {
-		line, err := reader.ReadString('\n')
-		if err != nil || len(line) < 4 || line[0] != prefix || line[len(line)-2] != '\r' {
-			return 0, 0, false
-		}
-		n, err := strconv.Atoi(line[1 : len(line)-2])
-		return n, len(line), err == nil && n >= 0 && n <= len(data)
-	}
-	for {
-		n, commandLen, ok := readLength('*')
-		if !ok || n < 1 || n > 8 {
-			return validLen
-		}
-		parts := make([]string, 0, n)
-		for range n {
-			partLen, headerLen, ok := readLength('$')
-			if !ok {
-				return validLen
-			}
-			payload := make([]byte, partLen+2)
-			if _, err := io.ReadFull(reader, payload); err != nil || payload[partLen] != '\r' || payload[partLen+1] != '\n' {
-				return validLen
-			}
-			parts = append(parts, string(payload[:partLen]))
-			commandLen += headerLen + partLen + 2
-		}
-		switch {
-		case strings.EqualFold(parts[0], "set") && len(parts) == 3:
-			value, ok := verifyChecksum(parts[1], parts[2])
-			if !ok {
-				return validLen
-			}
-			if parts[1] == syncedKey {
-				if syncedOffset, err := strconv.Atoi(value); err == nil {
-					onSyncedOffset(syncedOffset)
-				}
-			}
-		case strings.EqualFold(parts[0], "del") && len(parts) == 2:
-		default:
-			return validLen
-		}
-		validLen += commandLen
-	}
+// estimatedRecordSize returns about how many bytes a key and its value with checksum take in a compacted file.
+func estimatedRecordSize(key, sealed string) int64 {
+	return int64(len(key) + len(sealed) + recordOverhead)
 }
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -1,18 +1,24 @@
-// Package vault keeps a member's lasting state in one file of buntdb's. buntdb holds the values, reads the file and writes
-// it anew; appending is done here, since what a member's word rests on is not promised there: a write counts only when its
-// sync has come back without an error, a write that failed in part is cut back, and after a failed sync, of which nobody
-// knows what it has covered, the whole file is written anew before anything counts again. Every value carries a checksum
-// over itself and its key. A tail that a loss of power has torn or left full of holes is cut off when the file is opened:
-// what stands behind the first flaw was written after the last sync and was never spoken of. Where a later mark says that
-// the flawed part had been synced, the file is put aside: its member has lost its disk.
+// Package storage keeps the durable state of a controller: a map of strings in one append-only file of buntdb's
+// format.
+//
+// buntdb holds the values in memory and writes compacted files. This package does the appending itself, because it
+// needs guarantees that buntdb does not give:
+//
+//   - A write is acknowledged only after its sync has returned without an error.
+//   - A write that failed half-way is truncated.
+//   - After a failed sync it is unknown what has reached the disk, so the whole file is rewritten before any further
+//     write is acknowledged.
+//   - Every value carries a checksum over its key and itself.
+//
+// Opening a store cuts off a tail that a power failure has torn: whatever follows the first invalid byte was written
+// after the last sync, and was never acknowledged. If a later record states that the invalid part had been synced,
+// the file is damaged: it is quarantined, the store is empty, and the controller has to be treated as one that lost
+// its disk.
 package storage
 
 import (
 	"bytes"
-	"maps"
 	"os"
-	"slices"
-	"strconv"
 	"strings"
 	"sync"
 
@@ -20,310 +26,185 @@
 	"github.com/tidwall/buntdb"
 )
 
+// Names in the store's directory.
 const (
 	stateFile      = "state.db"
-	compactFile    = "state.new"
-	quarantineFile = "state.bad"
-	syncedKey      = "synced" // a key that stands in the file alone: up to which byte it was synced when this was written
+	compactFile    = "state.new" // a compacted file before it replaces the state file
+	quarantineFile = "state.bad" // the last damaged state file
+)
+
+// syncedKey is set at the start of each record of the file, and never in memory. Its value is the size up to which the
+// file had been synced when the record was written.
+const syncedKey = "synced"
 
-	defaultMinCompactSize = 1 << 20 // bytes below which the file is not written anew
-	maxGrowthFactor       = 4       // how many times larger than what is in use the file may grow: a byte kept is written 4/3 times
+const (
+	// defaultMinCompactSize is the size in bytes up to which a file is not compacted.
+	defaultMinCompactSize = 1 << 20
+	// maxGrowthFactor is how many times the size of its live values a file may reach before it is compacted. By it a
+	// stored byte is written 4/3 times on average.
+	maxGrowthFactor = 4
 )
 
-// Store is an open store.
+// ErrClosed is the error of a write to a closed store.
+var ErrClosed = errors.New("storage: closed")
+
+// Store is an open store. Its methods may be called concurrently.
 type Store struct {
 	fs             FileSystem
 	minCompactSize int64
-	TruncatedBytes int64 // bytes cut off when it was opened
-	Quarantined    bool  // a file was found damaged where it had been synced, and put aside
+
+	// TruncatedBytes is how many bytes of an invalid tail were cut off when the store was opened.
+	TruncatedBytes int64
+	// Quarantined reports that a damaged file was found when the store was opened, and moved to state.bad.
+	Quarantined bool
 
 	mu      sync.Mutex
-	pending *batch // what the next write takes
-	writing bool   // one is being written
-	idle    *sync.Cond
+	pending *batch     // collects writes until writeLoop takes it
+	writing bool       // writeLoop is running
+	idle    *sync.Cond // signals that writeLoop has ended
 	closed  bool
 
-	// What follows belongs to the one who writes.
-	db           *buntdb.DB // in memory: all that the file holds
-	file         File
-	fileSize     int64 // bytes written
-	syncedSize   int64 // of these, surely on the disk
-	liveSize     int64 // bytes that a file written anew would have, about
-	needsRewrite bool  // what is on the disk behind synced is not known
-	SyncCount    int64 // for measurements: how often the disk was waited for
-}
-
-// batch is what several callers have written together.
-type batch struct {
-	values  map[string]string // empty: dropped
-	durable bool
-	done    chan struct{}
-	err     error
+	// The fields below belong to writeLoop while it runs.
+	db           *buntdb.DB // all values, with their checksums, in memory
+	file         File       // the state file
+	fileSize     int64      // bytes written
+	syncedSize   int64      // bytes known to be durable
+	liveSize     int64      // about the size of the file if it were compacted now
+	needsRewrite bool       // the file's content behind syncedSize is unknown
+	syncCount    int64
 }
 
-func newBatch() *batch { return &batch{values: map[string]string{}, done: make(chan struct{})} }
-
-// WriteFuture is the disk's word on a write.
-type WriteFuture struct{ batch *batch }
-
-// Wait returns when the write is on the disk, or an error where it may not be.
-func (w WriteFuture) Wait() error {
-	if w.batch == nil {
-		return nil
-	}
-	<-w.batch.done
-	return w.batch.err
-}
-
-// Open opens the store in a folder, or begins one.
+// Open opens the store in a directory. It creates the directory and the store if they are missing.
 func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, errors.Wrap(err, "vault")
+		return nil, errors.Wrap(err, "storage")
 	}
 	return OpenFileSystem(Dir(dir))
 }
 
-// OpenFileSystem opens the store on a disk that is handed in.
+// OpenFileSystem opens the store in a given file system.
 func OpenFileSystem(fs FileSystem) (*Store, error) {
 	return openWithThreshold(fs, defaultMinCompactSize)
 }
 
+// openWithThreshold opens a store whose file is compacted from minCompactSize bytes on.
 func openWithThreshold(fs FileSystem, minCompactSize int64) (*Store, error) {
 	s := &Store{fs: fs, minCompactSize: minCompactSize, pending: newBatch()}
 	s.idle = sync.NewCond(&s.mu)
-	data, err := fs.ReadFile(stateFile)
-	if errors.Is(err, os.ErrNotExist) {
-		data, err = nil, nil
-	}
+	data, err := s.recoverState()
 	if err != nil {
-		return nil, errors.Wrap(err, "vault")
-	}
-	validLen, intact := validPrefix(data)
-	if !intact {
-		if err := fs.Rename(stateFile, quarantineFile); err != nil {
-			return nil, errors.Wrap(err, "vault: put aside")
-		}
-		s.Quarantined, data, validLen = true, nil, 0
-	}
-	s.TruncatedBytes = int64(len(data) - validLen)
-	if s.db, err = buntdb.Open(":memory:"); err != nil {
-		return nil, errors.Wrap(err, "vault")
+		return nil, errors.Wrap(err, "storage: recover")
 	}
-	if err := s.db.Load(bytes.NewReader(data[:validLen])); err != nil {
-		return nil, errors.Wrap(err, "vault")
+	if err := s.load(data); err != nil {
+		return nil, errors.Wrap(err, "storage: load")
 	}
-	_ = s.db.Update(func(tx *buntdb.Tx) error { // what is not there need not go
-		_, _ = tx.Delete(syncedKey)
-		return tx.AscendKeys("*", func(key, value string) bool {
-			s.liveSize += estimatedRecordSize(key, value)
-			return true
-		})
-	})
-	_ = fs.Remove(compactFile) // half of a file that a crash has left
-	if s.file, err = fs.OpenAppend(stateFile); err != nil {
-		return nil, errors.Wrap(err, "vault")
-	}
-	s.fileSize = int64(validLen)
-	if s.TruncatedBytes > 0 {
-		if err := s.file.Truncate(s.fileSize); err != nil {
-			return nil, errors.Wrap(err, "vault")
-		}
+	if err := s.openFile(int64(len(data))); err != nil {
+		return nil, errors.Wrap(err, "storage: open")
 	}
-	// What was read was perhaps never synced; before anything is said of it, it is.
-	if err := s.file.Sync(); err != nil {
-		return nil, errors.Wrap(err, "vault")
-	}
-	if err := fs.SyncDir(); err != nil {
-		return nil, errors.Wrap(err, "vault")
-	}
-	s.syncedSize = s.fileSize
 	if s.fileSize > s.compactThreshold() {
 		if err := s.compact(); err != nil {
-			return nil, errors.Wrap(err, "vault: compaction")
+			return nil, errors.Wrap(err, "storage: compact")
 		}
 	}
 	return s, nil
 }
 
-// compactThreshold is how large the file may become before it is written anew.
-func (s *Store) compactThreshold() int64 { return max(s.minCompactSize, maxGrowthFactor*s.liveSize) }
-
-// Put writes the values together and returns once they are on the disk. After an error nothing is promised.
-func (s *Store) Put(values map[string]string) error { return s.PutAsync(values).Wait() }
-
-// PutAsync hands in values to be written together, in the order of the calls, and gives the disk's word on them. It does not
-// wait itself, so that a caller can hand in what it has changed before anyone else changes it again: of two states of one
-// value the older must never be written over the newer.
-func (s *Store) PutAsync(values map[string]string) WriteFuture {
-	if len(values) == 0 {
-		return WriteFuture{}
-	}
-	return WriteFuture{s.enqueue(values, true)}
-}
-
-// PutUnsynced writes values, and drops those that are empty, without a sync: what is good to have and may be lost. A loss of
-// power leaves a beginning of it, in the order of the keys. The word says whether it was written.
-func (s *Store) PutUnsynced(values map[string]string) WriteFuture {
-	if len(values) == 0 {
-		return WriteFuture{}
-	}
-	return WriteFuture{s.enqueue(values, false)}
-}
-
-func (s *Store) enqueue(values map[string]string, durable bool) *batch {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	b := s.pending
-	if s.closed {
-		b = newBatch()
-		b.err = errors.New("vault: closed")
-		close(b.done)
-		return b
-	}
-	for key, value := range values {
-		b.values[key] = value
+// recoverState reads the state file and returns its valid prefix. It quarantines a damaged file.
+func (s *Store) recoverState() ([]byte, error) {
+	data, err := s.fs.ReadFile(stateFile)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
 	}
-	b.durable = b.durable || durable
-	if !s.writing {
-		s.writing = true
-		go s.writeLoop()
+	if err != nil {
+		return nil, err
 	}
-	return b
-}
-
-// writeLoop writes batch after batch until there is none: all that comes while the disk is busy goes with one sync.
-func (s *Store) writeLoop() {
-	for {
-		s.mu.Lock()
-		b := s.pending
-		if len(b.values) == 0 {
-			s.writing = false
-			s.idle.Broadcast()
-			s.mu.Unlock()
-			return
-		}
-		s.pending = newBatch()
-		s.mu.Unlock()
-		if b.err = s.writeBatch(b); b.err != nil {
-			b.err = errors.Wrap(b.err, "vault")
-		}
-		close(b.done) // before the file is written anew, which takes longer than what was waited for
-		if b.err == nil && s.fileSize > s.compactThreshold() && s.compact() != nil {
-			s.needsRewrite = true // the file as it was goes on; the next write tries again
-		}
+	validLen, intact := validPrefix(data)
+	if !intact {
+		s.Quarantined = true
+		return nil, s.fs.Rename(stateFile, quarantineFile)
 	}
+	s.TruncatedBytes = int64(len(data) - validLen)
+	return data[:validLen], nil
 }
 
-// writeBatch brings a batch to the disk, and into the tables.
-func (s *Store) writeBatch(b *batch) error {
-	if s.needsRewrite {
-		if err := s.compact(); err != nil {
-			return err
-		}
-	}
-	record := appendSetCommand(nil, syncedKey, strconv.FormatInt(s.syncedSize, 10))
-	for _, key := range slices.Sorted(maps.Keys(b.values)) { // what a torn tail has of a batch is its beginning, in this order
-		if value := b.values[key]; value == "" {
-			record = appendDeleteCommand(record, key)
-		} else {
-			record = appendSetCommand(record, key, value)
-		}
-	}
-	written, err := s.file.Write(record)
-	if err == nil && written < len(record) {
-		err = errors.New("a short write")
-	}
+// load fills the tables in memory from the valid content of the state file.
+func (s *Store) load(data []byte) error {
+	db, err := buntdb.Open(":memory:")
 	if err != nil {
-		if written > 0 && s.file.Truncate(s.fileSize) != nil {
-			s.needsRewrite = true
-		}
 		return err
 	}
-	s.fileSize += int64(len(record))
-	if b.durable {
-		s.SyncCount++
-		if err := s.file.Sync(); err != nil {
-			s.needsRewrite = true
+	s.db = db
+	if err := db.Load(bytes.NewReader(data)); err != nil {
+		return err
+	}
+	return db.Update(func(tx *buntdb.Tx) error {
+		if _, err := tx.Delete(syncedKey); err != nil && !errors.Is(err, buntdb.ErrNotFound) {
 			return err
 		}
-		s.syncedSize = s.fileSize
-	}
-	s.applyBatch(b)
-	return nil
-}
-
-// applyBatch takes a batch that was written into the tables.
-func (s *Store) applyBatch(b *batch) {
-	_ = s.db.Update(func(tx *buntdb.Tx) error { // in memory: it cannot fail but for keys that are not there
-		for key, value := range b.values {
-			if value == "" {
-				if old, err := tx.Delete(key); err == nil {
-					s.liveSize -= estimatedRecordSize(key, old)
-				}
-				continue
-			}
-			sealed := addChecksum(key, value)
-			if old, replaced, _ := tx.Set(key, sealed, nil); replaced {
-				s.liveSize -= estimatedRecordSize(key, old)
-			}
+		return tx.AscendKeys("*", func(key, sealed string) bool {
 			s.liveSize += estimatedRecordSize(key, sealed)
-		}
-		return nil
+			return true
+		})
 	})
 }
 
-// compact writes the file anew: whole, synced, renamed, and the folder synced before anything is appended to it. A crash
-// leaves the old file or the new one, and all that was ever acknowledged stands in both.
-func (s *Store) compact() error {
-	newFile, err := s.fs.Create(compactFile)
+// openFile opens the state file for writing after its valid content of the given size.
+func (s *Store) openFile(size int64) error {
+	_ = s.fs.Remove(compactFile) // left by a crash during a compaction; it usually does not exist
+	file, err := s.fs.OpenAppend(stateFile)
 	if err != nil {
 		return err
 	}
-	c := &countingWriter{file: newFile}
-	err = s.db.Save(c)
-	if err == nil {
-		s.SyncCount++
-		err = newFile.Sync()
-	}
-	if err == nil {
-		err = s.fs.Rename(compactFile, stateFile)
+	s.file = file
+	s.fileSize = size
+	if s.TruncatedBytes > 0 {
+		if err := file.Truncate(size); err != nil {
+			return err
+		}
 	}
-	if err != nil {
-		newFile.Close()
+	// The content that was read may never have been synced. It has to be durable before anyone acts on it.
+	if err := file.Sync(); err != nil {
 		return err
 	}
-	s.file.Close()
-	s.file, s.fileSize, s.syncedSize, s.liveSize = newFile, c.written, c.written, c.written
-	// From here on the new file is the one that is appended to; whether it lasts is known once the folder has been synced.
 	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
-	s.needsRewrite = false
+	s.syncedSize = size
 	return nil
 }
 
-// countingWriter counts what is written, and makes a short write an error.
-type countingWriter struct {
-	file    File
-	written int64
+// Put writes the values in one record and returns when they are durable. After an error they may be durable or not.
+func (s *Store) Put(values map[string]string) error { return s.PutAsync(values).Wait() }
+
+// PutAsync queues the values for writing in one record and returns without waiting for the disk. Calls take effect in
+// their order. A caller can thus queue a state while it holds the lock that guards it, so that an older state never
+// replaces a newer one, and wait for the disk after it has released the lock.
+//
+// An empty value deletes its key.
+func (s *Store) PutAsync(values map[string]string) WriteFuture {
+	if len(values) == 0 {
+		return WriteFuture{}
+	}
+	return WriteFuture{s.enqueue(values, true)}
 }
 
-func (c *countingWriter) Write(p []byte) (int, error) {
-	n, err := c.file.Write(p)
-	c.written += int64(n)
-	if err == nil && n < len(p) {
-		err = errors.New("a short write")
+// PutUnsynced queues the values like PutAsync, but its write is not synced: it is for values that may be lost. A power
+// failure leaves any prefix of them, in the order of their keys. The future reports whether they were written.
+func (s *Store) PutUnsynced(values map[string]string) WriteFuture {
+	if len(values) == 0 {
+		return WriteFuture{}
 	}
-	return n, err
+	return WriteFuture{s.enqueue(values, false)}
 }
 
-// Load reads all values whose keys begin so; the keys come without it.
+// Load returns all values whose keys begin with the prefix, by the rest of their keys.
 func (s *Store) Load(prefix string) map[string]string {
 	values := map[string]string{}
+	// Reading from memory fails only after the database was closed, which the store never does.
 	_ = s.db.View(func(tx *buntdb.Tx) error {
-		return tx.AscendKeys(prefix+"*", func(key, x string) bool {
-			if x, ok := verifyChecksum(key, x); ok {
-				values[strings.TrimPrefix(key, prefix)] = x
+		return tx.AscendKeys(prefix+"*", func(key, sealed string) bool {
+			if value, ok := verifyChecksum(key, sealed); ok {
+				values[strings.TrimPrefix(key, prefix)] = value
 			}
 			return true
 		})
@@ -331,23 +212,27 @@
 	return values
 }
 
-// Size is how large the file is, and how large it would be if it were written anew, once all that was handed in is written.
+// Size waits until all queued writes are done, and returns the size of the file in bytes and about the size that it
+// would have if it were compacted.
 func (s *Store) Size() (fileSize, liveSize int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.writing {
-		s.idle.Wait()
-	}
+	s.awaitWriter()
 	return s.fileSize, s.liveSize
 }
 
-// Close writes what was handed in and closes the store.
+// Close waits until all queued writes are done, and closes the store. Later writes fail with ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.closed = true
+	s.awaitWriter()
+	s.mu.Unlock()
+	return s.file.Close()
+}
+
+// awaitWriter waits until writeLoop has ended. The caller holds s.mu.
+func (s *Store) awaitWriter() {
 	for s.writing {
 		s.idle.Wait()
 	}
-	s.mu.Unlock()
-	return s.file.Close()
 }
