--- a/internal/settings/deployment/deployment.go
+++ b/internal/settings/deployment/deployment.go
@@ -1,5 +1,6 @@
-// Package terms turns the settings of a deployment, as JSON, into the plain map of names to values that the module
-// reads. The simulator's adapter and the agent on sockets are handed the same object, so both use it.
+// Package deployment translates the settings of a deployment, a JSON object that the platform writes, into the parameters
+// of the agent's policy: a flat map of names to values. The agent in service and the simulator's adapter receive the same
+// object and both use this package.
 package deployment
 
 import (
@@ -9,114 +10,93 @@
 	"time"
 )
 
-// Parse flattens the settings into our names; what is unknown is passed over.
+// Parse translates the settings. It ignores unknown fields, and fields whose value has an unexpected type.
+//
+// The values are of the types bool, float64, string, []float64, []string and time.Duration. Besides the parameters of
+// the tables in parameters.go, "workloads" and "customers" hold the names of all workloads and tenants as a []string.
 func Parse(text []byte) (map[string]any, error) {
-	var raw map[string]any
-	if err := json.Unmarshal(text, &raw); err != nil {
+	var settings map[string]any
+	if err := json.Unmarshal(text, &settings); err != nil {
 		return nil, err
 	}
-	parameters := map[string]any{}
-	for path, name := range parameterNames {
-		var v any = raw
-		for _, step := range strings.Split(path, ".") {
-			m, _ := v.(map[string]any)
-			v = m[step]
-		}
-		putValue(parameters, name, v)
+	result := map[string]any{}
+	for path, parameter := range parameters {
+		put(result, parameter.name, parameter, lookup(settings, path))
 	}
-	objectsAt := func(path string) []any { l, _ := raw[path].([]any); return l }
-	var workloads, tenants []string
-	for _, row := range objectsAt("classes") {
-		m, _ := row.(map[string]any)
-		name, _ := m["name"].(string)
-		workloads = append(workloads, name)
-		for key, field := range workloadParameters {
-			putValue(parameters, strings.Replace(field, "workload.", "workload."+name+".", 1), m[key])
-		}
+	result["workloads"] = putNamed(result, "workload.", workloadParameters, settings["classes"])
+	result["customers"] = putNamed(result, "customer.", tenantParameters, settings["orgs"])
+	return result, nil
+}
+
+// lookup returns the value at a path of field names that are joined by dots, or nil if there is none.
+func lookup(settings map[string]any, path string) any {
+	var value any = settings
+	for field := range strings.SplitSeq(path, ".") {
+		object, _ := value.(map[string]any)
+		value = object[field]
 	}
-	for _, row := range objectsAt("orgs") {
-		m, _ := row.(map[string]any)
-		name, _ := m["name"].(string)
-		tenants = append(tenants, name)
-		putValue(parameters, "customer."+name+".rate", m["quotaRps"])
-		putValue(parameters, "customer."+name+".share", m["share"])
+	return value
+}
+
+// putNamed puts the parameters of a list of named objects, and returns the names in the order of the list.
+func putNamed(result map[string]any, prefix string, parameters map[string]parameter, list any) (names []string) {
+	objects, _ := list.([]any)
+	for _, entry := range objects {
+		object, _ := entry.(map[string]any)
+		name, _ := object["name"].(string)
+		names = append(names, name)
+		for field, parameter := range parameters {
+			put(result, prefix+name+"."+parameter.name, parameter, object[field])
+		}
 	}
-	parameters["workloads"], parameters["customers"] = workloads, tenants
-	return parameters, nil
+	return names
 }
 
-// putValue keeps one value; a name that ends in a bar stands for a time in milliseconds.
-func putValue(parameters map[string]any, name string, v any) {
-	name, isTime := strings.CutSuffix(name, "|")
-	switch v := v.(type) {
+// put stores a value of the settings under the policy's name. It ignores nil and values of other types than Parse names.
+func put(result map[string]any, name string, kind parameter, value any) {
+	switch value := value.(type) {
 	case float64:
-		if isTime {
-			parameters[name] = FromMilliseconds(v)
+		if kind.milliseconds {
+			result[name] = FromMilliseconds(value)
 		} else {
-			parameters[name] = v
+			result[name] = value
 		}
 	case bool:
-		parameters[name] = v
+		result[name] = value
 	case string:
-		if w, ok := enumValues[v]; ok {
-			v = w
-		}
-		parameters[name] = v
+		result[name] = translate(value)
 	case []any:
-		var nums []float64
-		var words []string
-		for _, x := range v {
-			switch x := x.(type) {
-			case float64:
-				nums = append(nums, x)
-			case string:
-				words = append(words, x)
-			}
-		}
-		if nums != nil {
-			parameters[name] = nums
-		} else {
-			parameters[name] = words
-		}
+		result[name] = listOf(value)
 	}
 }
 
-var enumValues = map[string]string{"free": "pure", "guarded": "receipted", "single_shot": "effectful",
-	"automatic": "pushed", "subscribe": "asked"}
-
-var workloadParameters = map[string]string{"goalTime": "workload.goal|", "giveUp": "workload.abandon|",
-	"semantics": "workload.effect", "group": "workload.group", "keyTtl": "workload.memory|",
-	"worth": "workload.payoff", "lateValue": "workload.late", "streaming": "workload.stream",
-	"aimStretch": "workload.stretch"}
+// translate returns the policy's word for a word of the settings.
+func translate(word string) string {
+	if translated, found := enumValues[word]; found {
+		return translated
+	}
+	return word
+}
 
-var parameterNames = map[string]string{"balancers": "agents", "position": "number", "az": "place", "areas": "places",
-	"flavors": "kinds", "registryMode": "discovery", "valueBy": "payoff.by", "weights": "share.meaning",
-	"tick": "tick|", "overShareWorth": "payoff.overshare", "tier": "tier", "tiers": "tiers",
-	"familyInfo.allowance": "trial.allowance", "familyInfo.autoAfter": "trial.auto|",
-	"familyInfo.backVotes": "trial.back.votes", "familyInfo.onVotes": "trial.on.votes",
-	"familyInfo.holdVotes": "trial.hold.votes", "familyInfo.callsPerS": "trial.calls",
-	"familyInfo.capScope": "trial.counts", "familyInfo.closedStages": "trial.guarded",
-	"familyInfo.damagePrice": "trial.harm", "familyInfo.delayPrice": "trial.delay",
-	"familyInfo.decidedBy": "trial.control", "familyInfo.flagShare": "trial.complaints",
-	"familyInfo.forwardOnly": "trial.oneway", "familyInfo.mostShares": "trial.caps",
-	"familyInfo.waves": "trial.stages", "familyInfo.newsPeriod": "trial.news|",
-	"familyInfo.replaceMode": "trial.style", "familyInfo.soak": "trial.soak|",
-	"familyInfo.sumsEvery": "tally.every|", "familyInfo.tallySample": "tally.sample",
-	"familyInfo.voteTtl": "vote.life|", "familyInfo.voteWait": "vote.wait|",
-	"familyInfo.warmKeys": "keys.warm", "familyInfo.window": "trial.window|",
-	"permissions.maxAttempts": "sends.most", "permissions.maxOpen": "open.most",
-	"permissions.maxRetryAfter": "return.most|", "permissions.mayCancel": "may.calloff",
-	"permissions.peers": "may.tell", "permissions.probes": "may.probe",
-	"permissions.retryAfter": "may.advise", "permissions.secondCopies": "may.copy",
-	"permissions.connIdle": "link.idle|", "permissions.dialTimeout": "link.dial|",
-	"permissions.multiplex": "link.sends", "clients.marksRetry": "clients.mark",
-	"safety.answerSlack": "answer.slack|", "safety.askWithin": "discovery.within|",
-	"safety.cold": "cold.time|", "safety.coldFrom": "cold.from", "safety.drainGrace": "drain.grace|",
-	"safety.fallMultiple": "fall.multiple", "safety.tipAfter": "fall.time|",
-	"telemetry.fields": "load.fields", "telemetry.source": "load.source",
-	"scoringMix.tail": "goal.tail", "scoringMix.tailSlack": "goal.tail.slack"}
+// listOf returns the numbers of a list, or its strings if it has no numbers.
+func listOf(values []any) any {
+	var numbers []float64
+	var words []string
+	for _, value := range values {
+		switch value := value.(type) {
+		case float64:
+			numbers = append(numbers, value)
+		case string:
+			words = append(words, value)
+		}
+	}
+	if numbers != nil {
+		return numbers
+	}
+	return words
+}
 
-// FromMilliseconds is a time that the wires write in milliseconds, to the microsecond.
+// FromMilliseconds converts a number of milliseconds, as the platform writes times, and rounds it to a microsecond.
 func FromMilliseconds(milliseconds float64) time.Duration {
 	return time.Duration(math.Round(milliseconds*1000)) * time.Microsecond
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,13 +1,11 @@
-// Package boot reads the settings file that a process is started with, and says what is wrong with it and where.
+// Package settings reads the settings file that the platform hands to each proxy and controller, and reports what is
+// wrong in it by the name of the field.
 package settings
 
 import (
-	"cmp"
 	"os"
-	"sort"
+	"slices"
 	"strconv"
-	"strings"
-	"time"
 
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
@@ -15,32 +13,41 @@
 	"sagelever/internal/control/membership"
 )
 
-// Settings is the settings file as the platform writes it. Fields not named here are passed over.
+// DefaultPath is the path of the settings file unless the environment variable PathVariable names another.
+const DefaultPath = "/etc/sagelever/boot.json"
+
+// PathVariable is the environment variable that names the settings file.
+const PathVariable = "SAGELEVER_CONFIG"
+
+// Settings is the content of the settings file. Fields of the file that are not declared here are ignored.
 //
 //easyjson:json
 type Settings struct {
-	Node              string            `json:"node"`
-	Role              string            `json:"role"`
-	Handles           []string          `json:"handles"`
-	IP                string            `json:"ip"`
-	Zone              string            `json:"zone"`
-	Region            string            `json:"region"`
-	Zones             map[string]string `json:"zones"` // zone to region
-	ListenAddresses   map[string]string `json:"listens"`
-	PeerPortRange     []int             `json:"sparePorts"`
-	SeedAddresses     []string          `json:"firstContacts"`
-	FreshStart        bool              `json:"freshStart"`
-	CountsAsLoss      bool              `json:"countsAsLoss"`
-	Resources         ResourceLimits    `json:"limits"`
-	DataDir           string            `json:"dataFolder"`
-	HeartbeatInterval string            `json:"pulse"`
-	FaultTolerance    FaultTolerance    `json:"withstand"`
-	LimitsTable       []string          `json:"limitsTable"`
-
-	RuleLimits RuleLimits `json:"-"` // the limits table, read
+	Node            string            `json:"node"`    // name of this machine, unique in the system
+	Role            string            `json:"role"`    // name of the role in the deploy file
+	Handles         []string          `json:"handles"` // names of what this machine serves, as in the deploy file
+	IP              string            `json:"ip"`      // address on which other nodes reach this machine
+	Zone            string            `json:"zone"`
+	Region          string            `json:"region"`     // that of the zone, if it is empty
+	Zones           map[string]string `json:"zones"`      // region of every zone of the system
+	ListenAddresses map[string]string `json:"listens"`    // host:port by name of what is served there
+	PeerPortRange   []int             `json:"sparePorts"` // first and last of the ports for calls between nodes
+	// SeedAddresses are addresses of controllers by which a node finds the control group.
+	SeedAddresses []string `json:"firstContacts"`
+	// FreshStart makes a controller with an empty disk take part in the first membership. Without it such a controller
+	// waits until the members add it.
+	FreshStart        bool           `json:"freshStart"`
+	CountsAsLoss      bool           `json:"countsAsLoss"` // not applied
+	Resources         ResourceLimits `json:"limits"`
+	DataDir           string         `json:"dataFolder"` // of a controller's state
+	HeartbeatInterval string         `json:"pulse"`      // as ParseDuration reads it
+	FaultTolerance    FaultTolerance `json:"withstand"`
+	LimitsTable       []string       `json:"limitsTable"` // entries of the form name=value
+
+	RuleLimits RuleLimits `json:"-"` // the parsed LimitsTable and HeartbeatInterval
 }
 
-// ResourceLimits is what a process may use.
+// ResourceLimits is what a process may use of its machine. Only the memory limit is applied, in mebibytes.
 type ResourceLimits struct {
 	CPUShare  float64 `json:"cpuPart"`
 	RAMMb     int     `json:"ramMb"`
@@ -48,31 +55,23 @@
 	StorageMb int     `json:"storageMb"`
 }
 
-// FaultTolerance is what may be lost at once while all rules are kept.
+// FaultTolerance says how many machines, zones or regions may fail at once while the system keeps all its guarantees.
+// The alternatives do not add up: the system tolerates each by itself.
 type FaultTolerance struct {
 	Hosts   int `json:"hostsLost"`
 	Zones   int `json:"zones"`
 	Regions int `json:"regions"`
 }
 
-// RuleLimits are the figures of the rules in force.
-type RuleLimits struct {
-	ContactTimeout, ConfirmTimeout, SyncTimeout, DrainTime, ShutdownGrace, ApplyTimeout, EvacuationTime, RollbackTime, RetryPeriod, MaxTTL, HeartbeatInterval time.Duration
-	RetryBudgetRatio, MaxExtraRetries, TrialErrorRatio, TrialErrorAllowance, WarmUpLoadFactor, WarmUpAllowance                                                float64
-}
-
-// DefaultPath is where the settings file stands unless SAGELEVER_CONFIG names it.
-const DefaultPath = "/etc/sagelever/boot.json"
-
-// Path is the settings file of this process.
+// Path returns the path of this process's settings file.
 func Path() string {
-	if p := os.Getenv("SAGELEVER_CONFIG"); p != "" {
-		return p
+	if path := os.Getenv(PathVariable); path != "" {
+		return path
 	}
 	return DefaultPath
 }
 
-// Read reads and checks a settings file.
+// Read reads and validates a settings file. The error of an invalid field is a *FieldError.
 func Read(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -85,7 +84,7 @@
 	return s, nil
 }
 
-// Parse reads settings from bytes.
+// Parse parses and validates the content of a settings file. The error of an invalid field is a *FieldError.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := easyjson.Unmarshal(data, s); err != nil {
@@ -94,107 +93,89 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
+	if s.Region == "" {
+		s.Region = s.Zones[s.Zone]
+	}
+	if err := s.parseRuleLimits(); err != nil {
+		return nil, err
+	}
 	return s, nil
 }
 
+// validate checks the fields without which no role can start.
 func (s *Settings) validate() error {
 	switch {
 	case s.Node == "":
-		return errors.New("node: missing")
+		return &FieldError{"node", errMissing}
 	case s.IP == "":
-		return errors.New("ip: missing")
+		return &FieldError{"ip", errMissing}
 	case s.Zone == "" || s.Zones[s.Zone] == "":
-		return errors.Errorf("zone: %q does not stand in zones", s.Zone)
-	case len(s.PeerPortRange) != 2 || s.PeerPortRange[0] < 1 || s.PeerPortRange[1] > 65535 || s.PeerPortRange[1]-s.PeerPortRange[0] < 1:
-		return errors.New("sparePorts: want the first and the last of two ports or more")
+		return &FieldError{"zone", errors.Errorf("%q is not among zones", s.Zone)}
+	case !validPortRange(s.PeerPortRange):
+		return &FieldError{"sparePorts", errPortRange}
 	case len(s.SeedAddresses) == 0:
-		return errors.New("firstContacts: empty")
-	}
-	if s.Region == "" {
-		s.Region = s.Zones[s.Zone]
-	}
-	var err error
-	if s.RuleLimits.HeartbeatInterval, err = ParseDuration(s.HeartbeatInterval); err != nil {
-		return errors.Wrap(err, "pulse")
-	}
-	if err := s.parseLimitsTable(); err != nil {
-		return errors.Wrap(err, "limitsTable")
+		return &FieldError{"firstContacts", errMissing}
 	}
 	return nil
 }
 
-// parseLimitsTable reads the table. A figure that is missing keeps a careful value: no further tries, no trial, nothing cold.
-func (s *Settings) parseLimitsTable() error {
-	limits := &s.RuleLimits
-	durations := map[string]*time.Duration{"inTouch": &limits.ContactTimeout, "confirm": &limits.ConfirmTimeout, "sync_time": &limits.SyncTimeout,
-		"empty": &limits.DrainTime, "leeway": &limits.ShutdownGrace, "apply": &limits.ApplyTimeout, "clearOut": &limits.EvacuationTime, "undo": &limits.RollbackTime,
-		"retryPeriod": &limits.RetryPeriod, "ttl_max": &limits.MaxTTL}
-	ratios := map[string]*float64{"retryShare": &limits.RetryBudgetRatio, "extraTries": &limits.MaxExtraRetries, "badShare": &limits.TrialErrorRatio,
-		"badLeeway": &limits.TrialErrorAllowance, "warmUpExcess": &limits.WarmUpLoadFactor, "warmUpLeeway": &limits.WarmUpAllowance}
-	for _, row := range s.LimitsTable {
-		name, value, ok := strings.Cut(row, "=")
-		if !ok {
-			return errors.Errorf("%q: want name=value", row)
-		}
-		var err error
-		if p := durations[name]; p != nil {
-			*p, err = ParseDuration(value)
-		} else if p := ratios[name]; p != nil {
-			*p, err = strconv.ParseFloat(value, 64)
-			if err == nil && !(*p >= 0 && *p < 1e9) {
-				err = errors.New("out of range")
-			}
-		}
-		if err != nil {
-			return errors.Wrapf(err, "%q", row)
-		}
+// parseRuleLimits sets RuleLimits from the fields of the file.
+func (s *Settings) parseRuleLimits() error {
+	limits, err := parseLimitsTable(s.LimitsTable)
+	if err != nil {
+		return &FieldError{"limitsTable", err}
+	}
+	limits.HeartbeatInterval, err = ParseDuration(s.HeartbeatInterval)
+	if err != nil {
+		return &FieldError{"pulse", err}
 	}
-	const defaultTime = 5 * time.Second // where the table lacks them
-	limits.ContactTimeout, limits.ShutdownGrace = cmp.Or(limits.ContactTimeout, defaultTime), cmp.Or(limits.ShutdownGrace, defaultTime)
+	s.RuleLimits = limits
 	return nil
 }
 
-// ParseDuration reads a time as the protocol writes it: a number and ms or s, such as 1500ms or 2.5s. It may be 0, never below.
-func ParseDuration(text string) (time.Duration, error) {
-	number, unit := text, time.Duration(0)
-	switch {
-	case strings.HasSuffix(text, "ms"):
-		number, unit = text[:len(text)-2], time.Millisecond
-	case strings.HasSuffix(text, "s"):
-		number, unit = text[:len(text)-1], time.Second
-	default:
-		return 0, errors.Errorf("%q is no time: want a number and ms or s", text)
-	}
-	quantity, err := strconv.ParseFloat(number, 64)
-	if err != nil || !(quantity >= 0) || quantity*float64(unit) > float64(1<<53) {
-		return 0, errors.Errorf("%q is no time: want a number and ms or s", text)
-	}
-	return time.Duration(quantity * float64(unit)), nil
+// validPortRange reports whether a range names a first and a later last TCP port.
+func validPortRange(ports []int) bool {
+	const maxPort = 65535
+	return len(ports) == 2 && ports[0] >= 1 && ports[0] < ports[1] && ports[1] <= maxPort
 }
 
-// PeerPort is the port on which the agents of the system call one another; all machines of a system have the same ports.
+// PeerPort returns the port for calls between nodes. It is the same on every machine of a system.
 func (s *Settings) PeerPort() string { return strconv.Itoa(s.PeerPortRange[0]) }
 
-// ControlGroup is the control core that the settings ask for, given how many members the deploy file places in each zone.
+// ControlGroup returns the size of the control group and the failures that it must survive, given the number of
+// controllers that the deploy file places in each zone.
 func (s *Settings) ControlGroup(perZone int) membership.Target {
-	return membership.Target{MembersPerZone: perZone, Zones: len(s.Zones), MaxFailures: s.ToleratedDiskLosses(perZone)}
+	return membership.Target{
+		MembersPerZone: perZone,
+		Zones:          len(s.Zones),
+		MaxFailures:    s.ToleratedDiskLosses(perZone),
+	}
 }
 
-// ToleratedDiskLosses is how many members of the core may lose their disks at once: the largest of what withstand names.
+// ToleratedDiskLosses returns how many controllers may lose their disks at once: the most that any of the alternatives
+// of FaultTolerance takes, given the number of controllers in each zone.
 func (s *Settings) ToleratedDiskLosses(perZone int) int {
-	membersByRegion := map[string]int{}
+	byHosts := s.FaultTolerance.Hosts
+	byZones := s.FaultTolerance.Zones * perZone
+	byRegions := s.largestRegions(perZone, s.FaultTolerance.Regions)
+	return max(byHosts, byZones, byRegions)
+}
+
+// largestRegions returns how many controllers the largest regions, up to a count of regions, have together.
+func (s *Settings) largestRegions(perZone, count int) int {
+	controllersByRegion := map[string]int{}
 	for _, region := range s.Zones {
-		membersByRegion[region] += perZone
+		controllersByRegion[region] += perZone
 	}
-	sizes := make([]int, 0, len(membersByRegion))
-	for _, size := range membersByRegion {
+	sizes := make([]int, 0, len(controllersByRegion))
+	for _, size := range controllersByRegion {
 		sizes = append(sizes, size)
 	}
-	sort.Sort(sort.Reverse(sort.IntSlice(sizes)))
-	tolerated := max(s.FaultTolerance.Hosts, s.FaultTolerance.Zones*perZone)
-	largestRegions := 0
-	for i := 0; i < s.FaultTolerance.Regions && i < len(sizes); i++ {
-		largestRegions += sizes[i]
+	slices.Sort(sizes)
+	slices.Reverse(sizes)
+	total := 0
+	for _, size := range sizes[:min(max(count, 0), len(sizes))] {
+		total += size
 	}
-	return max(tolerated, largestRegions)
+	return total
 }
