--- a/internal/settings/operatorfile/position.go
+++ b/internal/settings/operatorfile/position.go
@@ -1,45 +1,105 @@
 package operatorfile
 
 import (
+	"fmt"
 	"strconv"
 	"strings"
+
+	"gopkg.in/ini.v1"
 )
 
-// The INI library says what stands in a file, not where. locate finds the places by the same few rules; should the two
-// ever read a file apart, only the place in a message is wrong.
+// The INI library does not report where in the file it found a key. This file finds the positions by the same few
+// rules of syntax. Should the two disagree on some input, only the position in an error message is wrong.
 
-// position is a place: line and column from 1 on, 0 for none.
+// position is a place in the file: line and column, each from 1. The zero value is no place.
 type position struct{ line, column int }
 
-// keyPosition is where a key stands, and its value.
+// keyPosition is the position of a key and that of its value.
 type keyPosition struct {
 	key, value position
 }
 
-// within is the place of a line and column of the value, or else the place given.
-func (e keyPosition) within(line, column int, otherwise position) position {
+// within returns the position of a line and column of the value, or the alternative if the value's position is
+// unknown.
+func (p keyPosition) within(line, column int, alternative position) position {
 	switch {
-	case e.value.line == 0:
-		return otherwise
+	case p.value.line == 0:
+		return alternative
 	case line == 1:
-		return position{e.value.line, e.value.column + column - 1}
+		return position{p.value.line, p.value.column + column - 1}
 	}
-	return position{e.value.line + line - 1, column}
+	return position{p.value.line + line - 1, column}
 }
 
+// section is the position of a section's header and those of its keys.
 type section struct {
 	name     string
 	position position
 	keys     map[string]keyPosition
 }
 
-// locateSections goes over a file's lines.
+// document is the text of a file, with the positions of its sections in order.
+type document struct {
+	fileName string
+	lines    []string
+	sections []section
+}
+
+func newDocument(name string, data []byte) *document {
+	lines := strings.Split(string(data), "\n")
+	return &document{fileName: name, lines: lines, sections: locateSections(lines)}
+}
+
+// errorAt returns an error at a position, or at the start of the file for the zero position.
+func (d *document) errorAt(pos position, format string, args ...any) *ParseError {
+	parseError := &ParseError{
+		File:    d.fileName,
+		Line:    max(pos.line, 1),
+		Column:  max(pos.column, 1),
+		Message: fmt.Sprintf(format, args...),
+	}
+	if parseError.Line <= len(d.lines) {
+		parseError.Source = d.lines[parseError.Line-1]
+	}
+	return parseError
+}
+
+// nextSection returns the next section of a name from an index on, and the index behind it. Without one it returns a
+// section without positions.
+func (d *document) nextSection(name string, from int) (section, int) {
+	for i := from; i < len(d.sections); i++ {
+		if d.sections[i].name == name {
+			return d.sections[i], i + 1
+		}
+	}
+	return section{name: name}, from
+}
+
+// locateSyntaxError returns the position of the line that the INI library could not parse, which its error quotes.
+func (d *document) locateSyntaxError(err error) position {
+	message := strings.TrimSpace(err.Error())
+	for i, rawLine := range d.lines {
+		line := strings.TrimSpace(rawLine)
+		if line == "" {
+			continue
+		}
+		if strings.HasSuffix(message, line) || strings.Contains(message, strconv.Quote(line)) {
+			return position{i + 1, 1}
+		}
+	}
+	return position{1, 1}
+}
+
+// quotes are the delimiters of values that may span several lines.
+var quotes = []string{`"""`, "`"}
+
+// locateSections returns the sections of a file in order, beginning with the unnamed one before the first header.
 func locateSections(lines []string) []section {
-	sections := []section{{name: "DEFAULT", keys: map[string]keyPosition{}}}
-	openQuote := "" // that ends a value of several lines
+	sections := []section{{name: ini.DefaultSection, keys: map[string]keyPosition{}}}
+	openQuote := "" // the delimiter that ends the current value of several lines
 	for i, rawLine := range lines {
 		line := strings.TrimSpace(rawLine)
-		indent := strings.Index(rawLine, line)
+		start := position{i + 1, strings.Index(rawLine, line) + 1}
 		switch {
 		case openQuote != "":
 			if strings.Contains(rawLine, openQuote) {
@@ -48,49 +108,35 @@
 		case line == "", line[0] == ';', line[0] == '#':
 		case line[0] == '[':
 			name, _, _ := strings.Cut(line[1:], "]")
-			sections = append(sections, section{strings.TrimSpace(name), position{i + 1, indent + 1}, map[string]keyPosition{}})
+			sections = append(sections, section{strings.TrimSpace(name), start, map[string]keyPosition{}})
 		default:
-			name, value, ok := strings.Cut(line, "=")
-			if !ok {
-				continue
-			}
-			rest := strings.TrimLeft(value, " \t")
-			column := indent + len(line) - len(rest) + 1
-			for _, quote := range []string{`"""`, "`"} {
-				if after, ok := strings.CutPrefix(rest, quote); ok {
-					column += len(quote)
-					if !strings.Contains(after, quote) {
-						openQuote = quote
-					}
-					break
-				}
-			}
-			keys := sections[len(sections)-1].keys
-			if _, twice := keys[strings.TrimSpace(name)]; !twice {
-				keys[strings.TrimSpace(name)] = keyPosition{key: position{i + 1, indent + 1}, value: position{i + 1, column}}
-			}
+			openQuote = locateKey(sections[len(sections)-1].keys, line, start)
 		}
 	}
 	return sections
 }
 
-// nextSection gives the next section of a name, from a number on, and the number after it.
-func (d *document) nextSection(name string, from int) (section, int) {
-	for i := from; i < len(d.sections); i++ {
-		if d.sections[i].name == name {
-			return d.sections[i], i + 1
-		}
+// locateKey records the positions of the key and value of a line, which starts at a position. Of a repeated key the
+// first counts. It returns the delimiter if the value goes on in the next line, and otherwise nothing.
+func locateKey(keys map[string]keyPosition, line string, start position) (openQuote string) {
+	name, rawValue, found := strings.Cut(line, "=")
+	if !found {
+		return ""
 	}
-	return section{name: name}, from
-}
-
-// locateSyntaxError finds the line that the INI library could not read: it quotes it.
-func (d *document) locateSyntaxError(err error) position {
-	message := strings.TrimSpace(err.Error())
-	for i, line := range d.lines {
-		if line = strings.TrimSpace(line); line != "" && (strings.HasSuffix(message, line) || strings.Contains(message, strconv.Quote(line))) {
-			return position{i + 1, 1}
+	value := strings.TrimLeft(rawValue, " \t")
+	valueStart := position{start.line, start.column + len(line) - len(value)}
+	for _, quote := range quotes {
+		if rest, found := strings.CutPrefix(value, quote); found {
+			valueStart.column += len(quote)
+			if !strings.Contains(rest, quote) {
+				openQuote = quote
+			}
+			break
 		}
 	}
-	return position{1, 1}
+	name = strings.TrimSpace(name)
+	if _, repeated := keys[name]; !repeated {
+		keys[name] = keyPosition{key: start, value: valueStart}
+	}
+	return openQuote
 }
