--- a/cmd/loadbalancer/main.go
+++ b/cmd/loadbalancer/main.go
@@ -1,5 +1,5 @@
-// Accord is sagelever as a whole global load balancer: its relay carries the traffic, its steward keeps what the relays
-// need to know.
+// Command loadbalancer is the global load balancer. Its sub-command proxy carries traffic, controller takes part in the
+// control group, and drain, undrain and drains are for operators.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli is the command line of loadbalancer.
+// Package cli is the command line of the load balancer: it runs a proxy or a controller, checks a settings file, and
+// gives an operator's drain orders to the controllers.
 package cli
 
 import (
@@ -8,11 +9,9 @@
 	"os/signal"
 	"runtime/debug"
 	"syscall"
-	"time"
 
 	"github.com/integrii/flaggy"
 	"go.uber.org/zap"
-	"go.uber.org/zap/zapcore"
 
 	"sagelever/internal/control/server"
 	"sagelever/internal/proxy"
@@ -23,137 +22,129 @@
 const (
 	exitOK         = 0
 	exitFailed     = 1
-	exitUsage      = 2
-	exitNoCapacity = 3 // a removal was refused: too little room would be left
-	exitNotDrained = 4 // it was waited for, and something is left
+	exitUsage      = 2 // the command line is wrong
+	exitNoCapacity = 3 // a drain was refused, because it would leave too little capacity
+	exitNotDrained = 4 // the time to wait for a drain has passed, and requests are left
 )
 
-// Main runs the program and gives its exit code.
-func Main(args []string) int {
-	settingsPath, perZone, level := settings.Path(), 1, "info"
-	parser := flaggy.NewParser("loadbalancer")
-	parser.Description = "a global load balancer: proxies carry the traffic, controllers keep what they need to know"
-	parser.ShowHelpOnUnexpected = true
-	parser.DisableShowVersionWithVersion()
-	parser.String(&settingsPath, "c", "config", "the settings file (default: SAGELEVER_CONFIG, or "+settings.DefaultPath+")")
-	parser.String(&level, "l", "log", "debug, info, warn or error")
-	proxyCommand := flaggy.NewSubcommand("proxy")
-	proxyCommand.Description = "carries clients' requests to backends"
-	controllerCommand := flaggy.NewSubcommand("controller")
-	controllerCommand.Description = "a member of the control group: configuration, backends, leases, releases"
-	controllerCommand.Int(&perZone, "z", "per-zone", "members of the control group in each zone, as count in the deploy file")
-	checkCommand := flaggy.NewSubcommand("check")
-	checkCommand.Description = "reads the settings file and says what is wrong with it"
-	for _, c := range []*flaggy.Subcommand{proxyCommand, controllerCommand, checkCommand} {
-		parser.AttachSubcommand(c, 1)
+// commandLine is the declaration of the command line, and the values that were parsed from it.
+type commandLine struct {
+	parser         *flaggy.Parser
+	proxy          *flaggy.Subcommand
+	controller     *flaggy.Subcommand
+	check          *flaggy.Subcommand
+	drains         *drainCommands
+	settingsPath   string
+	logLevel       string
+	membersPerZone int
+}
+
+func newCommandLine() *commandLine {
+	line := &commandLine{
+		parser:         flaggy.NewParser("loadbalancer"),
+		proxy:          flaggy.NewSubcommand("proxy"),
+		controller:     flaggy.NewSubcommand("controller"),
+		check:          flaggy.NewSubcommand("check"),
+		settingsPath:   settings.Path(),
+		logLevel:       "info",
+		membersPerZone: 1,
 	}
-	drains := newDrainCommands(parser)
-	if err := parser.ParseArgs(args); err != nil {
+	line.parser.Description = "a global load balancer: proxies carry the traffic, controllers keep what they need to know"
+	line.parser.ShowHelpOnUnexpected = true
+	line.parser.DisableShowVersionWithVersion()
+	line.parser.String(&line.settingsPath, "c", "config",
+		"the settings file (default: "+settings.PathVariable+", or "+settings.DefaultPath+")")
+	line.parser.String(&line.logLevel, "l", "log", "debug, info, warn or error")
+	line.proxy.Description = "carries clients' requests to backends"
+	line.controller.Description = "a member of the control group: configuration, backends, leases, releases"
+	line.controller.Int(&line.membersPerZone, "z", "per-zone",
+		"members of the control group in each zone, as count in the deploy file")
+	line.check.Description = "reads the settings file and says what is wrong with it"
+	for _, command := range []*flaggy.Subcommand{line.proxy, line.controller, line.check} {
+		line.parser.AttachSubcommand(command, 1)
+	}
+	line.drains = newDrainCommands(line.parser)
+	return line
+}
+
+// Main runs the program with the arguments after its name, and returns its exit code. An unexpected argument ends the
+// process with exitUsage.
+func Main(args []string) int {
+	line := newCommandLine()
+	if err := line.parser.ParseArgs(args); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if drains.used() {
-		return drains.run(ctx, settingsPath, os.Stdout, os.Stderr)
+	if line.drains.used() {
+		return line.drains.run(ctx, line.settingsPath, os.Stdout, os.Stderr)
 	}
 	hangups := notifyHangup()
-	log, err := newLogger(level)
+	log, err := newLogger(line.logLevel)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	}
-	defer log.Sync()
-	config, err := settings.Read(settingsPath)
+	defer func() { _ = log.Sync() }() // fails on terminals, and there is nobody to tell
+	config, err := settings.Read(line.settingsPath)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
 	}
-	if config.Resources.RAMMb > 0 { // the collector works harder near half of the limit, long before it is reached
-		debug.SetMemoryLimit(int64(config.Resources.RAMMb) << 20 / 2)
-	}
-	reloadCtx, stopReload := context.WithCancel(context.Background()) // ends once the role has, a while after the SIGTERM
-	defer stopReload()
+	limitMemory(config.Resources)
 	switch {
-	case checkCommand.Used:
-		fmt.Println("the settings are sound")
+	case line.check.Used:
+		fmt.Println("the settings are valid")
 		return exitOK
-	case proxyCommand.Used:
-		r := proxy.New(proxy.Options{Settings: config, Log: log})
-		go watchSettings(reloadCtx, hangups, settingsPath, log, r.Reload)
-		err = r.Run(ctx)
-	case controllerCommand.Used:
-		var s *server.Server
-		if s, err = server.New(server.Options{Settings: config, MembersPerZone: perZone, Log: log}); err == nil {
-			go watchSettings(reloadCtx, hangups, settingsPath, log, s.Reload)
-			err = s.Run(ctx)
+	case line.proxy.Used, line.controller.Used:
+		if err := line.runRole(ctx, config, hangups, log); err != nil {
+			log.Error("role failed", zap.Error(err))
+			return exitFailed
 		}
+		return exitOK
 	default:
-		parser.ShowHelp()
+		line.parser.ShowHelp()
 		return exitUsage
 	}
-	if err != nil {
-		log.Error("ended", zap.Error(err))
-		return exitFailed
-	}
-	return exitOK
 }
 
-// settingsPollInterval is how often the settings file is looked at, as it may change without a signal: as long as contacts may lag.
-const settingsPollInterval = 3 * time.Second
-
-// notifyHangup takes SIGHUP over for the rest of the process's life. It is never given back: by default the signal ends the
-// process, and the platform may send it before the settings are read and while the process leaves after a SIGTERM.
-func notifyHangup() <-chan os.Signal {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	return hangups
+// limitMemory makes the garbage collector work harder near half of the process's memory limit.
+func limitMemory(resources settings.ResourceLimits) {
+	if resources.RAMMb > 0 {
+		debug.SetMemoryLimit(int64(resources.RAMMb) << 20 / 2)
+	}
 }
 
-// watchSettings reads the settings again at SIGHUP, and when the file has changed. One that can't be read changes nothing.
-func watchSettings(ctx context.Context, hangups <-chan os.Signal, path string, log *zap.Logger, reload func(*settings.Settings)) {
-	t := time.NewTicker(settingsPollInterval)
-	defer t.Stop()
-	seen := fileFingerprint(path)
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-hangups:
-		case <-t.C:
-			if fileFingerprint(path) == seen {
-				continue
-			}
-		}
-		seen = fileFingerprint(path)
-		s, err := settings.Read(path)
-		if err != nil {
-			log.Warn("the settings stay as they are", zap.Error(err))
-			continue
-		}
-		reload(s)
-		log.Info("settings read again")
-	}
+// role is a proxy or a controller.
+type role interface {
+	// Run serves until the context ends, then shuts down in order, and returns.
+	Run(ctx context.Context) error
+	// Reload takes over settings that may change while the role runs.
+	Reload(config *settings.Settings)
 }
 
-// fileFingerprint tells one state of a file from another.
-func fileFingerprint(path string) string {
-	st, err := os.Stat(path)
-	if err != nil {
-		return ""
+// newRole returns the role that the command line asks for.
+func (l *commandLine) newRole(config *settings.Settings, log *zap.Logger) (role, error) {
+	if l.proxy.Used {
+		return proxy.New(proxy.Options{Settings: config, Log: log}), nil
 	}
-	return fmt.Sprint(st.Size(), st.ModTime().UnixNano())
+	return server.New(server.Options{Settings: config, MembersPerZone: l.membersPerZone, Log: log})
 }
 
-func newLogger(level string) (*zap.Logger, error) {
-	l, err := zap.ParseAtomicLevel(level)
+// runRole runs the role until it has shut down, and reloads its settings meanwhile.
+func (l *commandLine) runRole(
+	ctx context.Context, config *settings.Settings, hangups <-chan os.Signal, log *zap.Logger,
+) error {
+	running, err := l.newRole(config, log)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	c := zap.NewProductionConfig()
-	c.Level, c.Encoding, c.DisableCaller, c.DisableStacktrace, c.Sampling = l, "console", true, true, nil
-	c.OutputPaths, c.ErrorOutputPaths = []string{"stderr"}, []string{"stderr"}
-	c.EncoderConfig = zap.NewDevelopmentEncoderConfig()
-	c.EncoderConfig.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000")
-	return c.Build()
+	// Reloading goes on after the SIGTERM that ends ctx, until the role has shut down.
+	reloadCtx, stopReload := context.WithCancel(context.Background())
+	defer stopReload()
+	watcher := &settingsWatcher{path: l.settingsPath, hangups: hangups, log: log, reload: running.Reload}
+	// Nobody waits for the watcher's end: if the settings file is a pipe, reading it may block for ever.
+	go watcher.run(reloadCtx)
+	return running.Run(ctx)
 }
