--- a/cmd/sagelever/log.go
+++ b/cmd/sagelever/log.go
@@ -4,71 +4,100 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"sync"
 	"time"
 )
 
-// newLogger writes lines of key=value, or of JSON. What has happened stands under "event".
+// Log formats.
+const (
+	textFormat = "text" // key=value
+	jsonFormat = "json"
+)
+
+// eventKey is the key of a line's message: the name of what has happened.
+const eventKey = "event"
+
+// newLogger returns a logger that writes lines in a format.
 func newLogger(output io.Writer, format string) (*slog.Logger, error) {
-	options := &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
-		if len(groups) == 0 && a.Key == slog.MessageKey {
-			a.Key = "event"
-		}
-		return a
-	}}
+	options := &slog.HandlerOptions{ReplaceAttr: renameMessageKey}
 	switch format {
-	case "text":
+	case textFormat:
 		return slog.New(slog.NewTextHandler(output, options)), nil
-	case "json":
+	case jsonFormat:
 		return slog.New(slog.NewJSONHandler(output, options)), nil
 	}
 	return nil, fmt.Errorf("no such log format: %q", format)
 }
 
-// asyncWriter writes a log on a goroutine of its own: a reader that stands still must not hold up an agent. Lines that
-// find no room are lost.
-type asyncWriter struct {
-	queue   chan []byte
-	flushes chan chan bool // to be answered when all before is written
+func renameMessageKey(groups []string, attr slog.Attr) slog.Attr {
+	if len(groups) == 0 && attr.Key == slog.MessageKey {
+		attr.Key = eventKey
+	}
+	return attr
 }
 
-const maxQueuedLines = 1024
+const (
+	// maxQueuedLines bounds the log lines that wait for a slow reader. Further lines are dropped.
+	maxQueuedLines = 1024
+	// closeTimeout bounds how long closing a log waits for a slow reader.
+	closeTimeout = time.Second
+)
+
+// asyncWriter writes log lines in a goroutine of its own, so that a reader of the log that stops reading does not
+// block the agent.
+type asyncWriter struct {
+	output    io.Writer
+	queue     chan []byte
+	closing   chan struct{} // closed by close
+	closed    chan struct{} // closed when all queued lines are written
+	closeOnce sync.Once
+}
 
 func newAsyncWriter(output io.Writer) *asyncWriter {
-	writer := &asyncWriter{make(chan []byte, maxQueuedLines), make(chan chan bool)}
-	go func() {
-		for {
-			select {
-			case line := <-writer.queue:
-				output.Write(line)
-			case done := <-writer.flushes:
-				for len(writer.queue) > 0 {
-					output.Write(<-writer.queue)
-				}
-				done <- true
+	w := &asyncWriter{
+		output:  output,
+		queue:   make(chan []byte, maxQueuedLines),
+		closing: make(chan struct{}),
+		closed:  make(chan struct{}),
+	}
+	go w.run()
+	return w
+}
+
+// run writes lines until the writer is closed and the queue is empty.
+func (w *asyncWriter) run() {
+	defer close(w.closed)
+	for {
+		select {
+		case line := <-w.queue:
+			w.writeLine(line)
+		case <-w.closing:
+			for len(w.queue) > 0 {
+				w.writeLine(<-w.queue)
 			}
+			return
 		}
-	}()
-	return writer
+	}
 }
 
-func (l *asyncWriter) Write(line []byte) (int, error) {
+func (w *asyncWriter) writeLine(line []byte) {
+	_, _ = w.output.Write(line) // there is no other place to report that the log cannot be written
+}
+
+// Write implements io.Writer. It queues a copy of the line, or drops it if the queue is full, and never fails.
+func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
-	case l.queue <- append([]byte(nil), line...):
+	case w.queue <- append([]byte(nil), line...):
 	default:
 	}
 	return len(line), nil
 }
 
-// flush waits until what was logged is written, a second at most.
-func (l *asyncWriter) flush() {
-	limit, done := time.After(time.Second), make(chan bool, 1)
-	select {
-	case l.flushes <- done:
-	case <-limit:
-		return
-	}
+// close waits until all queued lines are written, or until closeTimeout has passed. Later lines are dropped.
+func (w *asyncWriter) close() {
+	w.closeOnce.Do(func() { close(w.closing) })
 	select {
-	case <-done:
-	case <-limit:
+	case <-w.closed:
+	case <-time.After(closeTimeout):
 	}
 }
--- a/cmd/sagelever/main.go
+++ b/cmd/sagelever/main.go
@@ -1,4 +1,4 @@
-// Command sagelever runs one agent on sockets.
+// Command sagelever runs one agent, which shifts calls between the builds of a service, and checks its configuration.
 package main
 
 import "os"
--- /dev/null
+++ b/cmd/sagelever/serve.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"math"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"sagelever/httpagent"
+)
+
+// serve runs one agent within its limits until SIGTERM or SIGINT. On SIGHUP it reads its files again.
+func serve(station *httpagent.Station, files fileSource, logFormat string) error {
+	rules, mount, err := files.load(station)
+	if err != nil {
+		return err
+	}
+	station.Rules = rules
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	signal.Ignore(syscall.SIGPIPE) // a closed log must not end the agent
+	limitRuntime(station.Limits)
+	logWriter := newAsyncWriter(os.Stderr)
+	defer logWriter.close()
+	logger, err := newLogger(logWriter, logFormat)
+	if err != nil {
+		return err
+	}
+	station.Log = logger
+	if maxSockets := station.Limits.Sockets; maxSockets > 0 {
+		if err := growDescriptorTable(maxSockets); err != nil {
+			logger.Warn("descriptors_not_grown", "error", err)
+		}
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	agent := httpagent.New(station)
+	// Mounted listeners and reloading go on after the SIGTERM that ends ctx, until the agent has shut down.
+	lifetime, end := context.WithCancel(context.Background())
+	defer end()
+	if mount != nil {
+		mount(lifetime, agent)
+	}
+	// Nobody waits for the end of reloading: if the configuration is a pipe, reading it may block for ever.
+	go reloadOnHangup(lifetime, hangups, files, agent, logger)
+	return agent.Run(ctx)
+}
+
+// limitRuntime keeps the Go runtime within the limits of the station.
+func limitRuntime(limits httpagent.Limits) {
+	if megabytes := limits.MemoryMB; megabytes > 0 {
+		debug.SetMemoryLimit(megabytes << 20 * 3 / 4) // the runtime does not count all memory of the process
+	}
+	if cores := limits.Cores; cores > 0 {
+		runtime.GOMAXPROCS(int(math.Ceil(cores)))
+	}
+}
+
+// reloadOnHangup reads the files again on every signal until the context ends.
+func reloadOnHangup(
+	ctx context.Context, hangups <-chan os.Signal, files fileSource, agent *httpagent.Agent, log *slog.Logger,
+) {
+	for {
+		select {
+		case <-hangups:
+			files.reload(agent, log)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
