--- a/cmd/sagelever/descriptors_other.go
+++ b/cmd/sagelever/descriptors_other.go
@@ -2,5 +2,5 @@
 
 package main
 
-// growDescriptors is for Linux, where the table's growth holds a process up.
-func growDescriptors(int) error { return nil }
+// growDescriptorTable does nothing: only on Linux does the growth of the table block a process.
+func growDescriptorTable(int) error { return nil }
