--- /dev/null
+++ b/cmd/loadtest/client.go
@@ -0,0 +1,165 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/coder/websocket"
+
+	"sagelever/internal/agent/ws"
+)
+
+const (
+	// inFlightPerClient bounds the unanswered messages of one connection.
+	inFlightPerClient = 16
+	// answerTimeout bounds the wait for the last answers. The workloads give up after 2 s.
+	answerTimeout = 3 * time.Second
+	// answerPollInterval is how often a client checks whether all its messages are answered.
+	answerPollInterval = 5 * time.Millisecond
+	// secondAnswerWait is how long a client waits in the end for a wrong second answer to a message.
+	secondAnswerWait = 100 * time.Millisecond
+	// maxAnswerSize bounds a message to a client.
+	maxAnswerSize = 1 << 20
+)
+
+// answerRecord is what a client knows of one message.
+type answerRecord struct {
+	rollout bool // of the workload that must run at most once
+	sentAt  time.Time
+	types   []string // of all answers
+	bodyOK  bool     // the last answer had the right body
+	latency time.Duration
+}
+
+// client sends messages over one WebSocket connection and records the answers.
+type client struct {
+	number int // distinguishes the ids of its messages from those of other clients
+	conn   *websocket.Conn
+	slots  chan struct{} // holds an element for each unanswered message
+
+	mu      sync.Mutex
+	records map[string]*answerRecord // by message id
+}
+
+// sendMessages sends messages over one connection, some in flight at once, until each is answered or its time is over.
+// It counts them in sent. It returns the records of all messages; there are none if the connection fails.
+func sendMessages(address string, number, messages int, rng *rand.Rand, sent *atomic.Int64) map[string]*answerRecord {
+	c := &client{
+		number:  number,
+		slots:   make(chan struct{}, inFlightPerClient),
+		records: map[string]*answerRecord{},
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	conn, _, err := websocket.Dial(ctx, "ws://"+address+webSocketPath,
+		&websocket.DialOptions{Subprotocols: []string{ws.ClientProtocol}})
+	if err != nil {
+		stop()
+		return c.records
+	}
+	conn.SetReadLimit(maxAnswerSize)
+	c.conn = conn
+	var receiving sync.WaitGroup
+	receiving.Go(func() { c.receive(ctx) })
+	for i := range messages {
+		c.slots <- struct{}{}
+		if !c.send(ctx, c.newRequest(i, rng)) {
+			break
+		}
+		sent.Add(1)
+	}
+	c.awaitAnswers()
+	time.Sleep(secondAnswerWait)
+	stop()
+	receiving.Wait()
+	_ = conn.CloseNow() // the end of the context has closed it
+	return c.records
+}
+
+// newRequest draws a request: 15 of 100 of the workload that must run at most once, 25 of the idempotent one.
+func (c *client) newRequest(index int, rng *rand.Rand) ws.ClientRequest {
+	request := ws.ClientRequest{
+		Type: "ask",
+		ID:   fmt.Sprintf("%d-%d", c.number, index),
+		Path: "/look/x",
+		Key:  fmt.Sprint("k", rng.IntN(500)),
+	}
+	switch n := rng.IntN(100); {
+	case n < 15:
+		request.Method = http.MethodPost
+		request.Path = "/rollout-step/x"
+		request.Body = []byte(strings.Repeat("r", rng.IntN(20000)))
+	case n < 40:
+		request.Method = http.MethodPost
+		request.Path = "/keep/x"
+		request.Idempotency = request.ID
+		request.Body = []byte("kept")
+	}
+	return request
+}
+
+// send records and sends a request. It returns false if the connection has failed.
+func (c *client) send(ctx context.Context, request ws.ClientRequest) bool {
+	record := &answerRecord{rollout: strings.HasPrefix(request.Path, "/rollout"), sentAt: time.Now()}
+	c.mu.Lock()
+	c.records[request.ID] = record
+	c.mu.Unlock()
+	return c.conn.Write(ctx, websocket.MessageBinary, request.Encode()) == nil
+}
+
+// receive records answers until the connection or the context ends.
+func (c *client) receive(ctx context.Context) {
+	for {
+		_, message, err := c.conn.Read(ctx)
+		if err != nil {
+			return
+		}
+		if answer, err := ws.ParseClientMessage(message); err == nil {
+			c.record(answer)
+		}
+	}
+}
+
+// record records an answer, and frees the slot of its message with the first one.
+func (c *client) record(answer ws.ClientMessage) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	record := c.records[answer.ID]
+	if record == nil {
+		return
+	}
+	record.types = append(record.types, answer.Type)
+	record.bodyOK = string(answer.Body) == answer.ID
+	record.latency = time.Since(record.sentAt)
+	if len(record.types) == 1 {
+		<-c.slots
+	}
+}
+
+// awaitAnswers waits until each message has an answer, or until answerTimeout has passed.
+func (c *client) awaitAnswers() {
+	for range answerTimeout / answerPollInterval {
+		if c.unanswered() == 0 {
+			return
+		}
+		time.Sleep(answerPollInterval)
+	}
+}
+
+// unanswered returns how many messages have no answer.
+func (c *client) unanswered() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	count := 0
+	for _, record := range c.records {
+		if len(record.types) == 0 {
+			count++
+		}
+	}
+	return count
+}
--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -11,46 +11,92 @@
 	"sagelever/internal/testbed/cluster"
 )
 
-// drainOptions are the rig's in a calm size: runs of 150 ms, appliances that serve on for 0.8 s.
-func drainOptions(nodes, backends int, seed uint64) cluster.Options {
-	return cluster.Options{Proxies: nodes, Backends: backends, Seed: seed, Load: 0.9, MeanWork: 150 * time.Millisecond, DrainTime: 800 * time.Millisecond,
-		WarmUp: time.Second, ShutdownGrace: 3 * time.Second, HeartbeatInterval: 400 * time.Millisecond, ArrivalBound: 300 * time.Millisecond, Logger: zap.NewNop()}
+// drainOptions are the flags of the command drain.
+type drainOptions struct {
+	nodes    int
+	backends int
+	seed     uint64
+	calm     time.Duration
+	load     float64
+	disrupt  bool
+	showLog  bool
+	fault    string
 }
 
-func drainCommand() *cobra.Command {
-	var nodes, backends int
-	var seed uint64
-	var calm time.Duration
-	var load float64
-	var disrupt, showLog bool
-	var fault string
-	c := &cobra.Command{Use: "drain", Short: "every backend of a whole system leaves and returns once under load: nothing lost, doubled, late or cut", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			options := drainOptions(nodes, backends, seed)
-			options.Load, options.Fault = load, cluster.Fault(fault)
-			if showLog {
-				options.Logger, _ = zap.NewDevelopment()
-			}
-			dir, err := os.MkdirTemp("", "loadtest")
-			if err != nil {
-				return err
-			}
-			defer os.RemoveAll(dir)
-			options.Dir = dir
-			r, err := cluster.RunDrain(context.Background(), options, calm, disrupt)
-			if err != nil {
-				return err
-			}
-			c.Println(r)
-			return r.Check()
-		}}
-	c.Flags().IntVar(&nodes, "nodes", 12, "nodes that carry traffic, over six zones")
-	c.Flags().IntVar(&backends, "backends", 30, "backends, half of each of two services")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the requests")
-	c.Flags().DurationVar(&calm, "calm", 8*time.Second, "how long the undisturbed part is")
-	c.Flags().Float64Var(&load, "load", 0.9, "share of the room that is asked for")
-	c.Flags().BoolVar(&disrupt, "storm", true, "then replace a service while a zone is cleared out and nodes and a steward restart")
-	c.Flags().BoolVar(&showLog, "log", false, "show the agents' logs")
-	c.Flags().StringVar(&fault, "fault", "", "plant one: forgets, doubles, breaks, strays")
-	return c
+func newDrainCommand() *cobra.Command {
+	var options drainOptions
+	command := &cobra.Command{
+		Use: "drain",
+		Short: "every backend of a whole system leaves and returns once under load: " +
+			"nothing lost, doubled, late or cut",
+		Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			return runDrain(command, options)
+		},
+	}
+	flags := command.Flags()
+	flags.IntVar(&options.nodes, "nodes", 12, "nodes that carry traffic, over six zones")
+	flags.IntVar(&options.backends, "backends", 30, "backends, half of each of two services")
+	flags.Uint64Var(&options.seed, "seed", 1, "of the requests")
+	flags.DurationVar(&options.calm, "calm", 8*time.Second, "how long the undisturbed part is")
+	flags.Float64Var(&options.load, "load", 0.9, "share of the capacity that is used")
+	flags.BoolVar(&options.disrupt, "storm", true,
+		"then replace a service while a zone is cleared out and nodes and a controller restart")
+	flags.BoolVar(&options.showLog, "log", false, "show the nodes' logs")
+	flags.StringVar(&options.fault, "fault", "", "inject one: forgets, doubles, breaks, strays")
+	return command
+}
+
+// cluster returns the options of the testbed: work of 150 ms, and backends that serve for 0.8 s while they drain.
+func (o drainOptions) cluster(dir string) (cluster.Options, error) {
+	log := zap.NewNop()
+	if o.showLog {
+		var err error
+		if log, err = zap.NewDevelopment(); err != nil {
+			return cluster.Options{}, err
+		}
+	}
+	return cluster.Options{
+		Proxies:           o.nodes,
+		Backends:          o.backends,
+		Seed:              o.seed,
+		Load:              o.load,
+		MeanWork:          150 * time.Millisecond,
+		DrainTime:         800 * time.Millisecond,
+		WarmUp:            time.Second,
+		ShutdownGrace:     3 * time.Second,
+		HeartbeatInterval: 400 * time.Millisecond,
+		ArrivalBound:      300 * time.Millisecond,
+		Dir:               dir,
+		Logger:            log,
+		Fault:             cluster.Fault(o.fault),
+	}, nil
+}
+
+// runDrain runs the experiment and prints its report. It fails if a guarantee was broken.
+func runDrain(command *cobra.Command, options drainOptions) error {
+	dir, removeDir, err := makeTempDir()
+	if err != nil {
+		return err
+	}
+	defer removeDir()
+	clusterOptions, err := options.cluster(dir)
+	if err != nil {
+		return err
+	}
+	report, err := cluster.RunDrain(context.Background(), clusterOptions, options.calm, options.disrupt)
+	if err != nil {
+		return err
+	}
+	command.Println(report)
+	return report.Check()
+}
+
+// makeTempDir creates a directory for the data of one run, and returns a function that removes it.
+func makeTempDir() (dir string, remove func(), err error) {
+	dir, err = os.MkdirTemp("", "loadtest")
+	if err != nil {
+		return "", nil, err
+	}
+	return dir, func() { _ = os.RemoveAll(dir) }, nil // what is left lies in the system's temporary directory
 }
--- a/cmd/loadtest/rate.go
+++ b/cmd/loadtest/rate.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"log/slog"
@@ -11,89 +10,138 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	// rateBackends, rateClients and rateRounds are the size of the experiment.
+	rateBackends = 3
+	rateClients  = 4
+	rateRounds   = 2
 )
 
-// rateReport are messages a second on one core that clients, agent and appliances share.
+func newRateCommand() *cobra.Command {
+	var messages int
+	command := &cobra.Command{
+		Use:   "rate",
+		Short: "messages a second over HTTP and WebSocket, on one core",
+		Args:  cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			report, err := runRate(messages, newLogger(false))
+			if err == nil {
+				fmt.Fprintln(command.OutOrStdout(), report)
+			}
+			return err
+		},
+	}
+	command.Flags().IntVar(&messages, "messages", 20000, "how many over each, twice")
+	return command
+}
+
+// rateReport is messages a second on one core, which clients, agent and backends share.
 type rateReport struct {
-	http, webSocket float64
-	webSocketP99    time.Duration
+	http         float64
+	webSocket    float64
+	webSocketP99 time.Duration
 }
 
+// String returns the figures as one line of key=value.
 func (r rateReport) String() string {
-	return fmt.Sprintf("http=%.0f websocket=%.0f ratio=%.2f p99_websocket=%s", r.http, r.webSocket, r.webSocket/r.http, r.webSocketP99)
+	return fmt.Sprintf("http=%.0f websocket=%.0f ratio=%.2f p99_websocket=%s",
+		r.http, r.webSocket, r.webSocket/r.http, r.webSocketP99)
 }
 
-// runRate asks as many messages over HTTP and over WebSocket, with as many in flight, one after the other and each twice;
-// the better of two counts.
-func runRate(messages int, log *slog.Logger) (report rateReport, err error) {
+// runRate sends as many messages over HTTP as over WebSocket, with as many in flight, one after the other. Of the
+// rounds the best rate counts.
+func runRate(messages int, log *slog.Logger) (rateReport, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	backends, err := newBackendSet(3)
+	backends, err := newBackendSet(rateBackends)
 	if err != nil {
-		return report, err
+		return rateReport{}, err
 	}
 	defer backends.close()
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	address, ended, err := startAgent(ctx, backends.discovery.Address, 1, log)
+	agent, err := startAgent(backends.discovery.Address, 1, log)
 	if err != nil {
-		return report, err
+		return rateReport{}, err
 	}
-	const clients = 4 // of sixteen in flight each
-	for round := range 2 {
-		began := time.Now()
-		good, err := sendOverHTTP(address, messages, clients*16, round)
-		if err != nil {
-			return report, err
-		}
-		report.http = max(report.http, float64(good)/time.Since(began).Seconds())
-		var asked atomic.Int64
-		var clientGroup sync.WaitGroup
-		records := make([]map[string]*answerRecord, clients)
-		began = time.Now()
-		for c := range clients {
-			clientGroup.Go(func() {
-				records[c] = sendMessages(address, (round+1)*1000+c, messages/clients, rand.New(rand.NewPCG(1, uint64(c))), &asked)
-			})
-		}
-		clientGroup.Wait()
-		took := time.Since(began) - 100*time.Millisecond // that ask waits for a late second answer
-		satisfied := 0
-		for _, m := range records {
-			f := summarize(m, map[string]int{})
-			satisfied, report.webSocketP99 = satisfied+f.satisfied, max(report.webSocketP99, f.p99)
-		}
-		report.webSocket = max(report.webSocket, float64(satisfied)/took.Seconds())
+	var report rateReport
+	for round := range rateRounds {
+		rate := measureHTTP(agent.address, messages, round)
+		report.http = max(report.http, rate)
+		rate, p99 := measureWebSocket(agent.address, messages, round)
+		report.webSocket = max(report.webSocket, rate)
+		report.webSocketP99 = max(report.webSocketP99, p99)
 	}
-	stop()
-	return report, <-ended
+	return report, agent.stop()
+}
+
+// measureHTTP returns the satisfied messages a second over HTTP.
+func measureHTTP(address string, messages, round int) float64 {
+	start := time.Now()
+	satisfied := sendOverHTTP(address, messages, rateClients*inFlightPerClient, round)
+	return float64(satisfied) / time.Since(start).Seconds()
 }
 
-// sendOverHTTP asks messages over HTTP, some at once.
-func sendOverHTTP(address string, messages, concurrency, round int) (good int64, err error) {
+// measureWebSocket returns the satisfied messages a second over WebSocket, and the 99th percentile of their latency.
+func measureWebSocket(address string, messages, round int) (rate float64, p99 time.Duration) {
+	var sent atomic.Int64
+	recordsByClient := make([]map[string]*answerRecord, rateClients)
+	var clients sync.WaitGroup
+	start := time.Now()
+	for i := range rateClients {
+		clients.Go(func() {
+			number := (round+1)*1000 + i
+			rng := rand.New(rand.NewPCG(1, uint64(i)))
+			recordsByClient[i] = sendMessages(address, number, messages/rateClients, rng, &sent)
+		})
+	}
+	clients.Wait()
+	elapsed := time.Since(start) - secondAnswerWait
+	satisfied := 0
+	for _, records := range recordsByClient {
+		report := summarize(records, observation{})
+		satisfied += report.satisfied
+		p99 = max(p99, report.p99)
+	}
+	return float64(satisfied) / elapsed.Seconds(), p99
+}
+
+// sendOverHTTP sends messages over HTTP, some at once, and returns how many were satisfied.
+func sendOverHTTP(address string, messages, concurrency, round int) int64 {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrency}}
 	defer client.CloseIdleConnections()
-	var next, satisfied atomic.Int64
+	var started, satisfied atomic.Int64
 	var senders sync.WaitGroup
 	for range concurrency {
 		senders.Go(func() {
 			for {
-				i := next.Add(1)
-				if i > int64(messages) {
+				number := started.Add(1)
+				if number > int64(messages) {
 					return
 				}
-				req, _ := http.NewRequest("GET", "http://"+address+"/look/x", nil)
-				req.Header.Set("Request-Id", fmt.Sprintf("h%d-%d", round, i))
-				resp, err := client.Do(req)
-				if err != nil {
-					continue
-				}
-				io.Copy(io.Discard, resp.Body)
-				if resp.Body.Close(); resp.StatusCode == http.StatusOK {
+				if sendOneOverHTTP(client, address, fmt.Sprintf("h%d-%d", round, number)) {
 					satisfied.Add(1)
 				}
 			}
 		})
 	}
 	senders.Wait()
-	return satisfied.Load(), nil
+	return satisfied.Load()
+}
+
+// sendOneOverHTTP sends one message and reports whether it was satisfied.
+func sendOneOverHTTP(client *http.Client, address, id string) bool {
+	request, err := http.NewRequest(http.MethodGet, "http://"+address+"/look/x", nil)
+	if err != nil {
+		return false
+	}
+	request.Header.Set("Request-Id", id)
+	response, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return err == nil && response.StatusCode == http.StatusOK
 }
