--- a/internal/settings/deployment/deployment.go
+++ b/internal/settings/deployment/deployment.go
@@ -70,30 +70,30 @@
 	}
 }
 
-// translate returns the policy's word for a word of the settings.
-func translate(word string) string {
-	if translated, found := enumValues[word]; found {
+// translate returns the policy's name for an enumerated value of the settings.
+func translate(value string) string {
+	if translated, found := enumValues[value]; found {
 		return translated
 	}
-	return word
+	return value
 }
 
 // listOf returns the numbers of a list, or its strings if it has no numbers.
 func listOf(values []any) any {
 	var numbers []float64
-	var words []string
+	var texts []string
 	for _, value := range values {
 		switch value := value.(type) {
 		case float64:
 			numbers = append(numbers, value)
 		case string:
-			words = append(words, value)
+			texts = append(texts, value)
 		}
 	}
 	if numbers != nil {
 		return numbers
 	}
-	return words
+	return texts
 }
 
 // FromMilliseconds converts a number of milliseconds, as the platform writes times, and rounds it to a microsecond.
--- a/internal/settings/deployment/parameters.go
+++ b/internal/settings/deployment/parameters.go
@@ -98,7 +98,7 @@
 	"share":    plain("share"),
 }
 
-// enumValues translates words of the settings to those of the policy. Other words stay as they are.
+// enumValues maps enumerated values of the settings to those of the policy. Other texts are passed on as they are.
 var enumValues = map[string]string{
 	"free":        "pure",
 	"guarded":     "receipted",
--- a/tools/account/main.go
+++ b/tools/account/main.go
@@ -1,15 +1,15 @@
 // Command account adds up the account lines in the logs of many agents, by intervals of time since the first line.
 // What is harmless for each agent by itself shows here as the fleet's.
 //
-// 	go run ./tools/account [-span 5s] [-votes] LOG...
+//	go run ./tools/account [-span 5s] [-votes] LOG...
 package main
 
 import (
 	"bufio"
-	"cmp"
 	"flag"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"slices"
 	"time"
@@ -102,7 +102,7 @@
 
 // writeTable writes a row for each counter and a column for each interval of a span.
 func (t totals) writeTable(out io.Writer, span time.Duration) {
-	intervals := sortedKeys(t)
+	intervals := slices.Sorted(maps.Keys(t))
 	names := map[string]bool{}
 	for _, counters := range t {
 		for name := range counters {
@@ -114,7 +114,7 @@
 		fmt.Fprintf(out, "%8s", time.Duration(interval)*span)
 	}
 	fmt.Fprintln(out)
-	for _, name := range sortedKeys(names) {
+	for _, name := range slices.Sorted(maps.Keys(names)) {
 		fmt.Fprintf(out, "%-22s", name)
 		for _, interval := range intervals {
 			fmt.Fprintf(out, "%8d", t[interval][name])
@@ -122,13 +122,3 @@
 		fmt.Fprintln(out)
 	}
 }
-
-// sortedKeys returns the keys of a map in ascending order.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	return keys
-}
--- a/tools/figures/main.go
+++ b/tools/figures/main.go
@@ -2,8 +2,8 @@
 // fallen from its best score and which has not been scored since the agent's policy last changed. A low score is no
 // error: the command fails only if it cannot read or write.
 //
-// 	go run ./tools/figures       report what the record shows
-// 	go run ./tools/figures -add  first add the scored runs of the journal that the record lacks
+//	go run ./tools/figures       report what the record shows
+//	go run ./tools/figures -add  first add the scored runs of the journal that the record lacks
 package main
 
 import (
