--- a/cmd/sagelever/log_test.go
+++ b/cmd/sagelever/log_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A reader of the log that stands still blocks nobody. Lines beyond the queue are dropped, and the others are written
+// A reader of the log that stops reading blocks nobody. Lines beyond the queue are dropped, and the others are written
 // in the end.
 func TestSlowLogReaderDoesNotBlock(t *testing.T) {
 	output := newSlowOutput()
--- a/internal/cli/drainsession.go
+++ b/internal/cli/drainsession.go
@@ -66,7 +66,8 @@
 		s.printText(s.target + " was drained already")
 	}
 	if len(response.Unresponsive) > 0 {
-		s.printText("the figures lack the load of nodes that do not answer: " + strings.Join(response.Unresponsive, ", "))
+		nodes := strings.Join(response.Unresponsive, ", ")
+		s.printText("the figures do not include the load of these nodes, which do not answer: " + nodes)
 	}
 	return nil
 }
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -40,8 +40,8 @@
 const (
 	// defaultMinCompactSize is the size in bytes up to which a file is not compacted.
 	defaultMinCompactSize = 1 << 20
-	// maxGrowthFactor is how many times the size of its live values a file may reach before it is compacted. By it a
-	// stored byte is written 4/3 times on average.
+	// maxGrowthFactor is how many times the size of its live values a file may reach before it is compacted. With a
+	// factor of 4, compaction adds a third to the bytes that are written.
 	maxGrowthFactor = 4
 )
 
--- a/internal/settings/deployment/deployment.go
+++ b/internal/settings/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment translates the settings of a deployment, a JSON object that the platform writes, into the parameters
-// of the agent's policy: a flat map of names to values. The agent in service and the simulator's adapter receive the same
-// object and both use this package.
+// Package deployment translates the settings of a deployment, a JSON object that the platform writes, into the
+// parameters of the agent's policy: a flat map of names to values. The agent in service and the simulator's adapter
+// receive the same object and both use this package.
 package deployment
 
 import (
@@ -52,7 +52,8 @@
 	return names
 }
 
-// put stores a value of the settings under the policy's name. It ignores nil and values of other types than Parse names.
+// put stores a value of the settings under the policy's name. It ignores nil and values of other types than Parse
+// names.
 func put(result map[string]any, name string, kind parameter, value any) {
 	switch value := value.(type) {
 	case float64:
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -33,7 +33,7 @@
 	WarmUpAllowance     float64 // warmUpLeeway: not applied
 }
 
-// defaultTimeout stands for a contact timeout or a shutdown grace that the settings lack.
+// defaultTimeout is used for a contact timeout or a shutdown grace that is missing from the settings.
 const defaultTimeout = 5 * time.Second
 
 // maxRatio bounds the plain numbers of the table.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -56,7 +56,7 @@
 }
 
 // FaultTolerance says how many machines, zones or regions may fail at once while the system keeps all its guarantees.
-// The alternatives do not add up: the system tolerates each by itself.
+// It need not survive two of the three failures together.
 type FaultTolerance struct {
 	Hosts   int `json:"hostsLost"`
 	Zones   int `json:"zones"`
