--- /dev/null
+++ b/internal/control/quorum/acceptor.go
@@ -0,0 +1,192 @@
+package quorum
+
+import "sagelever/internal/control/rangesync"
+
+// Acceptor holds the registers of one member and answers the messages of proposers. It is not safe for concurrent use.
+//
+// Every entry that a method reports as changed, and the minimum proposal number where a method reports a change of it,
+// must be on disk before the reply to the proposer is sent.
+type Acceptor struct {
+	registers     map[string]*Entry
+	index         *rangesync.Index // of the registers in which a value has been accepted
+	minProposal   ProposalNumber   // lower proposal numbers are rejected on every register
+	highestNumber uint64           // the highest ProposalNumber.Number that has been observed
+}
+
+// NewAcceptor restores an acceptor from the entries and the minimum proposal number that were read from disk.
+func NewAcceptor(entries []Entry, minProposal ProposalNumber) *Acceptor {
+	a := &Acceptor{
+		registers:     map[string]*Entry{},
+		index:         rangesync.NewIndex(),
+		minProposal:   minProposal,
+		highestNumber: minProposal.Number,
+	}
+	for _, e := range entries {
+		a.registers[e.Key] = &e
+		a.updateIndex(e)
+		a.highestNumber = max(a.highestNumber, e.Promised.Number, e.Accepted.Number)
+	}
+	return a
+}
+
+// Index returns the index by which other members compare their registers with those of this one (package rangesync).
+// It remains valid and is kept up to date by the acceptor.
+func (a *Acceptor) Index() *rangesync.Index { return a.index }
+
+// Get returns the entry of a register; one without promise and value if the register is unknown.
+func (a *Acceptor) Get(key string) Entry {
+	if e := a.registers[key]; e != nil {
+		return *e
+	}
+	return Entry{Key: key}
+}
+
+// EntriesWithPrefix returns the accepted entries whose keys begin with the prefix, ordered by key.
+func (a *Acceptor) EntriesWithPrefix(prefix string) []Entry {
+	keys := a.index.Keys(rangesync.PrefixRange(prefix), a.index.Len())
+	entries := make([]Entry, 0, len(keys))
+	for _, key := range keys {
+		entries = append(entries, *a.registers[key])
+	}
+	return entries
+}
+
+// AcceptedEntries returns the entries of all registers in which a value has been accepted, in no particular order.
+func (a *Acceptor) AcceptedEntries() []Entry {
+	entries := make([]Entry, 0, len(a.registers))
+	for _, e := range a.registers {
+		if e.Accepted != (ProposalNumber{}) {
+			entries = append(entries, *e)
+		}
+	}
+	return entries
+}
+
+// MinProposal returns the proposal number below which the acceptor rejects every proposal.
+func (a *Acceptor) MinProposal() ProposalNumber { return a.minProposal }
+
+// NextProposal returns a proposal number of the epoch whose Number is above all that this member has observed.
+func (a *Acceptor) NextProposal(epoch uint64, proposer string) ProposalNumber {
+	return ProposalNumber{Epoch: epoch, Number: max(a.highestNumber, a.minProposal.Number) + 1, Proposer: proposer}
+}
+
+// Observe records a proposal number of another member, so that NextProposal returns a higher one.
+func (a *Acceptor) Observe(proposal ProposalNumber) {
+	a.highestNumber = max(a.highestNumber, proposal.Number)
+}
+
+// Prepare handles a prepare message (phase 1a) for a set of registers. It promises to reject proposals below the given
+// one and returns what has been accepted in the registers so far. If any of the registers is already promised to a
+// higher proposal, it promises nothing and returns that proposal number as rejectedBy, which is zero otherwise.
+func (a *Acceptor) Prepare(
+	proposal ProposalNumber, keys []string,
+) (accepted, changed []Entry, rejectedBy ProposalNumber) {
+	a.Observe(proposal)
+	for _, key := range keys {
+		if promised := a.promisedProposal(key); proposal.Less(promised) {
+			return nil, nil, promised
+		}
+	}
+	for _, key := range keys {
+		register := a.register(key)
+		register.Promised = proposal
+		accepted = append(accepted, *register)
+		changed = append(changed, *register)
+	}
+	return accepted, changed, ProposalNumber{}
+}
+
+// Accept handles an accept message (phase 2a): it accepts either all of the values or, if one of their registers is
+// promised to a higher proposal, none. It then returns that proposal number as rejectedBy, which is zero otherwise.
+func (a *Acceptor) Accept(proposal ProposalNumber, values []Entry) (changed []Entry, rejectedBy ProposalNumber) {
+	a.Observe(proposal)
+	for _, v := range values {
+		if promised := a.promisedProposal(v.Key); proposal.Less(promised) {
+			return nil, promised
+		}
+	}
+	for _, v := range values {
+		register := a.register(v.Key)
+		// A value that is known to be chosen stays so when a later proposal writes the same value again. Otherwise
+		// members that complete the same round would keep clearing one another's Chosen mark.
+		chosen := register.Chosen && register.Value == v.Value
+		*register = Entry{Key: v.Key, Promised: proposal, Accepted: proposal, Value: v.Value, Chosen: chosen}
+		a.updateIndex(*register)
+		changed = append(changed, *register)
+	}
+	return changed, ProposalNumber{}
+}
+
+// Learn merges entries of another member: chosen values, or whatever it has accepted while this member catches up. A
+// value that was accepted here under a higher proposal number is kept, and so are all promises. It returns the entries
+// that have changed.
+func (a *Acceptor) Learn(entries []Entry) (changed []Entry) {
+	for _, learned := range entries {
+		register := a.register(learned.Key)
+		a.Observe(learned.Accepted)
+		sameValue := register.Value == learned.Value
+		switch {
+		case register.Accepted.Less(learned.Accepted):
+			register.Accepted = learned.Accepted
+			register.Value = learned.Value
+			register.Chosen = learned.Chosen || register.Chosen && sameValue
+		case learned.Chosen && !register.Chosen && sameValue && learned.Accepted != (ProposalNumber{}):
+			register.Chosen = true
+		default:
+			continue
+		}
+		a.updateIndex(*register)
+		changed = append(changed, *register)
+	}
+	return changed
+}
+
+// RaiseMinProposal makes the acceptor reject all proposals below the given one, and reports whether this is a change.
+//
+// A member that lost its disk has forgotten its promises. Before it counts in a quorum again, it asks f+1 others for
+// this and does the same itself. At least f+2 of the n members then reject every earlier proposal, so that none can
+// reach the accept quorum of n-f any more.
+func (a *Acceptor) RaiseMinProposal(proposal ProposalNumber) (changed bool) {
+	a.Observe(proposal)
+	if !a.minProposal.Less(proposal) {
+		return false
+	}
+	a.minProposal = proposal
+	return true
+}
+
+// register returns the entry of a register, which is created if it is unknown.
+func (a *Acceptor) register(key string) *Entry {
+	e := a.registers[key]
+	if e == nil {
+		e = &Entry{Key: key}
+		a.registers[key] = e
+	}
+	return e
+}
+
+// promisedProposal returns the proposal number below which the acceptor rejects proposals for a register.
+func (a *Acceptor) promisedProposal(key string) ProposalNumber {
+	if e := a.registers[key]; e != nil && a.minProposal.Less(e.Promised) {
+		return e.Promised
+	}
+	return a.minProposal
+}
+
+// updateIndex brings the index up to date with an entry.
+func (a *Acceptor) updateIndex(e Entry) {
+	if e.Accepted == (ProposalNumber{}) {
+		return
+	}
+	state := rangesync.RegisterState{
+		Chosen:     e.Chosen,
+		Version:    e.Value.Version,
+		Annotation: e.Value.Annotation,
+		Accepted: rangesync.ProposalNumber{
+			Epoch:    e.Accepted.Epoch,
+			Number:   e.Accepted.Number,
+			Proposer: e.Accepted.Proposer,
+		},
+	}
+	a.index.Set(e.Key, rangesync.NewFingerprint(e.Key, state))
+}
