--- a/internal/control/membership/configuration.go
+++ b/internal/control/membership/configuration.go
@@ -1,9 +1,11 @@
-// Package membership holds the decisions on the members of the control core: which set of members an epoch has, what its
-// quorums are, and which set comes next. It is pure: what is heard of the members and of the candidates is handed in.
+// Package membership decides which members form the control group: the configuration of an epoch, its quorums, and
+// which configuration follows it.
 //
-// A set is itself the value of a quorum register, Key, whose version is the epoch. It is decided by a round among the
-// members of the epoch before (package replica), so that no log and no leader is needed. The argument for the quorums is
-// in docs/control-hardening.md.
+// A configuration is itself the value of a quorum register (RegisterKey) whose version is the epoch. The next one is
+// chosen by a round among the members of the epoch before (package replica), so that neither a log nor a leader is
+// needed. The argument that the quorums intersect across epochs is in docs/control-hardening.md.
+//
+// The package is pure: the caller passes in what is known of members and candidates.
 package membership
 
 import (
@@ -16,90 +18,100 @@
 	"sagelever/internal/control/quorum"
 )
 
-// RegisterKey is the quorum register that holds the set of members.
+// RegisterKey is the key of the quorum register that holds the configuration.
 const RegisterKey = "members"
 
-// Member is one replica of the core on one disk. The same node with another disk is another member: what the first had
-// promised the second does not know.
+// Member is a controller with one particular disk. The same node with another disk is a different member, because it
+// does not know what it promised while it had the first one.
 type Member struct {
-	Node   string `json:"n"`
-	Zone   string `json:"z"`
-	Addr   string `json:"a"`           // host:port where its peers call it
-	DiskID string `json:"d,omitempty"` // identity of its disk, drawn when the disk was first used
+	Node string `json:"n"`
+	Zone string `json:"z"`
+	// Addr is the host:port at which its peers call it.
+	Addr string `json:"a"`
+	// DiskID is a random identity that was written to the disk on its first use.
+	DiskID string `json:"d,omitempty"`
 }
 
-// SameReplica tells whether two members are the same replica on the same disk.
+// SameReplica reports whether both are the same node with the same disk. Zone and address may differ.
 func (m Member) SameReplica(other Member) bool {
 	return m.Node == other.Node && m.DiskID == other.DiskID
 }
 
-// Configuration is the members of one epoch.
+// Configuration is the set of members of one epoch.
+//
+// Invariant: len(Members) >= 2*MaxFailures+1, so that a majority survives the tolerated failures.
 //
 //easyjson:json
 type Configuration struct {
-	Epoch               uint64   `json:"e"`
-	MaxFailures         int      `json:"f"`           // members whose disks may be lost at once
-	Members             []Member `json:"m"`           // in the order of their nodes
-	Previous            []Member `json:"p,omitempty"` // members of the epoch before, from whom this one takes over
-	PreviousMaxFailures int      `json:"q,omitempty"` // Lose of the epoch before
+	Epoch uint64 `json:"e"`
+	// MaxFailures is how many members may lose their disks at the same time (f of package quorum).
+	MaxFailures int `json:"f"`
+	// Members is ordered by node name.
+	Members []Member `json:"m"`
+	// Previous is the members of the epoch before, from which this one takes over the registers.
+	Previous []Member `json:"p,omitempty"`
+	// PreviousMaxFailures is MaxFailures of the epoch before.
+	PreviousMaxFailures int `json:"q,omitempty"`
 }
 
-// NewConfiguration is the set of an epoch in which as many disks may be lost at once as asked for, but no more than leave a majority.
+// NewConfiguration returns the configuration of an epoch. MaxFailures is reduced if the members are too few for it.
 func NewConfiguration(epoch uint64, members []Member, maxFailures int) Configuration {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Node, b.Node) })
-	return Configuration{Epoch: epoch, MaxFailures: min(maxFailures, max(0, (len(members)-1)/2)), Members: members}
+	tolerable := max(0, (len(members)-1)/2)
+	return Configuration{Epoch: epoch, MaxFailures: min(maxFailures, tolerable), Members: members}
 }
 
-// Successor is the set that follows this one.
-func (s Configuration) Successor(members []Member, maxFailures int) Configuration {
-	next := NewConfiguration(s.Epoch+1, members, maxFailures)
-	next.Previous = s.Members
-	next.PreviousMaxFailures = s.MaxFailures
+// Successor returns a configuration of the next epoch, which takes over from this one.
+func (c Configuration) Successor(members []Member, maxFailures int) Configuration {
+	next := NewConfiguration(c.Epoch+1, members, maxFailures)
+	next.Previous = c.Members
+	next.PreviousMaxFailures = c.MaxFailures
 	return next
 }
 
-// Find is the member of that name.
-func (s Configuration) Find(node string) (Member, bool) {
-	i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Node == node })
+// Find returns the member with the given node name.
+func (c Configuration) Find(node string) (Member, bool) {
+	i := slices.IndexFunc(c.Members, func(m Member) bool { return m.Node == node })
 	if i < 0 {
 		return Member{}, false
 	}
-	return s.Members[i], true
+	return c.Members[i], true
 }
 
-// Contains tells whether a replica is a member with its present disk.
-func (s Configuration) Contains(m Member) bool { return slices.ContainsFunc(s.Members, m.SameReplica) }
+// Contains reports whether a replica, with its present disk, is a member.
+func (c Configuration) Contains(m Member) bool { return slices.ContainsFunc(c.Members, m.SameReplica) }
 
-// IsMajority tells whether so many members are more than half of the set.
-func (s Configuration) IsMajority(members int) bool { return 2*members > len(s.Members) }
+// IsMajority reports whether the given number of members is more than half of the configuration.
+func (c Configuration) IsMajority(members int) bool { return 2*members > len(c.Members) }
 
-// TakeoverQuorum is how many members of the epoch before have to tell what they hold, at least: one more than can lack a value
-// that was chosen.
-func (s Configuration) TakeoverQuorum() int { return s.PreviousMaxFailures + 1 }
+// TakeoverQuorum returns how many members of the epoch before must report their registers before a member of this epoch
+// may serve: one more than the number that may lack a chosen value.
+func (c Configuration) TakeoverQuorum() int { return c.PreviousMaxFailures + 1 }
 
-// GenerationQuorum is how many others have to confirm a restarted member's generation, so that the others who know of its last one
-// and those who are asked have one in common; fewer in sets too small to spare Lose members, where an old disk may go
-// unnoticed.
-func (s Configuration) GenerationQuorum() int {
-	others := len(s.Members) - 1
-	return max(0, min(others/2+1, others-s.MaxFailures))
+// GenerationQuorum returns how many other members must confirm the generation of a restarted member, so that the
+// members asked intersect those that know its last generation. It is smaller in configurations that could not reach it
+// with MaxFailures members gone; there, a member with an outdated disk may go undetected.
+func (c Configuration) GenerationQuorum() int {
+	others := len(c.Members) - 1
+	majority := others/2 + 1
+	return max(0, min(majority, others-c.MaxFailures))
 }
 
-// Value is the set as the value of its register.
-func (s Configuration) Value() quorum.Value {
-	body, _ := easyjson.Marshal(s) // texts and whole numbers only: it cannot fail
-	return quorum.Value{Version: s.Epoch, Body: string(body)}
+// Value encodes the configuration as the value of its register.
+func (c Configuration) Value() quorum.Value {
+	body, _ := easyjson.Marshal(c) // cannot fail: the fields are strings and integers
+	return quorum.Value{Version: c.Epoch, Body: string(body)}
 }
 
-// ErrInvalidConfiguration says that a value of the register holds no set.
-var ErrInvalidConfiguration = errors.New("the value is no set of members")
+// ErrInvalidConfiguration is returned by ParseConfiguration for a value without members or of another epoch.
+var ErrInvalidConfiguration = errors.New("invalid membership configuration")
 
-// ParseConfiguration reads a set from the value of its register.
+// ParseConfiguration decodes a configuration from the value of its register.
 func ParseConfiguration(value quorum.Value) (Configuration, error) {
 	configuration := Configuration{}
 	if err := easyjson.Unmarshal([]byte(value.Body), &configuration); err != nil {
-		return Configuration{}, errors.Wrap(err, "set of members")
+		return Configuration{}, errors.Wrap(err, "parse membership configuration")
 	}
 	if configuration.Epoch != value.Version || len(configuration.Members) == 0 {
 		return Configuration{}, ErrInvalidConfiguration
@@ -107,10 +119,11 @@
 	return configuration, nil
 }
 
-// ReplaceWith makes the next set the value of the register, unless another came before it.
-func (s Configuration) ReplaceWith(next Configuration) quorum.UpdateFunc {
+// ReplaceWith returns the update that replaces this configuration with its successor, unless the register already holds
+// a later one.
+func (c Configuration) ReplaceWith(next Configuration) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
-		if current.Version > s.Epoch {
+		if current.Version > c.Epoch {
 			return current
 		}
 		return next.Value()
--- a/internal/control/membership/reconfigure.go
+++ b/internal/control/membership/reconfigure.go
@@ -6,128 +6,158 @@
 	"time"
 )
 
-// MemberStatus is what the member that decides knows of another.
+// minMembers is the size below which removeUnreachable never reduces a configuration.
+const minMembers = 3
+
+// MemberStatus is what the deciding member knows about a member of the configuration.
 type MemberStatus struct {
 	Member
-	SinceLastHeartbeat time.Duration // since it was last heard; zero while it is heard
-	Leaving            bool          // it has said that it ends
+	// SinceLastHeartbeat is zero while the member is reachable.
+	SinceLastHeartbeat time.Duration
+	// Leaving is set once the member has announced its shutdown.
+	Leaving bool
 }
 
-// Candidate is a replica that is no member and would be one.
+// Candidate is a replica that is not a member and asks to become one.
 type Candidate struct {
 	Member
-	CaughtUp bool // it holds all that an acting member held when it asked
+	// CaughtUp is set when the replica has everything that an active member had at the time of its request.
+	CaughtUp bool
 }
 
-// Target is the core that the operator asks for.
+// Target is the size of the control group that the operator asks for.
 type Target struct {
-	MembersPerZone int // members in each zone
+	MembersPerZone int
 	Zones          int
-	MaxFailures    int // disks that may be lost at once
+	// MaxFailures is how many members may lose their disks at the same time.
+	MaxFailures int
 }
 
-// Size is how many members the core should have.
+// Size returns the number of members that the group should have.
 func (t Target) Size() int { return t.MembersPerZone * t.Zones }
 
-// Timeouts are the spans after which a silent member is given up.
+// Timeouts are the times without a heartbeat after which a member is given up.
 type Timeouts struct {
-	ReplaceAfter time.Duration // for a candidate that stands in its zone
-	RemoveAfter  time.Duration // without one
+	// ReplaceAfter applies if a candidate in the same zone has caught up.
+	ReplaceAfter time.Duration
+	// RemoveAfter applies if there is no such candidate.
+	RemoveAfter time.Duration
 }
 
-// Reason says why a set follows another.
+// Reason says why a configuration follows another; it is meant for logs.
 type Reason string
 
-// Reasons for a change of members.
+// The reasons for a change of configuration.
 const (
-	ReasonBootstrap      Reason = "first set"
-	ReasonDiskReplaced   Reason = "the member came back with another disk"
-	ReasonMemberReplaced Reason = "the member is gone and its successor has caught up"
-	ReasonVacancyFilled  Reason = "a place was free"
-	ReasonMemberRemoved  Reason = "the member has been silent for long"
-	reasonNone           Reason = ""
-	minMembers                  = 3
+	ReasonBootstrap      Reason = "bootstrap"
+	ReasonDiskReplaced   Reason = "member has a new disk"
+	ReasonMemberReplaced Reason = "member unreachable or leaving, and its replacement has caught up"
+	ReasonVacancyFilled  Reason = "vacancy filled"
+	ReasonMemberRemoved  Reason = "member unreachable for too long"
+
+	reasonNone Reason = ""
 )
 
-// Next is the set that should follow, if any: one member is exchanged, added or removed at a time. A member that is silent
-// or leaving stays until its successor has caught up, as a restart is no reason to change the set.
-func Next(current Configuration, target Target, timeouts Timeouts, members []MemberStatus, candidates []Candidate) (Configuration, Reason, bool) {
-	candidates = slices.Clone(candidates)
-	slices.SortFunc(candidates, func(a, b Candidate) int { return strings.Compare(a.Node, b.Node) })
-	for _, c := range candidates {
+// Next returns the configuration that should follow the current one, if any. It replaces, adds or removes one member at
+// a time. An unreachable or leaving member stays until its replacement has caught up, so that a restart alone never
+// changes the configuration.
+func Next(
+	current Configuration, target Target, timeouts Timeouts, members []MemberStatus, candidates []Candidate,
+) (Configuration, Reason, bool) {
+	r := reconfiguration{current: current, target: target, timeouts: timeouts, members: members}
+	for _, c := range sortedByNode(candidates) {
 		if !c.CaughtUp || current.Contains(c.Member) {
 			continue
 		}
-		if next, reason := placeCandidate(current, target, timeouts, members, c.Member); reason != reasonNone {
+		if next, reason := r.place(c.Member); reason != reasonNone {
 			return next, reason, true
 		}
 	}
-	return removeUnreachable(current, target, timeouts, members)
+	return r.removeUnreachable()
+}
+
+// reconfiguration is the input of one decision about the next configuration.
+type reconfiguration struct {
+	current  Configuration
+	target   Target
+	timeouts Timeouts
+	members  []MemberStatus
 }
 
-// placeCandidate finds the place of a candidate.
-func placeCandidate(current Configuration, target Target, timeouts Timeouts, members []MemberStatus, candidate Member) (Configuration, Reason) {
-	if _, same := current.Find(candidate.Node); same {
-		return current.replaceMember(candidate.Node, candidate, target.MaxFailures), ReasonDiskReplaced
+// place returns the configuration in which the candidate is a member; reasonNone if there is no place for it.
+func (r *reconfiguration) place(candidate Member) (Configuration, Reason) {
+	if _, sameNode := r.current.Find(candidate.Node); sameNode {
+		return r.replace(candidate.Node, candidate), ReasonDiskReplaced
 	}
 	membersInZone := 0
-	for _, m := range members {
+	for _, m := range r.members {
 		if m.Zone != candidate.Zone {
 			continue
 		}
 		membersInZone++
-		if m.Leaving || m.SinceLastHeartbeat >= timeouts.ReplaceAfter {
-			return current.replaceMember(m.Node, candidate, target.MaxFailures), ReasonMemberReplaced
+		if m.Leaving || m.SinceLastHeartbeat >= r.timeouts.ReplaceAfter {
+			return r.replace(m.Node, candidate), ReasonMemberReplaced
 		}
 	}
-	if membersInZone < target.MembersPerZone && len(current.Members) < target.Size() {
-		return current.Successor(append(slices.Clone(current.Members), candidate), target.MaxFailures), ReasonVacancyFilled
+	if membersInZone < r.target.MembersPerZone && len(r.current.Members) < r.target.Size() {
+		members := append(slices.Clone(r.current.Members), candidate)
+		return r.current.Successor(members, r.target.MaxFailures), ReasonVacancyFilled
 	}
 	return Configuration{}, reasonNone
 }
 
-// replaceMember puts a member in the place of another, so that the number of members stays: with one member more, of whom one is
-// gone, a write would need one more of those that are left.
-func (s Configuration) replaceMember(node string, replacement Member, maxFailures int) Configuration {
-	members := slices.DeleteFunc(slices.Clone(s.Members), func(m Member) bool { return m.Node == node })
-	return s.Successor(append(members, replacement), maxFailures)
+// replace exchanges a member for the candidate in one step. Adding the candidate first would raise the accept quorum by
+// one while the replaced member cannot contribute to it.
+func (r *reconfiguration) replace(node string, candidate Member) Configuration {
+	members := slices.DeleteFunc(slices.Clone(r.current.Members), func(m Member) bool { return m.Node == node })
+	return r.current.Successor(append(members, candidate), r.target.MaxFailures)
 }
 
-// removeUnreachable drops a member that has been silent for long, where those that are left can bear as many losses as before.
-func removeUnreachable(current Configuration, target Target, timeouts Timeouts, members []MemberStatus) (Configuration, Reason, bool) {
-	remaining := len(current.Members) - 1
-	if remaining < minMembers || remaining < 2*current.MaxFailures+1 {
+// removeUnreachable removes a member that has been unreachable for RemoveAfter, provided that the remaining members
+// tolerate as many failures as before.
+func (r *reconfiguration) removeUnreachable() (Configuration, Reason, bool) {
+	remaining := len(r.current.Members) - 1
+	if remaining < minMembers || remaining < 2*r.current.MaxFailures+1 {
 		return Configuration{}, reasonNone, false
 	}
-	for _, m := range members {
-		if m.SinceLastHeartbeat < timeouts.RemoveAfter {
+	for _, m := range r.members {
+		if m.SinceLastHeartbeat < r.timeouts.RemoveAfter {
 			continue
 		}
-		rest := slices.DeleteFunc(slices.Clone(current.Members), m.SameReplica)
-		return current.Successor(rest, target.MaxFailures), ReasonMemberRemoved, true
+		members := slices.DeleteFunc(slices.Clone(r.current.Members), m.SameReplica)
+		return r.current.Successor(members, r.target.MaxFailures), ReasonMemberRemoved, true
 	}
 	return Configuration{}, reasonNone, false
 }
 
-// Bootstrap is the first set of a system: one member for each place, all that should be there or, after a wait, as many as are
-// left when as many are missing as may be lost. What it takes over from are the members themselves.
+// Bootstrap returns the first configuration of a system, once enough candidates are present: one for each place of the
+// target or, after waiting, at least all but MaxFailures. It takes over from its own members.
 func Bootstrap(target Target, candidates []Candidate, waited bool) (Configuration, bool) {
-	candidates = slices.Clone(candidates)
-	slices.SortFunc(candidates, func(a, b Candidate) int { return strings.Compare(a.Node, b.Node) })
 	var members []Member
 	membersPerZone := map[string]int{}
-	for _, c := range candidates {
+	for _, c := range sortedByNode(candidates) {
 		if !c.CaughtUp || membersPerZone[c.Zone] >= target.MembersPerZone {
 			continue
 		}
 		membersPerZone[c.Zone]++
 		members = append(members, c.Member)
 	}
-	if len(members) < target.Size() && (!waited || len(members) < target.Size()-target.MaxFailures) {
+	required := target.Size()
+	if waited {
+		required -= target.MaxFailures
+	}
+	if len(members) < required {
 		return Configuration{}, false
 	}
 	configuration := NewConfiguration(1, members, target.MaxFailures)
 	configuration.Previous = configuration.Members
-	configuration.PreviousMaxFailures = target.MaxFailures // disks of the version before sets held what n - Lose of all that should be there had confirmed
+	// Data of releases without configurations was confirmed by all but MaxFailures of the target's members.
+	configuration.PreviousMaxFailures = target.MaxFailures
 	return configuration, true
 }
+
+// sortedByNode returns a copy of the candidates ordered by node name, so that all members decide alike.
+func sortedByNode(candidates []Candidate) []Candidate {
+	byNode := func(a, b Candidate) int { return strings.Compare(a.Node, b.Node) }
+	return slices.SortedFunc(slices.Values(candidates), byNode)
+}
