--- a/internal/control/rangesync/messages.go
+++ b/internal/control/rangesync/messages.go
@@ -2,76 +2,81 @@
 
 import "github.com/go-faster/errors"
 
-// Request asks in what some ranges differ.
+// Request asks the responder in what some ranges differ.
 //
 //easyjson:json
 type Request struct {
-	Session uint64       `json:"s"` // tells the asker's comparisons apart
-	Number  uint64       `json:"n"` // of the request in the comparison
-	Ranges  []RangeQuery `json:"r"`
+	// Session distinguishes the sessions of one initiator.
+	Session uint64 `json:"s"`
+	// Number distinguishes the requests of one session.
+	Number uint64       `json:"n"`
+	Ranges []RangeQuery `json:"r"`
 }
 
-// RangeQuery is a range and what the asker holds of it.
+// RangeQuery is a range with the initiator's summary of it.
 type RangeQuery struct {
 	Range
 	Summary
-	WantAll bool `json:"a,omitempty"` // everything in it is wanted, without a comparison
+	// WantAll asks for all entries of the range without a comparison.
+	WantAll bool `json:"a,omitempty"`
 }
 
-// Response answers a request. Where the message is full it says nothing of the last ranges, which are asked for again.
+// Response is the reply to a request, with which it shares Session and Number. If the message is full it covers only
+// the first ranges of the request; the initiator requests the others again.
 //
 //easyjson:json
 type Response struct {
-	Session uint64        `json:"s"`
-	Number  uint64        `json:"n"`
-	Ranges  []RangeResult `json:"r"` // as in the request
-	// Keys are those whose entries go with the answer: the caller adds them to the message in its own form.
+	Session uint64 `json:"s"`
+	Number  uint64 `json:"n"`
+	// Ranges are in the order of those of the request.
+	Ranges []RangeResult `json:"r"`
+	// Keys are those whose entries are sent with the response. The caller adds the entries to the message in its own form.
 	Keys []string `json:"-"`
 }
 
-// RangeResult is what the answerer says of a range. Without any field the range is done: both hold the same, or all of the
-// answerer's entries go with the answer.
+// RangeResult is the reply for one range. Its zero value completes the range: either both sides have the same entries,
+// or all entries of the responder are sent with the response.
 type RangeResult struct {
-	Truncated   bool     `json:"a,omitempty"` // some entries go with the answer, and the range is to be asked for again
-	ResumeFrom  string   `json:"m,omitempty"` // entries before this key go with the answer, those from it on are to be asked for
-	SplitKeys   []string `json:"b,omitempty"` // where the range is split: the parts lie before, between and after them
-	PartCounts  []int    `json:"c,omitempty"` // of the parts
-	PartDigests []Digest `json:"d,omitempty"` // of the parts
+	// Truncated is set if only some of the changed entries are sent; the range must be requested again.
+	Truncated bool `json:"a,omitempty"`
+	// ResumeFrom is set if only the entries before this key are sent; the rest of the range must be requested.
+	ResumeFrom string `json:"m,omitempty"`
+	// SplitKeys are the keys at which the range is split: n keys yield n+1 parts.
+	SplitKeys   []string `json:"b,omitempty"`
+	PartCounts  []int    `json:"c,omitempty"`
+	PartDigests []Digest `json:"d,omitempty"`
 }
 
-// Limits bound messages and say when to send entries rather than compare.
+// Limits bound the size of messages and set when entries are sent instead of compared further.
 type Limits struct {
-	MaxMessageBytes int // of an answer with its entries, or a request; one entry alone may be larger
-	MaxRanges       int // in a request
-	SplitParts      int // into which a range is split
-	SendThreshold   int // a range of at most so many keys is sent rather than split
-	FillThreshold   int // the same where the asker holds nothing of the range
-	RecentKeys      int // so many of the latest changes go with the first split
+	// MaxMessageBytes bounds a request, and a response with its entries. A single larger entry is sent alone.
+	MaxMessageBytes int
+	// MaxRanges bounds the ranges of a request.
+	MaxRanges int
+	// SplitParts is the number of parts into which a range is split.
+	SplitParts int
+	// SendThreshold is the count up to which all entries of a range are sent instead of splitting it.
+	SendThreshold int
+	// FillThreshold is the same for ranges in which the initiator has no entries.
+	FillThreshold int
+	// RecentKeys is how many of the latest changes are sent with the first split of a session.
+	RecentKeys int
 }
 
-// DefaultLimits are chosen by the measurements in docs/rangesync.md.
-var DefaultLimits = Limits{MaxMessageBytes: 256 << 10, MaxRanges: 256, SplitParts: 16, SendThreshold: 4, FillThreshold: 4096, RecentKeys: 16}
-
-// ErrMalformed is a message that no correct peer sends.
-var ErrMalformed = errors.New("malformed comparison of ranges")
-
-// What the fixed parts of messages take at most, in bytes of JSON.
-const (
-	numberBytes      = 20                                        // a number of 64 bits
-	headerBytes      = len(`{"s":,"n":,"r":[]}`) + 2*numberBytes // of a request or an answer
-	rangeQueryBytes  = len(`{"f":,"t":,"n":,"d":"","a":true},`) + numberBytes + digestTextBytes
-	rangeResultBytes = len(`{"a":true,"m":,"b":[],"c":[],"d":[]},`)
-	partBytes        = len(`,,"",`) + numberBytes + digestTextBytes
-	escapedByteSize  = 6 // a byte written as \u00XX
-	quotesSize       = 2
-)
-
-// size bounds the bytes that the range takes in a request.
-func (a RangeQuery) size() int {
-	return rangeQueryBytes + jsonStringSize(a.From) + jsonStringSize(a.To)
+// DefaultLimits were chosen by the measurements in docs/rangesync.md.
+var DefaultLimits = Limits{
+	MaxMessageBytes: 256 << 10,
+	MaxRanges:       256,
+	SplitParts:      16,
+	SendThreshold:   4,
+	FillThreshold:   4096,
+	RecentKeys:      16,
 }
 
-// valid tells whether a correct asker may have sent the request.
+// ErrMalformed is returned for a message that no correct peer sends.
+var ErrMalformed = errors.New("malformed range synchronization message")
+
+// valid reports whether a correct initiator may have sent the request.
 func (r *Request) valid(limits Limits) bool {
 	if len(r.Ranges) == 0 || len(r.Ranges) > limits.MaxRanges {
 		return false
@@ -84,41 +89,23 @@
 	return true
 }
 
-// valid tells whether a correct answerer may have said this of a range.
-func (t RangeResult) valid(r Range) bool {
-	parts := len(t.PartCounts)
-	if parts != len(t.PartDigests) || parts == 1 || len(t.SplitKeys) != max(parts-1, 0) {
+// valid reports whether a correct responder may have sent the result for a range.
+func (res RangeResult) valid(r Range) bool {
+	parts := len(res.PartCounts)
+	if parts != len(res.PartDigests) || parts == 1 || len(res.SplitKeys) != max(parts-1, 0) {
+		return false
+	}
+	if res.Truncated && parts > 0 {
 		return false
 	}
-	if t.ResumeFrom != "" && (t.Truncated || parts > 0 || !r.containsSplit(t.ResumeFrom)) || t.Truncated && parts > 0 {
+	if res.ResumeFrom != "" && (res.Truncated || parts > 0 || !r.containsSplit(res.ResumeFrom)) {
 		return false
 	}
-	for _, bound := range t.SplitKeys {
-		if !r.containsSplit(bound) {
+	for _, key := range res.SplitKeys {
+		if !r.containsSplit(key) {
 			return false
 		}
-		r.From = bound
+		r.From = key
 	}
 	return true
 }
-
-// jsonStringSize bounds the bytes of a text in JSON.
-func jsonStringSize(text string) int {
-	size := quotesSize
-	for i := range len(text) {
-		size += jsonByteSize(text[i])
-	}
-	return size
-}
-
-// jsonByteSize bounds what a byte of a text takes. The characters U+2028 and U+2029 alone are escaped among those of several
-// bytes: six for their three.
-func jsonByteSize(b byte) int {
-	switch {
-	case b < ' ', b == '<', b == '>', b == '&', b == '"', b == '\\', b == 0x7f:
-		return escapedByteSize
-	case b == 0xe2:
-		return escapedByteSize
-	}
-	return 1
-}
--- a/internal/control/rangesync/range.go
+++ b/internal/control/rangesync/range.go
@@ -2,15 +2,16 @@
 
 import "unicode/utf8"
 
-// Range is the keys k with From <= k < To, in the order of their bytes. An empty To means that there is no upper end.
+// Range is the keys k with From <= k < To, in byte order. An empty To means that there is no upper bound.
 type Range struct {
 	From string `json:"f,omitempty"`
 	To   string `json:"t,omitempty"`
 }
 
-// PrefixRange is the range of the keys that begin with a prefix, of keys that are valid UTF-8. Its ends are valid UTF-8 too, as
-// they go into messages.
+// PrefixRange returns the range of the keys that begin with a prefix. Keys and prefix must be valid UTF-8; so are the
+// bounds of the range, as they are sent in messages.
 func PrefixRange(prefix string) Range {
+	// The upper bound is the prefix with its last rune incremented. A rune that has no successor is cut off first.
 	for head := prefix; head != ""; {
 		last, size := utf8.DecodeLastRuneInString(head)
 		head = head[:len(head)-size]
@@ -21,50 +22,56 @@
 	return Range{From: prefix}
 }
 
-// nextRune is the next code point that UTF-8 can carry.
+// nextRune returns the next code point that can be encoded in UTF-8, which excludes the surrogates.
 func nextRune(r rune) rune {
-	const lastBeforeSurrogates, firstAfterSurrogates = 0xD7FF, 0xE000
+	const (
+		lastBeforeSurrogates = 0xD7FF
+		firstAfterSurrogates = 0xE000
+	)
 	if r == lastBeforeSurrogates {
 		return firstAfterSurrogates
 	}
 	return r + 1
 }
 
-// Contains tells whether a key lies in the range.
+// Contains reports whether a key lies in the range.
 func (r Range) Contains(key string) bool { return r.From <= key && !r.endsBefore(key) }
 
-// endsBefore tells whether a key lies at the upper end or beyond.
+// endsBefore reports whether a key lies at or beyond the upper bound.
 func (r Range) endsBefore(key string) bool { return r.To != "" && r.To <= key }
 
-// valid tells whether the ends are in order.
+// valid reports whether the bounds are in order.
 func (r Range) valid() bool { return r.To == "" || r.From < r.To }
 
-// containsSplit tells whether a bound lies truly inside the range, so that both sides of it are smaller ranges.
-func (r Range) containsSplit(bound string) bool { return r.From < bound && !r.endsBefore(bound) }
+// containsSplit reports whether a key lies strictly inside the range, so that splitting there yields two smaller
+// ranges.
+func (r Range) containsSplit(key string) bool { return r.From < key && !r.endsBefore(key) }
 
-// Summary is what is said of the entries in a range: two that are equal stand for equal entries.
+// Summary is the count of the entries in a range and their digest. Equal summaries stand for equal entries.
 type Summary struct {
 	Count  int    `json:"n,omitempty"`
 	Digest Digest `json:"d"`
 }
 
+// add returns the summary of two disjoint sets together.
 func (s Summary) add(other Summary) Summary {
-	return Summary{s.Count + other.Count, s.Digest.Add(other.Digest)}
+	return Summary{Count: s.Count + other.Count, Digest: s.Digest.Add(other.Digest)}
 }
 
+// sub returns the summary of a set without one of its subsets.
 func (s Summary) sub(other Summary) Summary {
-	return Summary{s.Count - other.Count, s.Digest.Sub(other.Digest)}
+	return Summary{Count: s.Count - other.Count, Digest: s.Digest.Sub(other.Digest)}
 }
 
-// shortestSeparator is a short text between two neighbouring keys: low < separator <= high.
+// shortestSeparator returns the shortest valid UTF-8 string s with low < s <= high, where low < high are two keys.
 func shortestSeparator(low, high string) string {
-	cut := 0
-	for cut < len(low) && low[cut] == high[cut] { // low < high: high does not end before they differ
-		cut++
+	common := 0
+	for common < len(low) && low[common] == high[common] { // high is longer than its common prefix with low
+		common++
 	}
-	cut++
-	for cut < len(high) && !utf8.RuneStart(high[cut]) {
-		cut++
+	end := common + 1
+	for end < len(high) && !utf8.RuneStart(high[end]) {
+		end++
 	}
-	return high[:cut]
+	return high[:end]
 }
--- a/internal/control/rangesync/session.go
+++ b/internal/control/rangesync/session.go
@@ -1,66 +1,83 @@
 package rangesync
 
-// Session is the asker's side of one comparison. Requests come out, answers go in, in any order, late or more than once;
-// a request without an answer is given up by Lost, and its ranges are asked for again. The caller takes up the entries of
-// an answer, and brings its index up to date with them, before it hands in the answer.
+// Bounds on the length of a session. Keys that are added all the while could otherwise keep it splitting a range
+// forever.
+const (
+	// extraSplits is how many times more a range is split than the responder's count at the first split requires. After
+	// that, all of its entries are requested.
+	extraSplits = 2
+	// maxRepeats is how often a range is requested again before the first split: more often than the history of the
+	// responder can fill messages.
+	maxRepeats = 64
+	// maxLookBackRanges is the number of ranges in a request up to which results are compared with earlier summaries of
+	// the initiator too, which walks the history for each part.
+	maxLookBackRanges = 4
+)
+
+// Session is the initiator's side of one reconciliation. The caller sends the requests of NextRequest and passes in the
+// responses, in any order, late or repeated; a request whose response does not come is given up with Abandon and its
+// ranges are requested again. The caller must store the entries of a response and update its index before it calls
+// HandleResponse. A Session is not safe for concurrent use.
 type Session struct {
 	id         uint64
-	lastNumber uint64
+	lastNumber uint64 // of the requests
 	index      *Index
 	limits     Limits
-	maxSteps   int                       // after so many steps all of a range is asked for
-	hasSplit   bool                      // the first split has come
-	pending    []pendingRange            // the ranges that are to be asked for; the last ones go first, which keeps the list short
-	inFlight   map[uint64][]pendingRange // by the numbers of the requests
+	maxSteps   int  // pendingRange.steps from which all entries are requested
+	hasSplit   bool // the first split has been received
+	// pending is a stack of the ranges that are to be requested. Going depth first keeps it short.
+	pending  []pendingRange
+	inFlight map[uint64][]pendingRange // ranges by the number of their request
 }
 
-// pendingRange is a range that may differ.
+// pendingRange is a range in which the sides may differ.
 type pendingRange struct {
 	Range
-	steps       int // how often it was split off, or asked for again
-	remoteCount int // how many entries the answerer had in it
+	steps       int // how often it was split off or repeated
+	remoteCount int // the responder's count when the range was split off
 }
 
-// New keys in a range, told by others all the while, could go on splitting it without end. So it is split as often as the
-// answerer's keys at the first split take, and extraSplits times more; then all of it is asked for. Before the first split
-// it is asked for again maxRepeats times at most: more than the history fills messages with.
-const (
-	extraSplits = 2
-	maxRepeats  = 64
-)
-
-// NewSession begins a comparison of a range; the number of the session tells it apart from the asker's earlier ones with
-// the same answerer.
+// NewSession begins a reconciliation of a range. The id must differ from those of earlier sessions with the responder.
 func NewSession(id uint64, index *Index, r Range, limits Limits) *Session {
-	return &Session{id: id, index: index, limits: limits, maxSteps: maxRepeats, pending: []pendingRange{{Range: r}}, inFlight: map[uint64][]pendingRange{}}
+	return &Session{
+		id:       id,
+		index:    index,
+		limits:   limits,
+		maxSteps: maxRepeats,
+		pending:  []pendingRange{{Range: r}},
+		inFlight: map[uint64][]pendingRange{},
+	}
 }
 
-// Done tells whether the asker has been sent all.
+// Done reports whether the reconciliation is complete.
 func (s *Session) Done() bool { return len(s.pending) == 0 && len(s.inFlight) == 0 }
 
-// InFlight is how many requests are without an answer.
+// InFlight returns the number of requests without a response.
 func (s *Session) InFlight() int { return len(s.inFlight) }
 
-// NextRequest is a request to send, nil where none is left to be sent now. It may be called again before the answer is there, for
-// several requests on the way at once.
+// NextRequest returns the next request to send; nil if there is none before the next response. It may be called
+// repeatedly to have several requests in flight.
 func (s *Session) NextRequest() *Request {
 	if len(s.pending) == 0 {
 		return nil
 	}
 	s.lastNumber++
 	request := &Request{Session: s.id, Number: s.lastNumber}
-	remaining, fillBudget := s.limits.MaxMessageBytes-headerBytes, s.limits.FillThreshold
+	remaining := s.limits.MaxMessageBytes - headerBytes
+	// Entries for ranges without any fill the response: further ranges would only go unanswered.
+	fillBudget := s.limits.FillThreshold
 	for len(s.pending) > 0 && len(request.Ranges) < s.limits.MaxRanges {
-		p := s.pending[len(s.pending)-1]
-		query := RangeQuery{Range: p.Range, Summary: s.index.Summary(p.Range), WantAll: p.steps >= s.maxSteps}
-		if remaining -= query.size(); remaining < 0 && len(request.Ranges) > 0 {
+		next := s.pending[len(s.pending)-1]
+		query := RangeQuery{Range: next.Range, Summary: s.index.Summary(next.Range), WantAll: next.steps >= s.maxSteps}
+		remaining -= query.size()
+		if remaining < 0 && len(request.Ranges) > 0 {
 			break
 		}
-		if query.Count == 0 { // its entries fill the answer: more of these would go unanswered
-			fillBudget -= p.remoteCount
+		if query.Count == 0 {
+			fillBudget -= next.remoteCount
 		}
 		s.pending = s.pending[:len(s.pending)-1]
-		s.inFlight[s.lastNumber] = append(s.inFlight[s.lastNumber], p)
+		s.inFlight[s.lastNumber] = append(s.inFlight[s.lastNumber], next)
 		request.Ranges = append(request.Ranges, query)
 		if fillBudget <= 0 {
 			break
@@ -69,14 +86,14 @@
 	return request
 }
 
-// Abandon gives up a request: its answer is not waited for any more.
+// Abandon gives up a request: its ranges will be requested again, and its response is ignored.
 func (s *Session) Abandon(number uint64) {
 	s.pending = append(s.pending, s.inFlight[number]...)
 	delete(s.inFlight, number)
 }
 
-// HandleResponse takes an answer. One that is not waited for changes nothing. One that is malformed is an error; its request is
-// lost.
+// HandleResponse handles a response. One to a request that is not in flight is ignored. For a malformed one it returns
+// ErrMalformed and abandons the request.
 func (s *Session) HandleResponse(response *Response) error {
 	queried, expected := s.inFlight[response.Number]
 	if response.Session != s.id || !expected {
@@ -88,71 +105,63 @@
 	}
 	delete(s.inFlight, response.Number)
 	s.pending = append(s.pending, queried[len(response.Ranges):]...)
+	lookBack := len(queried) <= maxLookBackRanges
 	for i, result := range response.Ranges {
-		s.applyResult(queried[i], result, len(queried) <= maxLookBackRanges)
+		s.applyResult(queried[i], result, lookBack)
 	}
 	return nil
 }
 
-// matches tells whether an answer may be one to what was asked.
-func (a *Response) matches(queried []pendingRange) bool {
-	if len(a.Ranges) == 0 || len(a.Ranges) > len(queried) {
+// matches reports whether a correct responder may have replied so to a request for the given ranges.
+func (r *Response) matches(queried []pendingRange) bool {
+	if len(r.Ranges) == 0 || len(r.Ranges) > len(queried) {
 		return false
 	}
-	for i, told := range a.Ranges {
-		if !told.valid(queried[i].Range) {
+	for i, result := range r.Ranges {
+		if !result.valid(queried[i].Range) {
 			return false
 		}
 	}
 	return true
 }
 
-// applyResult keeps of a range what still may differ.
-func (s *Session) applyResult(p pendingRange, result RangeResult, lookBack bool) {
+// applyResult adds to the pending ranges what may still differ after the result for a range.
+func (s *Session) applyResult(queried pendingRange, result RangeResult, lookBack bool) {
 	switch {
 	case result.Truncated:
-		p.steps++
-		s.pending = append(s.pending, p)
-		return
+		queried.steps++
+		s.pending = append(s.pending, queried)
 	case result.ResumeFrom != "":
-		p.From = result.ResumeFrom
-		s.pending = append(s.pending, p)
-		return
+		queried.From = result.ResumeFrom
+		s.pending = append(s.pending, queried)
+	case len(result.PartCounts) > 0:
+		s.applySplit(queried, result, lookBack)
 	}
-	if !s.hasSplit && len(result.PartCounts) > 0 {
+}
+
+// applySplit adds the parts of a range that may still differ.
+func (s *Session) applySplit(queried pendingRange, result RangeResult, lookBack bool) {
+	if !s.hasSplit {
 		s.hasSplit = true
-		s.maxSteps = p.steps + s.limits.splitLevels(result.PartCounts) + extraSplits
+		s.maxSteps = queried.steps + s.limits.splitLevels(result.PartCounts) + extraSplits
 	}
-	part := pendingRange{Range: p.Range, steps: p.steps + 1}
+	part := pendingRange{Range: queried.Range, steps: queried.steps + 1}
 	for i, count := range result.PartCounts {
-		part.To, part.remoteCount = p.To, count
+		part.To = queried.To
 		if i < len(result.SplitKeys) {
 			part.To = result.SplitKeys[i]
 		}
-		if count > 0 && !s.covers(part.Range, Summary{count, result.PartDigests[i]}, lookBack) {
+		part.remoteCount = count
+		remote := Summary{Count: count, Digest: result.PartDigests[i]}
+		if count > 0 && !s.covers(part.Range, remote, lookBack) {
 			s.pending = append(s.pending, part)
 		}
 		part.From = part.To
 	}
 }
 
-// splitLevels is how often a range with so many entries in its parts is split until single ones are left.
-func (l Limits) splitLevels(counts []int) (n int) {
-	entries := 0
-	for _, count := range counts {
-		entries += count
-	}
-	for ; entries > 1; n++ {
-		entries = (entries + l.SplitParts - 1) / l.SplitParts
-	}
-	return n
-}
-
-// maxLookBackRanges bounds the work of looking back: each range in an answer to so many is sought among the latest changes.
-const maxLookBackRanges = 4
-
-// covers tells whether the asker holds all that the answerer says of a range: it says the same now, or where it looks back
-// said the same before its latest changes. What it holds never goes back.
+// covers reports whether the initiator has everything that the responder has in a range: its summary is the same or, if
+// lookBack is set, was the same before its latest changes. Entries never revert, so that the latter suffices.
 func (s *Session) covers(r Range, remote Summary, lookBack bool) bool {
 	if !lookBack {
 		return s.index.Summary(r) == remote
@@ -160,3 +169,16 @@
 	_, known := s.index.keysChangedSince(r, remote)
 	return known
 }
+
+// splitLevels returns how often a range must be split, including the parts with the given counts, until each part has a
+// single entry.
+func (l Limits) splitLevels(counts []int) (levels int) {
+	entries := 0
+	for _, count := range counts {
+		entries += count
+	}
+	for ; entries > 1; levels++ {
+		entries = (entries + l.SplitParts - 1) / l.SplitParts
+	}
+	return levels
+}
