--- a/internal/testbed/hollow/backend.go
+++ b/internal/testbed/hollow/backend.go
@@ -13,15 +13,18 @@
 	"sagelever/internal/control/replication"
 )
 
-// maxAcknowledgementBytes is what an appliance reads of an acknowledgement, in bytes: one that is longer counts as none.
-const maxAcknowledgementBytes = 4 << 10
+const (
+	heartbeatTimeout = time.Second
+	// maxAcknowledgementBytes bounds the body of an acknowledgement; a longer one counts as a failure.
+	maxAcknowledgementBytes = 4 << 10
+)
 
-// Backend pulses as one that serves, over a connection of its own; nothing listens at its address.
+// Backend is a hollow backend. It sends heartbeats over a connection of its own; nothing listens at its address.
 type Backend struct {
 	Meter             Meter
 	id                string
 	heartbeat         replication.Heartbeat
-	controllerAddress string // of the member that it calls
+	controllerAddress string
 	interval          time.Duration
 	client            *http.Client
 	acknowledged      atomic.Int64
@@ -29,22 +32,23 @@
 }
 
 func newBackend(id string, heartbeat replication.Heartbeat, controllerAddress string, interval time.Duration) *Backend {
-	a := &Backend{id: id, heartbeat: heartbeat, controllerAddress: controllerAddress, interval: interval}
-	a.client = &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: a.Meter.Dial, MaxIdleConnsPerHost: 1}}
-	return a
+	b := &Backend{id: id, heartbeat: heartbeat, controllerAddress: controllerAddress, interval: interval}
+	transport := &http.Transport{DialContext: b.Meter.Dial, MaxIdleConnsPerHost: 1}
+	b.client = &http.Client{Timeout: heartbeatTimeout, Transport: transport}
+	return b
 }
 
-// run pulses until the context ends; the first pulse comes after a delay, which spreads the appliances over a period.
-func (a *Backend) run(ctx context.Context, delay time.Duration) {
-	defer a.client.CloseIdleConnections()
+// run sends heartbeats until the context ends, the first one after a delay.
+func (b *Backend) run(ctx context.Context, delay time.Duration) {
+	defer b.client.CloseIdleConnections()
 	sleep(ctx, delay)
-	ticker := time.NewTicker(a.interval)
+	ticker := time.NewTicker(b.interval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if a.sendHeartbeat(ctx) {
-			a.acknowledged.Add(1)
+		if b.sendHeartbeat(ctx) {
+			b.acknowledged.Add(1)
 		} else if ctx.Err() == nil {
-			a.failures.Add(1)
+			b.failures.Add(1)
 		}
 		select {
 		case <-ticker.C:
@@ -53,18 +57,20 @@
 	}
 }
 
-func (a *Backend) sendHeartbeat(ctx context.Context) bool {
-	a.heartbeat.CallCount++
-	body, err := easyjson.Marshal(&a.heartbeat)
+// sendHeartbeat sends one heartbeat, and reports whether it was acknowledged.
+func (b *Backend) sendHeartbeat(ctx context.Context) bool {
+	b.heartbeat.CallCount++
+	body, err := easyjson.Marshal(&b.heartbeat)
 	if err != nil {
 		return false
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.controllerAddress+"/api/rpc?call=servers.pulse&of="+a.id, bytes.NewReader(body))
+	url := "http://" + b.controllerAddress + "/api/rpc?call=servers.pulse&of=" + b.id
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := a.client.Do(request)
+	response, err := b.client.Do(request)
 	if err != nil {
 		return false
 	}
--- a/internal/testbed/hollow/load.go
+++ b/internal/testbed/hollow/load.go
@@ -15,50 +15,81 @@
 
 const (
 	probeRoute       = "r-probe" // the route that is changed
-	routesPerService = 21        // as the users' fleet has: 16,000 routes to 760 services
+	routesPerService = 21        // as in the deployments to be supported: 16,000 routes to 760 services
 	firstVersion     = 1
 )
 
 func serviceName(i int) string { return fmt.Sprintf("s%05d", i) }
 
+func tenantName(i int) string { return fmt.Sprintf("t%07d", i) }
+
 func (b *Testbed) serviceCount() int { return 1 + b.options.Routes/routesPerService }
 
 func newItem(kind, name string, version uint64, body any) (config.Item, error) {
-	text, err := json.Marshal(body)
-	return config.Item{Type: kind, Metadata: config.Metadata{Name: name, Version: config.FormatVersion(version)}, Body: text}, err
+	encoded, err := json.Marshal(body)
+	if err != nil {
+		return config.Item{}, errors.Wrapf(err, "encode %s %s", kind, name)
+	}
+	metadata := config.Metadata{Name: name, Version: config.FormatVersion(version)}
+	return config.Item{Type: kind, Metadata: metadata, Body: encoded}, nil
 }
 
-// routeBody is one of the configuration, as long as the users' are.
+// routeBody returns a route of the configuration, as long as those of real deployments.
 func (b *Testbed) routeBody(i int) config.RouteBody {
-	r := config.RouteBody{Host: fmt.Sprintf("h%06d.example", i), PathPrefix: fmt.Sprintf("/p%06d/", i), Kind: "harmless", Timeout: "5000ms", LatencyTarget: "800ms",
-		Priority: 2, Service: serviceName(i % b.serviceCount()), MaxAttempts: 2, HomeRegions: []string{}}
+	route := config.RouteBody{
+		Host:          fmt.Sprintf("h%06d.example", i),
+		PathPrefix:    fmt.Sprintf("/p%06d/", i),
+		Kind:          "harmless",
+		Timeout:       "5000ms",
+		LatencyTarget: "800ms",
+		Priority:      2,
+		Service:       serviceName(i % b.serviceCount()),
+		MaxAttempts:   2,
+		HomeRegions:   []string{},
+	}
 	if b.options.Tenants > 0 {
-		r.Tenant = tenantName(i % b.options.Tenants)
+		route.Tenant = tenantName(i % b.options.Tenants)
 	}
-	return r
+	return route
 }
 
-func tenantName(i int) string { return fmt.Sprintf("t%07d", i) }
-
-// probeItem is the route that is changed: its time to give up says which change it was.
+// probeItem returns a version of the route that is changed. The versions differ in the timeout.
 func (b *Testbed) probeItem(version uint64) (config.Item, error) {
-	return newItem(config.KindRoutes, probeRoute, version, config.RouteBody{Host: "probe.example", PathPrefix: "/probe/", Kind: "harmless",
-		Timeout: fmt.Sprint(1000+version%1000, "ms"), LatencyTarget: "800ms", Service: serviceName(0), MaxAttempts: 2, HomeRegions: []string{}})
+	return newItem(config.KindRoutes, probeRoute, version, config.RouteBody{
+		Host:          "probe.example",
+		PathPrefix:    "/probe/",
+		Kind:          "harmless",
+		Timeout:       fmt.Sprint(1000+version%1000, "ms"),
+		LatencyTarget: "800ms",
+		Service:       serviceName(0),
+		MaxAttempts:   2,
+		HomeRegions:   []string{},
+	})
 }
 
-// configuration lists all items in the order in which they can be loaded: services and tenants before the routes that name
-// them.
-func (b *Testbed) configuration() (out []config.Item, err error) {
+// configuration returns all items in an order in which they can be loaded: services and tenants before the routes that
+// name them.
+func (b *Testbed) configuration() (items []config.Item, err error) {
 	add := func(kind, name string, body any) {
-		x, e := newItem(kind, name, firstVersion, body)
-		out = append(out, x)
-		if e != nil {
-			err = e
+		item, itemErr := newItem(kind, name, firstVersion, body)
+		if itemErr != nil {
+			err = itemErr
 		}
+		items = append(items, item)
 	}
-	add(config.KindLimits, "", config.LimitsBody{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: "3000ms", IdleTimeout: "15000ms"})
+	add(config.KindLimits, "", config.LimitsBody{
+		MaxHeaderBytes: 16 << 10,
+		MaxBodyBytes:   64 << 20,
+		HeaderTimeout:  "3000ms",
+		IdleTimeout:    "15000ms",
+	})
 	for i := range b.serviceCount() {
-		add(config.KindServices, serviceName(i), config.ServiceBody{HealthCheckPath: "/health", MaxConnections: 140, WarmUp: "3s", WarmUpRatePerSecond: 2.9})
+		add(config.KindServices, serviceName(i), config.ServiceBody{
+			HealthCheckPath:     "/health",
+			MaxConnections:      140,
+			WarmUp:              "3s",
+			WarmUpRatePerSecond: 2.9,
+		})
 	}
 	for i := range b.options.Tenants {
 		add(config.KindTenants, tenantName(i), config.TenantBody{HomeRegions: []string{"a", "b"}})
@@ -66,21 +97,35 @@
 	for i := range b.options.Routes {
 		add(config.KindRoutes, fmt.Sprintf("r-%06d", i), b.routeBody(i))
 	}
-	probe, e := b.probeItem(firstVersion)
-	if e != nil {
-		err = e
+	probe, probeErr := b.probeItem(firstVersion)
+	if probeErr != nil {
+		err = probeErr
 	}
-	return append(out, probe), err
+	return append(items, probe), err
 }
 
-// LoadResult is how the configuration was taken.
+// LoadResult is how long it took to load the configuration. If loading failed, it covers the calls that succeeded.
 type LoadResult struct {
-	Items, Calls                     int // taken; where Err is set, fewer than were asked for
-	Duration                         time.Duration
-	FirstCall, LastCall, SlowestCall time.Duration // of one call, with its repetitions
+	Items       int
+	Calls       int
+	Duration    time.Duration // of all calls
+	FirstCall   time.Duration // of one call, including retries
+	LastCall    time.Duration
+	SlowestCall time.Duration
 }
 
-// Load loads the configuration in calls of at most Batch items, as an operator does.
+// add adds a call that has succeeded.
+func (r *LoadResult) add(items int, duration time.Duration) {
+	if r.Calls == 0 {
+		r.FirstCall = duration
+	}
+	r.LastCall = duration
+	r.SlowestCall = max(r.SlowestCall, duration)
+	r.Items += items
+	r.Calls++
+}
+
+// Load loads the configuration in calls of at most Options.BatchSize items, as an operator does.
 func (b *Testbed) Load(ctx context.Context) (result LoadResult, err error) {
 	ctx, cancel := context.WithTimeout(ctx, b.options.LoadTimeout)
 	defer cancel()
@@ -89,30 +134,27 @@
 		return result, err
 	}
 	b.version = firstVersion
-	controlClient, begun := client.New(b.controllerAddresses()), time.Now()
+	controlClient := client.New(b.controllerAddresses())
+	started := time.Now()
 	for len(items) > 0 {
-		n := min(b.options.BatchSize, len(items))
-		asked := time.Now()
-		if err := putItems(ctx, controlClient, items[:n]); err != nil {
-			result.Duration = time.Since(begun)
-			return result, errors.Wrapf(err, "loading stopped after %d items and %s", result.Items, result.Duration.Round(time.Millisecond))
-		}
-		result.LastCall = time.Since(asked)
-		if result.Calls == 0 {
-			result.FirstCall = result.LastCall
+		count := min(b.options.BatchSize, len(items))
+		callStarted := time.Now()
+		if err := putItems(ctx, controlClient, items[:count]); err != nil {
+			result.Duration = time.Since(started)
+			return result, errors.Wrapf(err, "load stopped after %d items and %s",
+				result.Items, result.Duration.Round(time.Millisecond))
 		}
-		result.SlowestCall = max(result.SlowestCall, result.LastCall)
-		result.Items += n
-		result.Calls++
-		items = items[n:]
+		result.add(count, time.Since(callStarted))
+		items = items[count:]
 	}
-	result.Duration = time.Since(begun)
+	result.Duration = time.Since(started)
 	return result, nil
 }
 
-// putItems is one settings.change.
+// putItems makes one settings.change call.
 func putItems(ctx context.Context, controlClient *client.Client, items []config.Item) error {
-	body, err := easyjson.Marshal(&config.ChangeRequest{PutItems: config.ItemList{Items: items}, Remove: map[string][]config.ItemRef{}})
+	request := config.ChangeRequest{PutItems: config.ItemList{Items: items}, Remove: map[string][]config.ItemRef{}}
+	body, err := easyjson.Marshal(&request)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/hollow/meter.go
+++ b/internal/testbed/hollow/meter.go
@@ -9,50 +9,56 @@
 	"sagelever/internal/tcp"
 )
 
-// connectTimeout is for how long a silent peer is waited for, as between the agents of the system.
-const connectTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+const (
+	// userTimeout is how long an unresponsive peer is tolerated on a connection, as between the real nodes.
+	userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
+	dialTimeout = time.Second
+)
 
-// Traffic is what went over connections that one side opened: payload bytes of TCP, HTTP's own lines included.
+// Traffic counts what was transferred over connections, seen from the side that opened them.
 type Traffic struct {
-	Sent     int64 `json:"sent"`
-	Received int64 `json:"received"`
-	Calls    int64 `json:"calls"` // requests: writes that follow upon an answer, or open a connection
-}
-
-// Sub is the traffic since an earlier reading.
-func (t Traffic) Sub(earlier Traffic) Traffic {
-	return Traffic{Sent: t.Sent - earlier.Sent, Received: t.Received - earlier.Received, Calls: t.Calls - earlier.Calls}
+	Sent     int64 `json:"sent"`     // payload bytes of TCP, including the headers of HTTP
+	Received int64 `json:"received"` // payload bytes of TCP, including the headers of HTTP
+	Calls    int64 `json:"calls"`    // requests
 }
 
-// Add is the traffic of both.
+// Add returns the sum of both.
 func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{Sent: t.Sent + other.Sent, Received: t.Received + other.Received, Calls: t.Calls + other.Calls}
 }
 
-// Meter counts the traffic of the connections that are opened by its Dial.
+// Sub returns the traffic since an earlier count.
+func (t Traffic) Sub(earlier Traffic) Traffic {
+	return Traffic{Sent: t.Sent - earlier.Sent, Received: t.Received - earlier.Received, Calls: t.Calls - earlier.Calls}
+}
+
+// Meter counts the traffic of the connections that are opened by its Dial. It is safe for concurrent use.
 type Meter struct {
-	sent, received, calls atomic.Int64
+	sent     atomic.Int64
+	received atomic.Int64
+	calls    atomic.Int64
 }
 
-// Read is what was counted so far.
+// Read returns the traffic so far.
 func (m *Meter) Read() Traffic {
 	return Traffic{Sent: m.sent.Load(), Received: m.received.Load(), Calls: m.calls.Load()}
 }
 
-// Dial opens a counted connection.
+// Dial opens a connection whose traffic is counted.
 func (m *Meter) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	conn, err := connectTimeout.Dialer(time.Second).DialContext(ctx, network, address)
+	conn, err := userTimeout.Dialer(dialTimeout).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	return &meteredConn{Conn: conn, meter: m}, nil
 }
 
-// meteredConn counts into its meter. HTTP/1.1 without pipelining alternates: a write behind a read is a new request.
+// meteredConn counts its traffic. Requests and responses alternate in HTTP/1.1 without pipelining, so that the first
+// write after a read, or after the connection was opened, begins a request.
 type meteredConn struct {
 	net.Conn
 	meter      *Meter
-	requesting atomic.Bool // written to since the last read
+	requesting atomic.Bool // there was a write after the last read
 }
 
 func (c *meteredConn) Write(data []byte) (int, error) {
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -17,17 +17,17 @@
 	"sagelever/internal/settings"
 )
 
-// Roles of real processes.
+// Roles of real processes, as in their settings.
 const (
-	RoleController = "member" // a steward: one member of the core
+	RoleController = "member"
 	RoleProxy      = "relay"
 )
 
-// stopTimeout is for how long a process is waited for that was told to end.
+// stopTimeout is how long Process.Stop waits for the end of a process.
 const stopTimeout = 10 * time.Second
 
-// Serve is a real process of a testbed: it runs the role that its settings file is for until its input ends, and answers
-// each line of input with a line that has the traffic of the connections that it opened.
+// Serve runs a real process of a testbed until the input ends: the role with its settings file. It replies to each line
+// of input with a line that has the traffic of the connections that it has opened, as JSON.
 func Serve(role, settingsFile string, in io.Reader, out io.Writer) error {
 	nodeSettings, err := settings.Read(settingsFile)
 	if err != nil {
@@ -40,8 +40,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
+	// It ends with the input or the process: a read of the input cannot be interrupted.
 	go func() {
-		defer stop() // whoever started this process has ended
+		defer stop() // the testbed has ended
 		encoder := json.NewEncoder(out)
 		for lines := bufio.NewScanner(in); lines.Scan(); {
 			if encoder.Encode(meter.Read()) != nil {
@@ -52,33 +53,36 @@
 	return run(ctx)
 }
 
+// newRole returns the function that runs a role until its context ends.
 func newRole(role string, nodeSettings *settings.Settings, meter *Meter) (run func(context.Context) error, err error) {
 	switch role {
 	case RoleController:
-		member, err := server.New(server.Options{Settings: nodeSettings, MembersPerZone: 1, Log: zap.NewNop(), Dial: meter.Dial})
+		options := server.Options{Settings: nodeSettings, MembersPerZone: 1, Log: zap.NewNop(), Dial: meter.Dial}
+		controller, err := server.New(options)
 		if err != nil {
 			return nil, err
 		}
-		return member.Run, nil
+		return controller.Run, nil
 	case RoleProxy:
-		return proxy.New(proxy.Options{Settings: nodeSettings, Log: zap.NewNop(), Dial: meter.Dial}).Run, nil
+		options := proxy.Options{Settings: nodeSettings, Log: zap.NewNop(), Dial: meter.Dial}
+		return proxy.New(options).Run, nil
 	}
-	return nil, errors.Errorf("%q is no role", role)
+	return nil, errors.Errorf("unknown role %q", role)
 }
 
-// Process is a running process of a testbed, or what stands for one in a test.
+// Process is a running process of a testbed, or a part of the testbed's own process that stands in for one.
 type Process struct {
-	PID   int // zero where it shares the process of the testbed
-	in    io.WriteCloser
-	out   *bufio.Reader
-	ended chan error
-	kill  func()
+	PID     int // 0 if it is part of the testbed's process
+	in      io.WriteCloser
+	out     *bufio.Reader
+	stopped chan error // receives the result once
+	kill    func()
 }
 
-// LaunchFunc starts a process that runs Serve for a role and a settings file.
+// LaunchFunc starts a process that calls Serve with a role and a settings file.
 type LaunchFunc func(role, settingsFile string) (*Process, error)
 
-// Executable launches processes of a program that is given the role and the settings file as its last two arguments.
+// Executable returns a LaunchFunc for a program that takes the role and the settings file as its last two arguments.
 func Executable(path string, args ...string) LaunchFunc {
 	return func(role, settingsFile string) (*Process, error) {
 		command := exec.Command(path, append(args, role, settingsFile)...)
@@ -94,43 +98,54 @@
 		if err := command.Start(); err != nil {
 			return nil, err
 		}
-		p := &Process{PID: command.Process.Pid, in: in, out: bufio.NewReader(out), ended: make(chan error, 1), kill: func() { command.Process.Kill() }}
-		go func() { p.ended <- command.Wait() }()
+		p := &Process{
+			PID:     command.Process.Pid,
+			in:      in,
+			out:     bufio.NewReader(out),
+			stopped: make(chan error, 1),
+			kill:    func() { _ = command.Process.Kill() }, // fails only if the process has ended
+		}
+		go func() { p.stopped <- command.Wait() }()
 		return p, nil
 	}
 }
 
-// InProcess runs the roles within the calling process, where tests can't start another.
+// InProcess is a LaunchFunc that runs the role within the calling process. It cannot be killed.
 func InProcess(role, settingsFile string) (*Process, error) {
 	inReader, inWriter := io.Pipe()
 	outReader, outWriter := io.Pipe()
-	p := &Process{in: inWriter, out: bufio.NewReader(outReader), ended: make(chan error, 1), kill: func() {}}
-	go func() { p.ended <- Serve(role, settingsFile, inReader, outWriter) }()
+	p := &Process{in: inWriter, out: bufio.NewReader(outReader), stopped: make(chan error, 1), kill: func() {}}
+	go func() { p.stopped <- Serve(role, settingsFile, inReader, outWriter) }()
 	return p, nil
 }
 
-// Traffic asks the process for the traffic of the connections that it opened.
-func (p *Process) Traffic() (t Traffic, err error) {
+// Traffic returns the traffic of the connections that the process has opened. It must not be called concurrently.
+func (p *Process) Traffic() (traffic Traffic, err error) {
 	if _, err := io.WriteString(p.in, "traffic\n"); err != nil {
-		return t, err
+		return traffic, err
 	}
 	line, err := p.out.ReadBytes('\n')
 	if err != nil {
-		return t, err
+		return traffic, err
 	}
-	return t, json.Unmarshal(line, &t)
+	err = json.Unmarshal(line, &traffic)
+	return traffic, err
 }
 
-// Stop has the process end, and waits for it; one that does not is killed.
+// ErrNotStopped is returned for a process that did not end by itself and was killed.
+var ErrNotStopped = errors.New("process did not stop and was killed")
+
+// Stop ends the input of the process and waits for its end. After stopTimeout it kills the process and returns
+// ErrNotStopped.
 func (p *Process) Stop() error {
 	p.in.Close()
 	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	select {
-	case err := <-p.ended:
+	case err := <-p.stopped:
 		return err
 	case <-timer.C:
 		p.kill()
-		return errors.New("a process did not end by itself")
+		return ErrNotStopped
 	}
 }
--- a/internal/testbed/hollow/report.go
+++ b/internal/testbed/hollow/report.go
@@ -9,97 +9,146 @@
 // kilobyte is the unit of memory in reports.
 const kilobyte = 1 << 10
 
-// String is the result for people and for tables: one line for each part, of names and values.
+// String returns the report: a line for each part, with names and values. The names are stable, since measurements are
+// compared by them; member, relay, agent and appliance are a controller, a real proxy, a hollow proxy and a backend.
 func (r *Result) String() string {
 	var out strings.Builder
-	o := r.Options
-	fmt.Fprintf(&out, "size members=%d relays=%d agents=%d appliances=%d routes=%d tenants=%d\n", o.Controllers, o.RealProxies, o.Proxies, o.Backends, o.Routes, o.Tenants)
-	fmt.Fprintf(&out, "load items=%d calls=%d took=%s first_call=%s last_call=%s slowest_call=%s\n", r.Load.Items, r.Load.Calls,
-		formatDuration(r.Load.Duration), formatDuration(r.Load.FirstCall), formatDuration(r.Load.LastCall), formatDuration(r.Load.SlowestCall))
-	fmt.Fprintf(&out, "load member_cpu_s=%.2f member_rss_kb=%d to %d peak=%d\n", meanCPUSeconds(r.LoadedUsage)-meanCPUSeconds(r.IdleUsage),
-		meanMemoryKB(r.IdleUsage), meanMemoryKB(r.LoadedUsage), peakMemoryKB(r.LoadedUsage))
-	if agents := float64(o.Proxies); agents > 0 && r.StartDuration > 0 {
-		fmt.Fprintf(&out, "start took=%s member_cpu_s=%.2f peak_kb=%d agent_items=%.0f agent_unpacked_b=%d agent_received_b=%.0f\n", formatDuration(r.StartDuration),
-			meanCPUSeconds(r.StartedUsage)-meanCPUSeconds(r.LoadedUsage), peakMemoryKB(r.StartedUsage), float64(r.InitialItems)/agents, r.InitialBytes, float64(r.InitialTraffic.Received)/agents)
-	}
+	r.writeSize(&out)
+	r.writeLoad(&out)
+	r.writeStart(&out)
 	r.writePhase(&out, "calm", r.Steady, 0)
 	r.writePhase(&out, "change", r.Changing, len(r.Propagations))
-	for i, s := range r.Propagations {
-		fmt.Fprintf(&out, "spread n=%d acknowledged=%s half=%s of_99=%s all=%s\n", i+1, formatDuration(s.Acknowledged), formatDuration(s.Half), formatDuration(s.P99), formatDuration(s.All))
+	for i, p := range r.Propagations {
+		fmt.Fprintf(&out, "spread n=%d acknowledged=%s half=%s of_99=%s all=%s\n", i+1,
+			formatDuration(p.Acknowledged), formatDuration(p.Half), formatDuration(p.P99), formatDuration(p.All))
 	}
-	fmt.Fprintf(&out, "state member_disk_b=%d agent_vector=%d hollow_heap_kb=%d", r.DiskBytes, r.VersionVectorEntries, r.HollowBytes/kilobyte)
+	fmt.Fprintf(&out, "state member_disk_b=%d agent_vector=%d hollow_heap_kb=%d",
+		r.DiskBytes, r.VersionVectorEntries, r.HollowBytes/kilobyte)
 	return out.String()
 }
 
-// writePhase tells what each role used between two readings: a second, or for each change where there are some.
-func (r *Result) writePhase(out *strings.Builder, name string, part [2]Sample, changes int) {
-	before, after := part[0], part[1]
+func (r *Result) writeSize(out *strings.Builder) {
+	o := r.Options
+	fmt.Fprintf(out, "size members=%d relays=%d agents=%d appliances=%d routes=%d tenants=%d\n",
+		o.Controllers, o.RealProxies, o.Proxies, o.Backends, o.Routes, o.Tenants)
+}
+
+func (r *Result) writeLoad(out *strings.Builder) {
+	load := r.Load
+	fmt.Fprintf(out, "load items=%d calls=%d took=%s first_call=%s last_call=%s slowest_call=%s\n", load.Items, load.Calls,
+		formatDuration(load.Duration), formatDuration(load.FirstCall), formatDuration(load.LastCall),
+		formatDuration(load.SlowestCall))
+	fmt.Fprintf(out, "load member_cpu_s=%.2f member_rss_kb=%d to %d peak=%d\n",
+		meanCPUSeconds(r.LoadedUsage)-meanCPUSeconds(r.IdleUsage),
+		meanMemoryKB(r.IdleUsage), meanMemoryKB(r.LoadedUsage), peakMemoryKB(r.LoadedUsage))
+}
+
+// writeStart writes the start of the proxies, if there were any.
+func (r *Result) writeStart(out *strings.Builder) {
+	if r.Options.Proxies == 0 || r.StartDuration == 0 {
+		return
+	}
+	proxies := float64(r.Options.Proxies)
+	fmt.Fprintf(out, "start took=%s member_cpu_s=%.2f peak_kb=%d", formatDuration(r.StartDuration),
+		meanCPUSeconds(r.StartedUsage)-meanCPUSeconds(r.LoadedUsage), peakMemoryKB(r.StartedUsage))
+	fmt.Fprintf(out, " agent_items=%.0f agent_unpacked_b=%d agent_received_b=%.0f\n",
+		float64(r.InitialItems)/proxies, r.InitialBytes, float64(r.InitialTraffic.Received)/proxies)
+}
+
+// phase is the use of resources between two samples.
+type phase struct {
+	name    string
+	options Options
+	before  Sample
+	after   Sample
+	divisor float64 // seconds or changes
+	unit    string  // of the divisor
+}
+
+// writePhase writes what each role used between two samples: in each second or, if there were changes, for each of
+// them.
+func (r *Result) writePhase(out *strings.Builder, name string, samples [2]Sample, changes int) {
+	before, after := samples[0], samples[1]
 	if before.At.IsZero() || after.At.IsZero() {
 		return
 	}
-	took := after.At.Sub(before.At).Seconds()
-	per, unit := took, "s"
+	seconds := after.At.Sub(before.At).Seconds()
+	fmt.Fprintf(out, "%s took_s=%.2f\n", name, seconds)
+	p := phase{name: name, options: r.Options, before: before, after: after, divisor: seconds, unit: "s"}
 	if changes > 0 {
-		per, unit = float64(changes), "change"
+		p.divisor = float64(changes)
+		p.unit = "change"
 	}
-	each := func(total int64, of int) float64 { return float64(total) / float64(max(1, of)) / per }
-	core := after.ControllerTraffic.Sub(before.ControllerTraffic)
-	fmt.Fprintf(out, "%s took_s=%.2f\n", name, took)
-	fmt.Fprintf(out, "%s role=member cpu_ms_per_%s=%.2f busiest=%.2f core_calls=%.2f core_sent_b=%.0f rss_kb=%d peak_kb=%d\n", name, unit,
-		1000*(meanCPUSeconds(after.Controllers)-meanCPUSeconds(before.Controllers))/per, 1000*maxCPUSeconds(before.Controllers, after.Controllers)/per,
-		each(core.Calls, r.Options.Controllers), each(core.Sent+core.Received, r.Options.Controllers), meanMemoryKB(after.Controllers), peakMemoryKB(after.Controllers))
-	agents := after.ProxyTraffic.Sub(before.ProxyTraffic)
-	served := agents.Add(after.BackendTraffic.Sub(before.BackendTraffic)).Add(after.RealProxyTraffic.Sub(before.RealProxyTraffic))
-	fmt.Fprintf(out, "%s role=member served_calls=%.2f served_sent_b=%.0f served_received_b=%.0f\n", name, each(served.Calls, r.Options.Controllers),
-		each(served.Received, r.Options.Controllers), each(served.Sent, r.Options.Controllers))
-	fmt.Fprintf(out, "%s role=hollow_process cpu_ms_per_%s=%.2f rss_kb=%d\n", name, unit, 1000*(after.Hollow.CPU-before.Hollow.CPU).Seconds()/per, after.Hollow.Memory/kilobyte)
-	fmt.Fprintf(out, "%s role=agent pulls=%.3f sent_b=%.1f received_b=%.1f items=%.3f failures=%d\n", name, each(after.Pulls-before.Pulls, r.Options.Proxies),
-		each(agents.Sent, r.Options.Proxies), each(agents.Received, r.Options.Proxies), each(after.Items-before.Items, r.Options.Proxies), after.FailedPulls-before.FailedPulls)
-	appliances := after.BackendTraffic.Sub(before.BackendTraffic)
-	fmt.Fprintf(out, "%s role=appliance pulses=%.3f sent_b=%.1f received_b=%.1f missed=%d\n", name, each(after.Heartbeats-before.Heartbeats, r.Options.Backends),
-		each(appliances.Sent, r.Options.Backends), each(appliances.Received, r.Options.Backends), after.FailedHeartbeats-before.FailedHeartbeats)
+	p.writeControllers(out)
+	p.writeHollowProcess(out)
+	p.writeProxies(out)
+	p.writeBackends(out)
 	if len(after.RealProxies) > 0 {
-		relays := after.RealProxyTraffic.Sub(before.RealProxyTraffic)
-		fmt.Fprintf(out, "%s role=relay cpu_ms_per_%s=%.2f sent_b=%.1f received_b=%.1f rss_kb=%d peak_kb=%d\n", name, unit,
-			1000*(meanCPUSeconds(after.RealProxies)-meanCPUSeconds(before.RealProxies))/per, each(relays.Sent, r.Options.RealProxies), each(relays.Received, r.Options.RealProxies),
-			meanMemoryKB(after.RealProxies), peakMemoryKB(after.RealProxies))
+		p.writeRealProxies(out)
 	}
 }
 
-func formatDuration(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
+// each returns a total divided by the number of nodes and by the divisor.
+func (p *phase) each(total int64, nodes int) float64 {
+	return float64(total) / float64(max(1, nodes)) / p.divisor
+}
 
-// meanCPUSeconds is the mean processor time of some processes.
-func meanCPUSeconds(usages []Usage) float64 {
-	sum := 0.0
-	for _, u := range usages {
-		sum += u.CPU.Seconds()
-	}
-	return sum / float64(max(1, len(usages)))
+// cpuMillis converts seconds of processor time to milliseconds for each unit.
+func (p *phase) cpuMillis(seconds float64) float64 { return 1000 * seconds / p.divisor }
+
+func (p *phase) writeControllers(out *strings.Builder) {
+	count := p.options.Controllers
+	mean := meanCPUSeconds(p.after.Controllers) - meanCPUSeconds(p.before.Controllers)
+	busiest := maxCPUSeconds(p.before.Controllers, p.after.Controllers)
+	internal := p.after.ControllerTraffic.Sub(p.before.ControllerTraffic)
+	fmt.Fprintf(out, "%s role=member cpu_ms_per_%s=%.2f busiest=%.2f",
+		p.name, p.unit, p.cpuMillis(mean), p.cpuMillis(busiest))
+	fmt.Fprintf(out, " core_calls=%.2f core_sent_b=%.0f rss_kb=%d peak_kb=%d\n",
+		p.each(internal.Calls, count), p.each(internal.Sent+internal.Received, count),
+		meanMemoryKB(p.after.Controllers), peakMemoryKB(p.after.Controllers))
+	// What the callers sent is what the controllers received, and the other way round.
+	served := p.proxyTraffic().Add(p.backendTraffic()).Add(p.realProxyTraffic())
+	fmt.Fprintf(out, "%s role=member served_calls=%.2f served_sent_b=%.0f served_received_b=%.0f\n",
+		p.name, p.each(served.Calls, count), p.each(served.Received, count), p.each(served.Sent, count))
 }
 
-// maxCPUSeconds is the processor time of the process that used the most between two readings.
-func maxCPUSeconds(before, after []Usage) (most float64) {
-	for i := range after {
-		if i < len(before) {
-			most = max(most, (after[i].CPU - before[i].CPU).Seconds())
-		}
-	}
-	return most
+func (p *phase) writeHollowProcess(out *strings.Builder) {
+	cpu := (p.after.Hollow.CPU - p.before.Hollow.CPU).Seconds()
+	fmt.Fprintf(out, "%s role=hollow_process cpu_ms_per_%s=%.2f rss_kb=%d\n",
+		p.name, p.unit, p.cpuMillis(cpu), p.after.Hollow.Memory/kilobyte)
 }
 
-// meanMemoryKB is the mean of what processes hold, in kilobytes.
-func meanMemoryKB(usages []Usage) int64 {
-	sum := int64(0)
-	for _, u := range usages {
-		sum += u.Memory
-	}
-	return sum / int64(max(1, len(usages))) / kilobyte
+func (p *phase) writeProxies(out *strings.Builder) {
+	count := p.options.Proxies
+	traffic := p.proxyTraffic()
+	fmt.Fprintf(out, "%s role=agent pulls=%.3f sent_b=%.1f received_b=%.1f items=%.3f failures=%d\n", p.name,
+		p.each(p.after.Pulls-p.before.Pulls, count), p.each(traffic.Sent, count), p.each(traffic.Received, count),
+		p.each(p.after.Items-p.before.Items, count), p.after.FailedPulls-p.before.FailedPulls)
 }
 
-// peakMemoryKB is the most that one of the processes held, in kilobytes.
-func peakMemoryKB(usages []Usage) (most int64) {
-	for _, u := range usages {
-		most = max(most, u.Peak)
-	}
-	return most / kilobyte
+func (p *phase) writeBackends(out *strings.Builder) {
+	count := p.options.Backends
+	traffic := p.backendTraffic()
+	fmt.Fprintf(out, "%s role=appliance pulses=%.3f sent_b=%.1f received_b=%.1f missed=%d\n", p.name,
+		p.each(p.after.Heartbeats-p.before.Heartbeats, count), p.each(traffic.Sent, count), p.each(traffic.Received, count),
+		p.after.FailedHeartbeats-p.before.FailedHeartbeats)
 }
+
+func (p *phase) writeRealProxies(out *strings.Builder) {
+	count := p.options.RealProxies
+	mean := meanCPUSeconds(p.after.RealProxies) - meanCPUSeconds(p.before.RealProxies)
+	traffic := p.realProxyTraffic()
+	fmt.Fprintf(out, "%s role=relay cpu_ms_per_%s=%.2f sent_b=%.1f received_b=%.1f rss_kb=%d peak_kb=%d\n", p.name, p.unit,
+		p.cpuMillis(mean), p.each(traffic.Sent, count), p.each(traffic.Received, count),
+		meanMemoryKB(p.after.RealProxies), peakMemoryKB(p.after.RealProxies))
+}
+
+func (p *phase) proxyTraffic() Traffic { return p.after.ProxyTraffic.Sub(p.before.ProxyTraffic) }
+
+func (p *phase) backendTraffic() Traffic { return p.after.BackendTraffic.Sub(p.before.BackendTraffic) }
+
+func (p *phase) realProxyTraffic() Traffic {
+	return p.after.RealProxyTraffic.Sub(p.before.RealProxyTraffic)
+}
+
+func formatDuration(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
--- a/internal/testbed/hollow/testbed.go
+++ b/internal/testbed/hollow/testbed.go
@@ -1,16 +1,14 @@
-// Package hollow is a testbed for sizes that one machine can't hold whole: real members of the core, and real relays where
-// they are asked for, each as a process of its own on loopback, beside many hollow agents and appliances in one process.
-// The hollow ones speak the real messages over real sockets and carry no traffic. What each role sends, receives and uses
-// is read from its own connections and its own process.
+// Package hollow is a testbed for control groups of sizes that one machine cannot run in full. Real controllers and, if
+// asked for, real proxies run as processes of their own on loopback, beside many hollow proxies and backends in one
+// process. Like the hollow nodes of kubemark, these exchange the real messages over real connections but carry no
+// traffic. What each role sends, receives and uses is measured at its own connections and its own process.
 package hollow
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"net"
 	"os"
-	"path/filepath"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -19,50 +17,43 @@
 
 	"sagelever/internal/control/client"
 	"sagelever/internal/control/config"
-	"sagelever/internal/control/message"
-	"sagelever/internal/control/replication"
-	"sagelever/internal/lease"
-	"sagelever/internal/settings"
 )
 
 // Options are the size of a testbed.
 type Options struct {
-	Controllers       int // of the core, one in each zone; at least three
-	RealProxies       int // real ones, each a process
+	Controllers       int // each a process in a zone of its own; at least three
+	RealProxies       int // each a process
 	Proxies           int // hollow ones
-	Backends          int
+	Backends          int // hollow ones
 	Routes            int
 	Tenants           int
-	BatchSize         int           // items in one call that loads the configuration
+	BatchSize         int           // items in one call while the configuration is loaded
 	LoadTimeout       time.Duration // for all of these calls
-	Changes           int           // made one after another once all is calm
-	SettleTime        time.Duration // for which leases and first pulses go round before the calm part: longer than a pull of a member
-	SteadyTime        time.Duration // how long the calm part is measured
-	HeartbeatInterval time.Duration // of the appliances
-	DrainTimeout      time.Duration // as the platform's settings have it: it bounds how long a pull waits
+	Changes           int           // made one after another at the end
+	SettleTime        time.Duration // between the start and the steady phase; longer than a pull of a controller waits
+	SteadyTime        time.Duration // of the steady phase
+	HeartbeatInterval time.Duration // of the backends
+	DrainTimeout      time.Duration // as in the settings of the deployment; it bounds how long a pull waits
 	Launch            LaunchFunc
-	Dir               string // for the members' state and the settings files
+	Dir               string // for the state and the settings files of the processes
 }
 
-// Ports of the real processes: the same on all machines, as the platform has it, and below those that the system gives out.
 const (
-	peerPort, lastPeerPort                                  = 21300, 21301
-	controlPort, directoryPort, listenerPort, readinessPort = "21302", "21303", "21304", "21305"
-	firstProxyHost                                          = 120 // last byte of the first real relay's address; members begin at 2
-	maxProcesses                                            = 100
-	concurrentFirstPulls                                    = 32 // hollow agents that are handed all at one time
+	minControllers = 3
+	maxProcesses   = 100 // of each role
+	// concurrentFirstPulls is how many hollow proxies are sent the whole configuration at a time.
+	concurrentFirstPulls = 32
+	// startTimeout bounds the start of the controllers, that of the proxies and the propagation of a change.
+	startTimeout = 2 * time.Minute
 )
 
-// startTimeout is for how long the start of the core, and of agents each, is waited for.
-const startTimeout = 2 * time.Minute
-
-// testbedCount counts the testbeds of this process: each has loopback addresses of its own.
+// testbedCount is the number of testbeds of this process. Each uses loopback addresses of its own.
 var testbedCount atomic.Uint32
 
-// Testbed is a running testbed.
+// Testbed is a running testbed. Its methods must not be called concurrently.
 type Testbed struct {
 	options     Options
-	network     string // the first three bytes of its addresses
+	network     string // the first three bytes of its addresses, with the dots
 	zones       []string
 	regions     map[string]string // by zone
 	controllers []*Process
@@ -70,20 +61,27 @@
 	proxies     []*Proxy
 	backends    []*Backend
 	tracker     *PropagationTracker
-	version     uint64 // of the newest change
-	stop        context.CancelFunc
-	running     sync.WaitGroup
+	version     uint64             // of the probe route
+	stop        context.CancelFunc // stops the hollow proxies and backends
+	running     sync.WaitGroup     // of the hollow proxies and backends
 }
 
-// Open starts the core and waits until it takes calls.
+// Open starts the controllers and waits until they take calls. If it fails after it has started a process, it returns
+// the testbed along with the error, and the caller must close it.
 func Open(ctx context.Context, o Options) (*Testbed, error) {
-	if o.Controllers < 3 || o.Controllers > maxProcesses || o.RealProxies > maxProcesses || o.BatchSize < 1 {
-		return nil, errors.Errorf("want 3 to %d members, at most %d relays and a batch of one or more", maxProcesses, maxProcesses)
+	if o.Controllers < minControllers || o.Controllers > maxProcesses || o.RealProxies > maxProcesses || o.BatchSize < 1 {
+		return nil, errors.Errorf("want %d to %d controllers, at most %d real proxies and a batch size of 1 or more",
+			minControllers, maxProcesses, maxProcesses)
+	}
+	b := &Testbed{
+		options: o,
+		network: fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 250+testbedCount.Add(1)%5),
+		regions: map[string]string{},
+		tracker: newPropagationTracker(config.Key(config.KindRoutes, probeRoute)),
+		stop:    func() {},
 	}
-	b := &Testbed{options: o, network: fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 250+testbedCount.Add(1)%5), regions: map[string]string{},
-		tracker: newPropagationTracker(config.Key(config.KindRoutes, probeRoute)), stop: func() {}}
 	for i := range o.Controllers {
-		zone := fmt.Sprintf("%c%d", 'a'+i%3, 1+i/3) // three regions, as the users' sites have
+		zone := fmt.Sprintf("%c%d", 'a'+i%3, 1+i/3) // three regions, each named by a letter
 		b.zones = append(b.zones, zone)
 		b.regions[zone] = zone[:1]
 	}
@@ -97,151 +95,46 @@
 	return b, b.waitReady(ctx)
 }
 
-// launch writes a settings file as the platform does and starts a process with it.
-func (b *Testbed) launch(role string, i int, zone string) (*Process, error) {
-	ip := b.address(i)
-	if role == RoleProxy {
-		ip = b.address(firstProxyHost - 2 + i)
-	}
-	node := fmt.Sprintf("%s-%d", role, i)
-	nodeSettings := settings.Settings{Node: node, Role: role, IP: ip, Zone: zone, Region: b.regions[zone], Zones: b.regions, PeerPortRange: []int{peerPort, lastPeerPort},
-		ListenAddresses: map[string]string{"control": net.JoinHostPort(ip, controlPort), "directory": net.JoinHostPort(ip, directoryPort),
-			"front": net.JoinHostPort(ip, listenerPort), "readyCheck": net.JoinHostPort(ip, readinessPort)},
-		SeedAddresses: b.controllerAddresses()[:3], FreshStart: true, DataDir: filepath.Join(b.options.Dir, node), HeartbeatInterval: formatMillis(b.options.HeartbeatInterval),
-		FaultTolerance: settings.FaultTolerance{Hosts: 1, Zones: 1, Regions: 1}, LimitsTable: []string{"empty=" + formatMillis(b.options.DrainTimeout), "ttl_max=5s", "leeway=1s"}}
-	encoded, err := json.Marshal(nodeSettings)
-	if err != nil {
-		return nil, err
-	}
-	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, err
-	}
-	file := filepath.Join(b.options.Dir, node+".json")
-	if err := os.WriteFile(file, encoded, 0o644); err != nil {
-		return nil, err
-	}
-	return b.options.Launch(role, file)
-}
-
-// formatMillis writes a time as the platform does.
-func formatMillis(d time.Duration) string { return fmt.Sprint(d.Milliseconds(), "ms") }
-
-func (b *Testbed) address(i int) string { return fmt.Sprint(b.network, 2+i) }
-
-// controllerAddresses are the members' addresses for appliances and operators.
-func (b *Testbed) controllerAddresses() (out []string) {
-	for i := range b.options.Controllers {
-		out = append(out, net.JoinHostPort(b.address(i), controlPort))
-	}
-	return out
-}
-
-// pullAddresses are the members' addresses for agents, from one on: that of the agent's own zone comes first.
-func (b *Testbed) pullAddresses(first int) (out []string) {
-	for i := range b.options.Controllers {
-		out = append(out, net.JoinHostPort(b.address((first+i)%b.options.Controllers), fmt.Sprint(peerPort)))
-	}
-	return out
-}
-
-// waitReady waits until every member answers that it hears most of the core.
+// waitReady waits until every controller takes calls, which it does once it reaches a majority of the others.
 func (b *Testbed) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, contact := range b.controllerAddresses() {
-		if err := client.New([]string{contact}).Call(ctx, "settings.read", "", nil, nil); err != nil {
-			return errors.Wrap(err, "the core does not take calls")
+	for _, address := range b.controllerAddresses() {
+		if err := client.New([]string{address}).Call(ctx, "settings.read", "", nil, nil); err != nil {
+			return errors.Wrap(err, "the controllers do not take calls")
 		}
 	}
 	return nil
 }
 
-// StartProxies starts the real relays and the hollow agents, and waits until each was told all; it tells how long that took.
-func (b *Testbed) StartProxies(ctx context.Context) (time.Duration, error) {
-	begun := time.Now()
-	for i := range b.options.RealProxies {
-		process, err := b.launch(RoleProxy, i, b.zones[i%len(b.zones)])
-		if err != nil {
-			return 0, err
-		}
-		b.realProxies = append(b.realProxies, process)
-	}
-	work, stop := context.WithCancel(context.Background())
-	b.stop = stop
-	permits := make(chan struct{}, concurrentFirstPulls)
-	for i := range b.options.Proxies {
-		zone := i % len(b.zones)
-		member := message.Member{Node: fmt.Sprint("hollow-", i), Zone: b.zones[zone]}
-		agent := newProxy(member, fmt.Sprintf("10.%d.%d.%d:%s", zone, i>>8, i&0xff, listenerPort), b.pullAddresses(zone), lease.PullWait(b.options.DrainTimeout), b.tracker)
-		b.proxies = append(b.proxies, agent)
-		b.running.Go(func() { agent.run(work, permits) })
-	}
-	for i := range b.options.Backends {
-		zone := i % len(b.zones)
-		pulse := replication.Heartbeat{Service: serviceName(i % b.serviceCount()), Address: fmt.Sprintf("10.%d.%d.%d:8080", 128+zone, i>>8, i&0xff), Zone: b.zones[zone],
-			Version: "v1", Capacity: 3, Phase: replication.PhaseReady, WarmUpLeft: "0ms"}
-		appliance := newBackend(fmt.Sprintf("i-%08x", i), pulse, net.JoinHostPort(b.address(zone), controlPort), b.options.HeartbeatInterval)
-		b.backends = append(b.backends, appliance)
-		delay := b.options.HeartbeatInterval * time.Duration(i) / time.Duration(b.options.Backends)
-		b.running.Go(func() { appliance.run(work, delay) })
-	}
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
-	defer cancel()
-	if !waitUntil(ctx, func() bool {
-		whole, heard := b.startProgress()
-		return whole == len(b.proxies) && heard == len(b.backends)
-	}) {
-		whole, heard := b.startProgress()
-		return time.Since(begun), errors.Errorf("not in time: %d of %d agents were told all, %d of %d appliances heard", whole, len(b.proxies), heard, len(b.backends))
-	}
-	return time.Since(begun), nil
-}
-
-// startProgress counts the agents that were told all, and the appliances that were acknowledged.
-func (b *Testbed) startProgress() (synced, acknowledged int) {
-	for _, agent := range b.proxies {
-		if agent.synced.Load() {
-			synced++
-		}
-	}
-	for _, appliance := range b.backends {
-		if appliance.acknowledged.Load() > 0 {
-			acknowledged++
-		}
-	}
-	return synced, acknowledged
-}
-
-// waitUntil waits for a condition, and tells whether it came about.
-func waitUntil(ctx context.Context, condition func() bool) bool {
-	ticker := time.NewTicker(5 * time.Millisecond)
-	defer ticker.Stop()
-	for !condition() {
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return false
+// stopHollow stops the hollow proxies and backends, and releases the leases of the proxies.
+func (b *Testbed) stopHollow() {
+	b.stop()
+	b.running.Wait()
+	for proxies := range slices.Chunk(b.proxies, concurrentFirstPulls) {
+		for _, proxy := range proxies {
+			b.running.Go(proxy.releaseLease)
 		}
+		b.running.Wait()
 	}
-	return true
 }
 
-// Close ends all.
+// Close stops everything. It returns one of the errors of the processes.
 func (b *Testbed) Close() error {
 	b.stop()
 	b.running.Wait()
-	var failed error
-	var ending sync.WaitGroup
 	var mu sync.Mutex
+	var firstErr error
+	var stopping sync.WaitGroup
 	for _, process := range append(b.realProxies, b.controllers...) {
-		ending.Go(func() {
+		stopping.Go(func() {
 			if err := process.Stop(); err != nil {
 				mu.Lock()
-				failed = err
-				mu.Unlock()
+				defer mu.Unlock()
+				firstErr = err
 			}
 		})
 	}
-	ending.Wait()
-	return failed
+	stopping.Wait()
+	return firstErr
 }
--- a/internal/testbed/hollow/usage.go
+++ b/internal/testbed/hollow/usage.go
@@ -10,56 +10,60 @@
 	"github.com/go-faster/errors"
 )
 
-// Usage is what a process has used.
+// Usage is the resources that a process has used.
 type Usage struct {
 	CPU    time.Duration // user and system time
 	Memory int64         // resident bytes now
-	Peak   int64         // resident bytes at most
+	Peak   int64         // largest number of resident bytes
 }
 
-// clockTick is the unit of processor times under /proc on Linux.
+// clockTick is the unit of processor times under /proc on Linux (USER_HZ is 100; see proc(5)).
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat behind the program's name, which is in brackets and may hold anything.
+// Indexes of the fields of /proc/PID/stat after the name of the program, which is in parentheses and may contain
+// anything.
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 )
 
-// ReadUsage reads what a process has used; zero where there is no /proc.
-func ReadUsage(pid int) (u Usage, err error) {
+// ReadUsage reads the usage of a process from /proc. It fails where there is none.
+func ReadUsage(pid int) (usage Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return u, err
+		return usage, err
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	if u.CPU, err = parseCPUTime(string(stat)); err != nil {
-		return u, err
+	usage.CPU, err = parseCPUTime(string(stat))
+	if err != nil {
+		return usage, err
 	}
-	u.Memory, u.Peak = parseMemoryField(string(status), "VmRSS:"), parseMemoryField(string(status), "VmHWM:")
-	return u, nil
+	usage.Memory = parseMemoryField(string(status), "VmRSS:")
+	usage.Peak = parseMemoryField(string(status), "VmHWM:")
+	return usage, nil
 }
 
+// parseCPUTime returns the processor time in the content of /proc/PID/stat.
 func parseCPUTime(stat string) (time.Duration, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= systemTimeField {
-		return 0, errors.New("stat: too few fields")
+		return 0, errors.New("parse stat: too few fields")
 	}
 	user, err := strconv.ParseInt(fields[userTimeField], 10, 64)
 	if err != nil {
-		return 0, errors.Wrap(err, "stat")
+		return 0, errors.Wrap(err, "parse stat")
 	}
 	system, err := strconv.ParseInt(fields[systemTimeField], 10, 64)
 	if err != nil {
-		return 0, errors.Wrap(err, "stat")
+		return 0, errors.Wrap(err, "parse stat")
 	}
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// parseMemoryField reads a line such as "VmRSS:   123 kB"; zero where it is missing.
+// parseMemoryField returns the bytes in a line of /proc/PID/status such as "VmRSS:   123 kB"; 0 if there is none.
 func parseMemoryField(status, name string) int64 {
 	for line := range strings.Lines(status) {
 		rest, ok := strings.CutPrefix(line, name)
@@ -70,7 +74,42 @@
 		if err != nil {
 			return 0
 		}
-		return kilobytes << 10
+		return kilobytes * kilobyte
 	}
 	return 0
 }
+
+// meanCPUSeconds returns the mean processor time of processes.
+func meanCPUSeconds(usages []Usage) float64 {
+	sum := 0.0
+	for _, u := range usages {
+		sum += u.CPU.Seconds()
+	}
+	return sum / float64(max(1, len(usages)))
+}
+
+// maxCPUSeconds returns the processor time of the process that used the most between two samples.
+func maxCPUSeconds(before, after []Usage) (busiest float64) {
+	for i := range min(len(before), len(after)) {
+		busiest = max(busiest, (after[i].CPU - before[i].CPU).Seconds())
+	}
+	return busiest
+}
+
+// meanMemoryKB returns the mean resident memory of processes in kilobytes.
+func meanMemoryKB(usages []Usage) int64 {
+	sum := int64(0)
+	for _, u := range usages {
+		sum += u.Memory
+	}
+	return sum / int64(max(1, len(usages))) / kilobyte
+}
+
+// peakMemoryKB returns the largest peak of resident memory among processes in kilobytes.
+func peakMemoryKB(usages []Usage) int64 {
+	largest := int64(0)
+	for _, u := range usages {
+		largest = max(largest, u.Peak)
+	}
+	return largest / kilobyte
+}
