--- a/internal/control/quorum/acceptor.go
+++ b/internal/control/quorum/acceptor.go
@@ -124,13 +124,13 @@
 	for _, learned := range entries {
 		register := a.register(learned.Key)
 		a.Observe(learned.Accepted)
-		sameValue := register.Value == learned.Value
 		switch {
 		case register.Accepted.Less(learned.Accepted):
+			// Chosen first: it depends on the value that is replaced.
+			register.Chosen = learned.Chosen || register.Chosen && register.Value == learned.Value
 			register.Accepted = learned.Accepted
 			register.Value = learned.Value
-			register.Chosen = learned.Chosen || register.Chosen && sameValue
-		case learned.Chosen && !register.Chosen && sameValue && learned.Accepted != (ProposalNumber{}):
+		case learned.Chosen && !register.Chosen && learned.Accepted != (ProposalNumber{}) && register.Value == learned.Value:
 			register.Chosen = true
 		default:
 			continue
--- a/internal/testbed/hollow/testbed.go
+++ b/internal/testbed/hollow/testbed.go
@@ -34,8 +34,8 @@
 	SteadyTime        time.Duration // of the steady phase
 	HeartbeatInterval time.Duration // of the backends
 	DrainTimeout      time.Duration // as in the settings of the deployment; it bounds how long a pull waits
-	Launch            LaunchFunc
-	Dir               string // for the state and the settings files of the processes
+	Launch            LaunchFunc    // starts the processes
+	Dir               string        // for the state and the settings files of the processes
 }
 
 const (
