--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -109,7 +109,7 @@
 		settings:   cfg,
 		log:        options.Log,
 		now:        options.Now,
-		target:     feasibleTarget(cfg.ControlGroup(options.MembersPerZone), options.Log),
+		target:     feasibleTarget(controlGroupTarget(cfg, options.MembersPerZone), options.Log),
 		store:      store,
 		peerClient: rpc.NewClient(options.Dial),
 		self: message.Member{
@@ -203,3 +203,13 @@
 	}
 	return net.JoinHostPort(host, port)
 }
+
+// controlGroupTarget returns the size of the control group and the failures that it must survive, given the number of
+// controllers that the deploy file places in each zone.
+func controlGroupTarget(cfg *settings.Settings, membersPerZone int) membership.Target {
+	return membership.Target{
+		MembersPerZone: membersPerZone,
+		Zones:          len(cfg.Zones),
+		MaxFailures:    cfg.ToleratedDiskLosses(membersPerZone),
+	}
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,6 @@
 
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
-
-	"sagelever/internal/control/membership"
 )
 
 // DefaultPath is the path of the settings file unless the environment variable PathVariable names another.
@@ -142,16 +140,6 @@
 // PeerPort returns the port for calls between nodes. It is the same on every machine of a system.
 func (s *Settings) PeerPort() string { return strconv.Itoa(s.PeerPortRange[0]) }
 
-// ControlGroup returns the size of the control group and the failures that it must survive, given the number of
-// controllers that the deploy file places in each zone.
-func (s *Settings) ControlGroup(perZone int) membership.Target {
-	return membership.Target{
-		MembersPerZone: perZone,
-		Zones:          len(s.Zones),
-		MaxFailures:    s.ToleratedDiskLosses(perZone),
-	}
-}
-
 // ToleratedDiskLosses returns how many controllers may lose their disks at once: the most that any of the alternatives
 // of FaultTolerance takes, given the number of controllers in each zone.
 func (s *Settings) ToleratedDiskLosses(perZone int) int {
