--- a/internal/control/client/format.go
+++ b/internal/control/client/format.go
@@ -72,7 +72,7 @@
 // Summary describes the progress of a drain in one line.
 func Summary(progress drain.Progress) string {
 	if progress.Done {
-		return fmt.Sprintf("%s: nothing is left at %d appliances", progress.Target, len(progress.Backends))
+		return fmt.Sprintf("%s: nothing is left at %d backends", progress.Target, len(progress.Backends))
 	}
 	waitingFor := len(progress.BlockingProxies) + len(progress.Unresponsive)
 	return fmt.Sprintf("%s: %d harmless and %d risky requests at %d backends, waiting for %d proxies",
--- a/internal/control/server/drain.go
+++ b/internal/control/server/drain.go
@@ -94,7 +94,7 @@
 	}
 	inService := func(backend *replication.Backend) bool { return backend.Service == parsed.Service }
 	if parsed.Service != "" && !slices.ContainsFunc(slices.Collect(maps.Values(backends)), inService) {
-		return drainTarget{}, &notFoundError{"target: no appliance of such a service is known"}
+		return drainTarget{}, &notFoundError{"target: no backend of this service is known"}
 	}
 	return drainTarget{zone: zone, drain: parsed}, nil
 }
--- a/internal/control/server/errors.go
+++ b/internal/control/server/errors.go
@@ -21,7 +21,7 @@
 var errTooManyDrains = errors.New("this zone has too many drains")
 
 // errNoSuchDrain rejects an operation on a drain that is not active.
-var errNoSuchDrain = &notFoundError{"of: no such drain stands"}
+var errNoSuchDrain = &notFoundError{"of: there is no such drain"}
 
 // notFoundError rejects an operation on something that does not exist.
 type notFoundError struct{ message string }
