--- /dev/null
+++ b/internal/control/message/survey.go
@@ -0,0 +1,45 @@
+package message
+
+import (
+	"sagelever/internal/control/drain"
+	"sagelever/internal/control/replication"
+)
+
+// InFlightReport is a proxy's answer to an in-flight survey: its unfinished requests at draining backends, and the
+// load it carries.
+//
+//easyjson:json
+type InFlightReport struct {
+	From     Member `json:"f"`
+	SurveyID uint64 `json:"k"`
+	// DrainVersions is, by zone, the version of the drains that the proxy acts on.
+	DrainVersions map[string]uint64             `json:"d,omitempty"`
+	Rows          []replication.BackendInFlight `json:"o,omitempty"`
+	Loads         []drain.ServiceLoad           `json:"l,omitempty"`
+}
+
+// InFlightSurvey is what one controller has collected from the proxies that hold a lease from it.
+//
+//easyjson:json
+type InFlightSurvey struct {
+	Reports []InFlightReport `json:"w,omitempty"`
+	Missing []string         `json:"m,omitempty"` // proxies that have not answered
+}
+
+// ProgressReports converts the survey into the input of the drain progress computation.
+func (s InFlightSurvey) ProgressReports() (reports []drain.ProxyReport, loads []drain.ServiceLoad) {
+	for _, report := range s.Reports {
+		inFlight := make(map[string][2]int, len(report.Rows))
+		for _, row := range report.Rows {
+			inFlight[row.BackendID] = [2]int{row.Idempotent, row.NonIdempotent}
+		}
+		reports = append(reports, drain.ProxyReport{
+			Proxy:         report.From.Node,
+			Zone:          report.From.Zone,
+			DrainVersions: report.DrainVersions,
+			InFlight:      inFlight,
+		})
+		loads = append(loads, report.Loads...)
+	}
+	return reports, loads
+}
--- a/internal/control/replica/response_limit.go
+++ b/internal/control/replica/response_limit.go
@@ -32,7 +32,7 @@
 	for i, item := range response.Items {
 		size += itemOverheadBytes + len(item.Key) + len(item.Body)
 		if size > maxResponseBytes && i > 0 {
-			response.Unclaim(response.Items[i:], request.Progress)
+			response.WithdrawProgress(response.Items[i:], request.Progress)
 			response.Items = response.Items[:i]
 			return
 		}
