--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -1,39 +1,32 @@
 package replica
 
 import (
-	"maps"
-	"slices"
 	"strings"
 	"time"
 
 	"sagelever/internal/control/message"
-	"sagelever/internal/control/quorum"
-	"sagelever/internal/control/release"
 	"sagelever/internal/control/replication"
 )
 
-// RecordHeartbeat takes an appliance's word of itself; the address of the member where its next had best go, empty for here.
-func (r *Replica) RecordHeartbeat(now time.Time, id string, heartbeat *replication.Heartbeat) (redirect message.Member) {
-	key := replication.BackendKey + id
-	current, known := r.items.Get(key)
-	if !known || current.Version < replication.BackendVersion(heartbeat.CallCount, false) { // else late, or from a life that has left
-		previous := r.backends[id]
-		if published, ok := replication.ReadBackend(current); known && ok && (previous == nil || published.Owner != r.config.Self.Node || published.Phase != previous.Phase) {
-			previous = published
-		}
-		item, backend, changed := replication.UpdateFromHeartbeat(id, heartbeat, previous, r.config.Self.Node, now)
-		if changed {
-			r.mergeLocal(item)
-		} else {
-			backend.HeartbeatMs = previous.HeartbeatMs // when it was last told
-		}
-		r.backends[id] = backend
-		r.liveness.RecordHeartbeat(id, now)
+// isGone reports whether a phase is one in which a backend exists no more.
+func isGone(phase string) bool {
+	return phase == replication.PhaseLeft || phase == replication.PhaseTimedOut
+}
+
+// RecordHeartbeat takes a backend's heartbeat. It returns the member that the backend should send the next one to: one
+// in the backend's own zone that is reachable; the zero Member for this replica.
+func (r *Replica) RecordHeartbeat(
+	now time.Time, id string, heartbeat *replication.Heartbeat,
+) (redirect message.Member) {
+	current, known := r.items.Get(replication.BackendKey + id)
+	// Otherwise the heartbeat is late, or of an incarnation that has left.
+	if !known || current.Version < replication.BackendVersion(heartbeat.CallCount, false) {
+		r.updateBackend(now, id, heartbeat, current, known)
 	}
 	if heartbeat.Zone == r.config.Self.Zone {
 		return message.Member{}
 	}
-	for _, peer := range r.OtherMembers() { // the member that stands there, while it is heard
+	for _, peer := range r.OtherMembers() {
 		if peer.Zone == heartbeat.Zone && r.reachable(peer.Node, now) {
 			return peer
 		}
@@ -41,7 +34,27 @@
 	return message.Member{}
 }
 
-// BackendPhase is what is known of an appliance's life; empty for nothing.
+// updateBackend applies a heartbeat to a backend and publishes the backend if the change concerns others.
+func (r *Replica) updateBackend(
+	now time.Time, id string, heartbeat *replication.Heartbeat, current replication.Item, known bool,
+) {
+	self := r.config.Self.Node
+	previous := r.backends[id]
+	published, ok := replication.ReadBackend(current)
+	if known && ok && (previous == nil || published.Owner != self || published.Phase != previous.Phase) {
+		previous = published
+	}
+	item, backend, changed := replication.UpdateFromHeartbeat(id, heartbeat, previous, self, now)
+	if changed {
+		r.mergeLocal(item)
+	} else {
+		backend.HeartbeatMs = previous.HeartbeatMs // as it was published last
+	}
+	r.backends[id] = backend
+	r.liveness.RecordHeartbeat(id, now)
+}
+
+// BackendPhase returns the phase of a backend, or "" where nothing is known of it.
 func (r *Replica) BackendPhase(id string) string {
 	item, _ := r.items.Get(replication.BackendKey + id)
 	backend, ok := replication.ReadBackend(item)
@@ -51,156 +64,104 @@
 	return backend.Phase
 }
 
-// DeregisterBackend takes an appliance's last word.
+// BackendEnded reports whether a backend has left, or nothing is known of it.
+func (r *Replica) BackendEnded(id string) bool {
+	phase := r.BackendPhase(id)
+	return phase == "" || phase == replication.PhaseLeft
+}
+
+// Backends returns the backends that are known and have not left, by ID.
+func (r *Replica) Backends() map[string]*replication.Backend {
+	backends := map[string]*replication.Backend{}
+	r.items.ForEach(replication.BackendKey, func(item replication.Item) {
+		if backend, ok := replication.ReadBackend(item); ok && backend.Phase != replication.PhaseLeft {
+			backends[strings.TrimPrefix(item.Key, replication.BackendKey)] = backend
+		}
+	})
+	return backends
+}
+
+// DeregisterBackend records that a backend has left for good.
 func (r *Replica) DeregisterBackend(now time.Time, id string) {
 	key := replication.BackendKey + id
 	current, known := r.items.Get(key)
-	backend, parsed := replication.ReadBackend(current)
-	if !known || !parsed {
+	backend, ok := replication.ReadBackend(current)
+	if !known || !ok {
 		backend = &replication.Backend{}
 	}
 	r.mergeLocal(backend.ItemWithPhase(id, replication.PhaseLeft, replication.LeftVersion))
-	r.tombstones[key] = now.Add(tombstoneRetention)
+	r.bury(key, now)
 	r.liveness.ForgetBackend(id)
 	delete(r.backends, id)
 }
 
-// MergeTallies takes what an edge agent has seen of releases.
-func (r *Replica) MergeTallies(now time.Time, items []replication.Item) {
-	for _, item := range items {
-		if strings.HasPrefix(item.Key, replication.ReleaseTallyKey) {
-			r.mergeLocal(item)
-		}
-	}
-	r.decideReleases(now)
-}
-
-// decideReleases decides the releases on which the agents' votes say so.
-func (r *Replica) decideReleases(now time.Time) {
-	tallies := map[string][]*replication.ReleaseTally{}
-	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
-		service, _, _ := strings.Cut(item.Key[len(replication.ReleaseTallyKey):], "/")
-		if tally, ok := replication.ReadReleaseTally(item); ok {
-			tallies[service] = append(tallies[service], tally)
-		}
-	})
-	for _, service := range slices.Sorted(maps.Keys(tallies)) {
-		rel, ok := release.Read(r.acceptor.Get(release.RegisterKey(service)).Value)
-		if !ok || rel.Phase != release.PhaseInService || r.decidingReleases[service] {
-			continue
-		}
-		phase := release.CountVotes(rel.Number, tallies[service])
-		if phase == "" {
-			continue
-		}
-		r.decidingReleases[service] = true
-		r.logEvent("release decided by votes", "service", service, "phase", phase)
-		keys, decide := quorum.UpdateEach(map[string]quorum.UpdateFunc{release.RegisterKey(service): release.End(rel.Number, phase)})
-		r.startOperation(now, &operation{kind: proposeWrite, expiresAt: now.Add(4 * attemptTimeout), keys: keys, decide: decide,
-			onEnd: func() { delete(r.decidingReleases, service) }}) // without an end the votes stand, and are counted again
-	}
-}
-
-// Maintain does what time brings: leases that ran out, appliances fallen silent, lives long gone, values without an end.
-func (r *Replica) Maintain(now time.Time) {
-	r.observeClock(now)
-	r.advanceGeneration(now)
-	r.startDiskConfirmation(now)
-	r.startTakeover(now)
-	r.reconfigure(now)
-	r.noteQuorumChange(now)
-	r.repairUndecided(now)
-	r.retrySave(now)
-	liveOrigins := map[string]bool{}
-	for _, peer := range r.peers {
-		liveOrigins[peer.origin] = true
-	}
-	r.items.Prune(liveOrigins)
-	if r.items.RepublishOldIncarnations() > 0 {
-		r.notifyAfter(tallyNotifyDelay)
-	}
-	r.expireLeases(now)
+// expireBackends marks the backends as timed out whose heartbeats came here and have stopped.
+func (r *Replica) expireBackends(now time.Time) {
 	for _, id := range r.liveness.ExpireBackends(r.config.BackendTimeout, now) {
 		key := replication.BackendKey + id
-		item, ok := r.items.Get(key)
-		backend, parsed := replication.ReadBackend(item)
+		item, known := r.items.Get(key)
+		backend, ok := replication.ReadBackend(item)
 		delete(r.backends, id)
-		if !ok || !parsed || backend.Owner != r.config.Self.Node || backend.Phase == replication.PhaseLeft {
+		if !known || !ok || backend.Owner != r.config.Self.Node || backend.Phase == replication.PhaseLeft {
 			continue
 		}
 		r.mergeLocal(backend.TimedOut(id, item.Version))
-		r.tombstones[key] = now.Add(tombstoneRetention)
-	}
-	r.markOrphansSilent(now)
-	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
-		if lease, ok := replication.ReadLease(item); ok && !lease.Ended && lease.Role == message.RoleProxy && r.reachable(lease.Grantor, now) {
-			r.liveness.ObserveLease(item.Key, lease.Zone, now)
-		}
-	})
-	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
-		service, _, _ := strings.Cut(item.Key[len(replication.ReleaseTallyKey):], "/")
-		tally, ok := replication.ReadReleaseTally(item)
-		rel, known := release.Read(r.acceptor.Get(release.RegisterKey(service)).Value)
-		if _, noted := r.tombstones[item.Key]; !noted && ok && known && (rel.Phase != release.PhaseInService || rel.Number > tally.ReleaseNumber) {
-			r.tombstones[item.Key] = now.Add(tombstoneRetention)
-		}
-	})
-	for _, key := range slices.Sorted(maps.Keys(r.tombstones)) {
-		if now.Before(r.tombstones[key]) {
-			continue
-		}
-		delete(r.tombstones, key)
-		item, ok := r.items.Get(key)
-		if backend, parsed := replication.ReadBackend(item); strings.HasPrefix(key, replication.ReleaseTallyKey) || ok && parsed && (backend.Phase == replication.PhaseLeft || backend.Phase == replication.PhaseTimedOut) {
-			r.items.Delete(key)
-			r.output.ForgottenKeys = append(r.output.ForgottenKeys, key)
-		}
+		r.bury(key, now)
 	}
 }
 
-// markOrphansSilent tells the silence of appliances whose member is gone and that have found no other: the first by name of those
-// that are there does it for all.
-func (r *Replica) markOrphansSilent(now time.Time) {
-	responsible := true
-	for node, peer := range r.peers {
-		switch heard := r.reachable(node, now); {
-		case heard:
-			peer.lostSince = time.Time{}
-			responsible = responsible && r.config.Self.Node < node
-		case peer.lostSince.IsZero() && peer.heardOnce:
-			peer.lostSince = now
-		}
-	}
-	if !responsible || !r.HasQuorum(now) {
+// expireOrphanedBackends marks the backends as timed out whose owner, the member that their heartbeats went to, has
+// been lost for BackendTimeout, and that have not turned to another. Of the members that are reachable the first by
+// name does it for all.
+func (r *Replica) expireOrphanedBackends(now time.Time) {
+	if !r.noteLostPeers(now) || !r.HasQuorum(now) {
 		return
 	}
-	var silent []replication.Item
+	var timedOut []replication.Item
 	r.items.ForEach(replication.BackendKey, func(item replication.Item) {
 		backend, ok := replication.ReadBackend(item)
 		if !ok || backend.Phase != replication.PhaseReady && backend.Phase != replication.PhaseDraining {
 			return
 		}
 		if since, lost := r.ownerLostSince(now, backend.Owner); lost && now.Sub(since) > r.config.BackendTimeout {
-			silent = append(silent, backend.TimedOut(strings.TrimPrefix(item.Key, replication.BackendKey), item.Version))
+			id := strings.TrimPrefix(item.Key, replication.BackendKey)
+			timedOut = append(timedOut, backend.TimedOut(id, item.Version))
 		}
 	})
-	for _, item := range silent {
+	for _, item := range timedOut {
 		r.mergeLocal(item)
-		r.tombstones[item.Key] = now.Add(tombstoneRetention)
+		r.bury(item.Key, now)
+	}
+}
+
+// noteLostPeers notes which peers have become unreachable since the last call. It reports whether this replica is the
+// first by name of those that are reachable.
+func (r *Replica) noteLostPeers(now time.Time) (first bool) {
+	first = true
+	for node, peer := range r.peers {
+		switch {
+		case r.reachable(node, now):
+			peer.lostSince = time.Time{}
+			first = first && r.config.Self.Node < node
+		case peer.lostSince.IsZero() && peer.heardOnce:
+			peer.lostSince = now
+		}
 	}
+	return first
 }
 
-// ownerLostSince is since when the member that an appliance called is not heard any more, or no member.
-func (r *Replica) ownerLostSince(now time.Time, home string) (since time.Time, lost bool) {
-	if peer := r.peers[home]; peer != nil {
-		delete(r.lostOwners, home)
+// ownerLostSince reports whether the owner of a backend is lost, and since when: a member that is unreachable, or a
+// node that is no member.
+func (r *Replica) ownerLostSince(now time.Time, owner string) (since time.Time, lost bool) {
+	if peer := r.peers[owner]; peer != nil {
+		delete(r.lostOwners, owner)
 		return peer.lostSince, !peer.lostSince.IsZero()
 	}
-	if home == r.config.Self.Node {
+	if owner == r.config.Self.Node {
 		return time.Time{}, false
 	}
-	if _, noted := r.lostOwners[home]; !noted {
-		r.lostOwners[home] = now
+	if _, noted := r.lostOwners[owner]; !noted {
+		r.lostOwners[owner] = now
 	}
-	return r.lostOwners[home], true
+	return r.lostOwners[owner], true
 }
--- a/internal/control/replica/clock.go
+++ b/internal/control/replica/clock.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// observeClock notes how late it is, and where the clock was set back brings what waits for a moment forward by as much: else a
-// round that lost a message, or a value without an end, would wait for the time that was set back.
+// observeClock notes the current time. Where the clock was set back, everything that waits for a later time is moved
+// back by the same amount: otherwise a round that lost a message, or an undecided value, would wait until the clock
+// has caught up.
 func (r *Replica) observeClock(now time.Time) {
 	setBack := r.lastNow.Sub(now)
 	r.lastNow = now
@@ -11,25 +12,25 @@
 		return
 	}
 	for _, op := range r.operations {
-		op.expiresAt, op.attemptDeadline, op.retryAt = shiftEarlier(op.expiresAt, setBack), shiftEarlier(op.attemptDeadline, setBack), shiftEarlier(op.retryAt, setBack)
+		moveBack(setBack, &op.expiresAt, &op.attemptDeadline, &op.retryAt)
 	}
 	for key, at := range r.undecided {
-		r.undecided[key] = shiftEarlier(at, setBack)
+		r.undecided[key] = at.Add(-setBack)
 	}
 	for _, peer := range r.peers {
-		peer.lastHeard, peer.lastPull, peer.memberSince = shiftEarlier(peer.lastHeard, setBack), shiftEarlier(peer.lastPull, setBack), shiftEarlier(peer.memberSince, setBack)
+		moveBack(setBack, &peer.lastHeard, &peer.lastPull, &peer.memberSince)
 	}
 	for _, candidate := range r.candidates {
-		candidate.lastPull = shiftEarlier(candidate.lastPull, setBack)
+		moveBack(setBack, &candidate.lastPull)
 	}
-	r.startedAt, r.lastCallbackAt = shiftEarlier(r.startedAt, setBack), shiftEarlier(r.lastCallbackAt, setBack)
-	r.local.adoptedAt = shiftEarlier(r.local.adoptedAt, setBack)
+	moveBack(setBack, &r.startedAt, &r.lastCallbackAt, &r.local.adoptedAt)
 }
 
-// shiftEarlier is a moment brought forward; the zero one stays.
-func shiftEarlier(at time.Time, by time.Duration) time.Time {
-	if at.IsZero() {
-		return at
+// moveBack subtracts a duration from each time that is set.
+func moveBack(by time.Duration, times ...*time.Time) {
+	for _, t := range times {
+		if !t.IsZero() {
+			*t = t.Add(-by)
+		}
 	}
-	return at.Add(-by)
 }
--- /dev/null
+++ b/internal/control/replica/leases.go
@@ -0,0 +1,130 @@
+package replica
+
+import (
+	"slices"
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
+)
+
+// The version of a lease's item consists of the proxy's incarnation and, in the low bits, a counter of the lease's
+// changes within that incarnation. The last value of the counter means that the proxy itself has ended the lease.
+const (
+	leaseCounterBits  = 8
+	leaseCounterEnded = 1<<leaseCounterBits - 1
+)
+
+func leaseVersion(incarnation, counter uint64) uint64 { return incarnation<<leaseCounterBits | counter }
+
+func leaseIncarnation(version uint64) uint64 { return version >> leaseCounterBits }
+
+func leaseEndedByProxy(version uint64) bool { return version&leaseCounterEnded == leaseCounterEnded }
+
+// renewLease grants, renews or ends the lease of the proxy that sent a pull. It returns 0, or the incarnation that the
+// proxy has to exceed for its pulls to be taken: they may be late, or its clock may have been set back between two
+// starts.
+func (r *Replica) renewLease(now time.Time, request *message.PullRequest) (knownIncarnation uint64) {
+	lease := &replication.Lease{
+		Node:          request.From.Node,
+		Role:          request.Role,
+		Zone:          request.From.Zone,
+		ListenAddress: request.ListenerAddr,
+		Grantor:       r.config.Self.Node,
+		Ended:         request.Ended,
+	}
+	item := lease.Item(leaseVersion(request.Incarnation, 0))
+	previous, known := r.items.Get(item.Key)
+	if request.Ended {
+		item.Version = leaseVersion(request.Incarnation, leaseCounterEnded)
+		if !known || previous.Version < item.Version {
+			r.mergeLocal(item)
+		}
+		return 0
+	}
+	r.liveness.RenewLease(item.Key, lease.Zone, now)
+	previousLease, ok := replication.ReadLease(previous)
+	if known && ok && *previousLease == *lease && leaseIncarnation(previous.Version) == request.Incarnation {
+		return 0 // nothing has changed
+	}
+	if known && previous.Version >= item.Version {
+		if leaseIncarnation(previous.Version) > request.Incarnation || leaseEndedByProxy(previous.Version) {
+			return leaseIncarnation(previous.Version)
+		}
+		item.Version = previous.Version + 1 // the proxy has moved here, or is back after its lease expired
+	}
+	r.mergeLocal(item)
+	return 0
+}
+
+// expireLeases ends the leases granted here that have not been renewed. Whatever is reported of leases must be
+// preceded by it, as the process may have been suspended since the last step.
+func (r *Replica) expireLeases(now time.Time) {
+	for _, key := range r.liveness.ExpireLeases(now) {
+		item, known := r.items.Get(key)
+		lease, ok := replication.ReadLease(item)
+		if !known || !ok || lease.Grantor != r.config.Self.Node || lease.Ended {
+			continue
+		}
+		lease.Ended = true
+		lease.ListenAddress = ""
+		r.mergeLocal(lease.Item(item.Version + 1))
+		r.logEvent("lease expired", "node", lease.Node, "role", lease.Role)
+	}
+}
+
+// RecentProxies lists the proxies that may have requests in flight: those that hold a lease, and those whose lease
+// expired within proxyRetention without having been ended by the proxy.
+func (r *Replica) RecentProxies(now time.Time) (nodes []string) {
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		lease, ok := replication.ReadLease(item)
+		if ok && lease.Role == message.RoleProxy && !leaseEndedByProxy(item.Version) &&
+			r.liveness.IsActive(item.Key, now) {
+			nodes = append(nodes, lease.Node)
+		}
+	})
+	slices.Sort(nodes)
+	return nodes
+}
+
+// ListenerAddrs lists at most limit addresses to which clients of a zone should go: those of the proxies in the zone;
+// where there are none, those in its region; where there are none either, all.
+func (r *Replica) ListenerAddrs(now time.Time, zone, region string, limit int) []string {
+	var sameZone, sameRegion, elsewhere []string
+	r.expireLeases(now)
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		lease, ok := replication.ReadLease(item)
+		if !ok || !r.listens(now, item.Key, lease) {
+			return
+		}
+		switch {
+		case lease.Zone == zone:
+			sameZone = append(sameZone, lease.ListenAddress)
+		case r.config.RegionByZone[lease.Zone] == region:
+			sameRegion = append(sameRegion, lease.ListenAddress)
+		default:
+			elsewhere = append(elsewhere, lease.ListenAddress)
+		}
+	})
+	addrs := sameZone
+	if len(addrs) == 0 {
+		addrs = sameRegion
+	}
+	if len(addrs) == 0 {
+		addrs = elsewhere
+	}
+	slices.Sort(addrs)
+	return addrs[:min(len(addrs), limit)]
+}
+
+// listens reports whether the holder of a lease is a proxy that takes clients. The lease has to be confirmed: by a
+// renewal since this replica's start if it was granted here, otherwise by a grantor that is reachable.
+func (r *Replica) listens(now time.Time, key string, lease *replication.Lease) bool {
+	if lease.Ended || lease.ListenAddress == "" || lease.Role != message.RoleProxy {
+		return false
+	}
+	if lease.Grantor == r.config.Self.Node && !r.liveness.HasRenewedLease(key) {
+		return false
+	}
+	return r.reachable(lease.Grantor, now)
+}
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"hash/fnv"
 	"slices"
 	"strconv"
 	"time"
@@ -11,41 +10,31 @@
 	"sagelever/internal/control/quorum"
 )
 
-// Identity is what a replica's disk says of the replica. It is saved whole, as JSON.
-type Identity struct {
-	Disk       string   `json:"Disk"`       // of this disk; another one is another member
-	Starts     uint64   `json:"Starts"`     // of processes that used it
-	Generation uint64   `json:"Generation"` // counted on once others have confirmed it, and each generationInterval from then on
-	Fresh      bool     `json:"Fresh"`      // it took part in the first start of the whole system
-	Contacts   []string `json:"Contacts"`   // the peer addresses of the first contacts at that start
-	Acting     bool     `json:"Acting"`     // it has acted, in the epoch Active
-	Active     uint64   `json:"Active"`     // the last epoch for which it held all that was chosen before
-}
+// localMembership is the configuration as this replica knows it, and the replica's own part in it.
+type localMembership struct {
+	self message.Member
 
-// generationInterval is how often a running replica counts its generation on. A disk from the past is noticed when it is older
-// than this and the longest pause between two pulls together (PeerPullWait and a second).
-const generationInterval = 10 * time.Second
+	// configuration is the newest that is known to be chosen. In epoch 0, before the first one is chosen, it consists
+	// of the initial peers, which decide on the first configuration and nothing else.
+	configuration      membership.Configuration
+	configurationEntry quorum.Entry // the register that holds it; zero in epoch 0
+	adoptedAt          time.Time    // when this replica heard of it
+	proposing          bool         // a write of the next one is under way
 
-// configurationRepairDelay is settle for the set of members.
-const configurationRepairDelay = 300 * time.Millisecond
+	// bootstrapPossibleSince is since when enough initial peers have been present to propose the first configuration.
+	bootstrapPossibleSince time.Time
 
-// localMembership is this replica's place among the members.
-type localMembership struct {
-	self                   message.Member
-	configuration          membership.Configuration // the newest that is known to be chosen; of epoch 0 the first contacts
-	configurationEntry     quorum.Entry             // as which it was chosen; the zero one in epoch 0
-	identity               Identity
-	submittedIdentity      Identity // as the disk was last given it; part of it may not be there yet
-	identitySaved          bool     // the identity is on the disk
-	diskConfirmed          bool     // the disk is not one from the past
-	generationAdvancedAt   time.Time
-	adoptedAt              time.Time // when the set was heard of
-	caughtUp               bool      // what an acting member held is held here, by one that is no member
-	proposing              bool
-	bootstrapPossibleSince time.Time // since when a first set could be proposed
+	identity             Identity
+	submittedIdentity    Identity // as it was handed to the disk last, which may not have saved it yet
+	identitySaved        bool     // the disk's identity is on disk
+	generationAdvancedAt time.Time
+
+	diskConfirmed bool // the disk is known not to be an old copy
+	caughtUp      bool // as a candidate: everything that an active member held is held here
 }
 
-func (l *localMembership) entry() *message.ConfigurationEntry {
+// chosenEntry returns the register that holds the configuration, or nil in epoch 0.
+func (l *localMembership) chosenEntry() *message.ConfigurationEntry {
 	if l.configurationEntry.Key == "" {
 		return nil
 	}
@@ -53,44 +42,80 @@
 	return &entry
 }
 
-// isMember tells whether this replica, on this disk, belongs to the set in force.
+// isMember reports whether this replica, with its present disk, is a member of the current configuration; in epoch 0,
+// whether it is one of the initial peers.
 func (l *localMembership) isMember() bool {
+	if l.configuration.Epoch > 0 {
+		return l.configuration.Contains(l.self)
+	}
+	isSelf := func(peer message.Member) bool { return peer.Addr == l.self.Addr }
+	return l.identity.Fresh && slices.ContainsFunc(l.configuration.Members, isSelf)
+}
+
+// inPrevious reports whether a replica, with its present disk, was a member of the previous configuration.
+func (l *localMembership) inPrevious(member message.Member) bool {
+	return slices.ContainsFunc(l.configuration.Previous, member.SameReplica)
+}
+
+// proposerID returns this replica's name in proposal numbers. It contains how often a process was started on the disk:
+// what an earlier process has proposed and not saved as its own promise is not known, and no proposal number may be
+// used twice.
+func (l *localMembership) proposerID() string {
+	name := l.self.Node
 	if l.configuration.Epoch == 0 {
-		return l.identity.Fresh && slices.ContainsFunc(l.configuration.Members, func(peer message.Member) bool { return peer.Addr == l.self.Addr })
+		name = l.self.Addr
 	}
-	return l.configuration.Contains(l.self)
+	return name + "/" + strconv.FormatUint(l.identity.Starts, 36)
 }
 
-// loadMembership reads from what the disk held which replica this is, and which set of members it knew.
+// loadMembership restores which replica this is and which configuration it knew.
 func (r *Replica) loadMembership(now time.Time, persisted PersistedState) {
 	local := &r.local
-	local.identity = persisted.Identity
-	if local.identity.Disk == "" {
-		first := r.config.Bootstrap || persisted.LegacyDisk
-		local.identity = Identity{Disk: r.newDiskID(now), Generation: 1, Fresh: first, Acting: first, Contacts: r.config.InitialPeers}
+	identity := persisted.Identity
+	if identity.Disk == "" {
+		founding := r.config.Bootstrap || persisted.LegacyDisk
+		identity = Identity{
+			Disk:       r.newDiskID(now),
+			Generation: 1,
+			Fresh:      founding,
+			Acting:     founding,
+			Contacts:   r.config.InitialPeers,
+		}
 	}
-	local.identity.Starts++
-	local.submittedIdentity = local.identity
+	identity.Starts++
 	local.self = r.config.Self
-	local.self.DiskID = local.identity.Disk
+	local.setIdentity(identity)
 	r.diskGenerations = persisted.Generations
 	if r.diskGenerations == nil {
 		r.diskGenerations = map[string]message.DiskGeneration{}
 	}
+	r.loadConfiguration()
+	r.updatePeers(now)
+}
+
+// loadConfiguration restores the configuration from its register. One that was accepted and is not known to be chosen
+// is not in force yet, as far as this replica knows: its predecessor is, which it names.
+func (r *Replica) loadConfiguration() {
+	local := &r.local
 	local.configuration = initialConfiguration(local.identity.Contacts)
-	held := r.acceptor.Get(membership.RegisterKey)
-	configuration, err := membership.ParseConfiguration(held.Value)
-	switch {
-	case err != nil:
-	case held.Chosen:
-		local.configuration, local.configurationEntry = configuration, held
-	case configuration.Epoch > 1: // accepted, and not known to be chosen: the set before is in force as far as this replica knows
-		local.configuration = membership.Configuration{Epoch: configuration.Epoch - 1, Members: configuration.Previous, MaxFailures: configuration.PreviousMaxFailures}
+	entry := r.acceptor.Get(membership.RegisterKey)
+	configuration, err := membership.ParseConfiguration(entry.Value)
+	if err != nil {
+		return // no configuration was accepted yet
+	}
+	if entry.Chosen {
+		local.configuration = configuration
+		local.configurationEntry = entry
+	} else if configuration.Epoch > 1 {
+		local.configuration = membership.Configuration{
+			Epoch:       configuration.Epoch - 1,
+			Members:     configuration.Previous,
+			MaxFailures: configuration.PreviousMaxFailures,
+		}
 	}
-	r.updatePeers(now)
 }
 
-// initialConfiguration are the first contacts, which decide the first set of members and nothing else.
+// initialConfiguration returns the configuration of epoch 0. Its members are known by their addresses only.
 func initialConfiguration(addrs []string) membership.Configuration {
 	var members []message.Member
 	for _, addr := range addrs {
@@ -99,62 +124,48 @@
 	return membership.NewConfiguration(0, members, len(members))
 }
 
-// newDiskID draws an identity for a disk that is used for the first time.
-func (r *Replica) newDiskID(now time.Time) string {
-	hash := fnv.New64a()
-	hash.Write([]byte(r.config.Self.Node + r.config.Self.Addr))
-	return strconv.FormatUint(hash.Sum64()^uint64(now.UnixNano()), 36) + strconv.FormatUint(uint64(r.config.Random()*(1<<30)), 36)
-}
-
-// saveIdentity saves the identity and begins what has to come before this replica acts.
-func (r *Replica) saveIdentity(now time.Time) {
-	identity := r.local.submittedIdentity
-	r.save(now, Save{Identity: &identity}, func(now time.Time, err error) {
-		if err == nil {
-			r.local.identitySaved = true
-			r.startDiskConfirmation(now)
-		}
-	})
-}
-
-// startDiskConfirmation has others confirm that this disk is not one from the past, where there are others who know.
-func (r *Replica) startDiskConfirmation(now time.Time) {
+// adoptConfiguration makes a chosen configuration the current one if it is newer.
+func (r *Replica) adoptConfiguration(now time.Time, entry quorum.Entry) {
 	local := &r.local
-	if local.diskConfirmed || !local.identitySaved || r.isRunning(confirmDisk) {
+	if entry.Value.Version <= local.configuration.Epoch {
 		return
 	}
-	wanted := local.configuration.Epoch > 0 && (local.isMember() || r.activeInPreviousEpoch()) // its word is wanted, in this epoch or by those who take over
-	if local.identity.Starts == 1 || wanted && local.configuration.GenerationQuorum() == 0 {
-		local.diskConfirmed = true
-		r.startTakeover(now)
+	configuration, err := membership.ParseConfiguration(entry.Value)
+	if err != nil {
 		return
 	}
-	if wanted {
-		r.startOperation(now, &operation{kind: confirmDisk})
+	wasMember := local.configuration.Epoch > 0 && local.isMember()
+	local.configuration = configuration
+	local.configurationEntry = entry
+	local.adoptedAt = now
+	r.updatePeers(now)
+	r.restartAttempts(now)
+	epoch := formatUint(configuration.Epoch)
+	r.logEvent("configuration adopted", "epoch", epoch,
+		"members", strconv.Itoa(len(configuration.Members)), "member", strconv.FormatBool(local.isMember()))
+	if wasMember && !local.isMember() {
+		r.logEvent("removed from the configuration", "epoch", epoch)
 	}
+	r.startDiskConfirmation(now)
+	r.startTakeover(now)
+	r.notifyAfter(0)
 }
 
-// isRunning tells whether a task of a kind is under way.
-func (r *Replica) isRunning(kind int) bool {
-	for _, op := range r.operations {
-		if op.kind == kind {
-			return true
-		}
-	}
-	return false
-}
+// Epoch returns the newest epoch that this replica knows of.
+func (r *Replica) Epoch() uint64 { return r.local.configuration.Epoch }
 
-// Active tells whether this replica counts: it is a member in the epoch in force, holds all that was chosen before it, and
-// its disk is not one from the past.
+// Active reports whether this replica votes: it is a member of the current configuration, holds everything that was
+// chosen in earlier epochs, and its disk is known not to be an old copy.
 func (r *Replica) Active() bool {
 	local := &r.local
 	if local.configuration.Epoch > 0 && !local.diskConfirmed {
 		return false
 	}
-	return local.identitySaved && local.identity.Acting && local.identity.Active == local.configuration.Epoch && local.isMember()
+	identity := &local.identity
+	return local.identitySaved && identity.Acting && identity.Active == local.configuration.Epoch && local.isMember()
 }
 
-// activeEpoch is the epoch in which this replica acts; zero where it does not.
+// activeEpoch returns the epoch in which this replica is active, or 0 where it is not.
 func (r *Replica) activeEpoch() uint64 {
 	if !r.Active() {
 		return 0
@@ -162,13 +173,24 @@
 	return r.local.configuration.Epoch
 }
 
-// epochClosed tells whether this replica has accepted a next set: then nothing else is promised or accepted in this epoch, so that
-// whoever takes over finds all that can ever be chosen in it.
+// activeInPreviousEpoch reports whether this replica was active in the epoch before the current one.
+func (r *Replica) activeInPreviousEpoch() bool {
+	local := &r.local
+	identity := &local.identity
+	return identity.Acting && identity.Active+1 == local.configuration.Epoch && local.inPrevious(local.self)
+}
+
+// epochClosed reports whether this replica has accepted the configuration that follows the epoch in which it was last
+// active. Nothing but that configuration is promised or accepted then, so that whoever takes over from this replica
+// finds all that can ever be chosen in the epoch. Epoch 0 is closed from the start.
 func (r *Replica) epochClosed() bool {
-	return r.local.configuration.Epoch == 0 || r.acceptor.Get(membership.RegisterKey).Value.Version > r.local.identity.Active
+	if r.local.configuration.Epoch == 0 {
+		return true
+	}
+	return r.acceptor.Get(membership.RegisterKey).Value.Version > r.local.identity.Active
 }
 
-// concernsOnlyConfiguration tells whether a message of a round is about the set of members alone.
+// concernsOnlyConfiguration reports whether a request of a round is about the configuration and no other register.
 func concernsOnlyConfiguration(request *message.PeerRequest) bool {
 	for _, key := range request.Keys {
 		if key != membership.RegisterKey {
@@ -183,143 +205,10 @@
 	return true
 }
 
-// Epoch is the newest epoch that this replica knows of.
-func (r *Replica) Epoch() uint64 { return r.local.configuration.Epoch }
-
-// CandidateReady tells whether a replica that is no member has told here that it holds what the members hold.
-func (r *Replica) CandidateReady(node string) bool {
-	candidate := r.candidates[node]
-	return candidate != nil && candidate.CaughtUp
-}
-
-// quorumName is this replica's name among those that answer in the rounds of the epoch in force.
+// quorumName returns the name under which this replica's own part in a round is counted.
 func (r *Replica) quorumName() string {
 	if r.local.configuration.Epoch == 0 {
 		return r.local.self.Addr
 	}
 	return r.local.self.Node
 }
-
-// proposerID is this replica's name in ballots. It holds how often a process has started with this disk: of what was
-// proposed in a life before, and not promised by this member's own disk yet, nothing is known, and no ballot may be used twice.
-func (l *localMembership) proposerID() string {
-	name := l.self.Node
-	if l.configuration.Epoch == 0 {
-		name = l.self.Addr
-	}
-	return name + "/" + strconv.FormatUint(l.identity.Starts, 36)
-}
-
-// votingPeers are the other members of the epoch in force, where they were last heard.
-func (r *Replica) votingPeers() []message.Member {
-	if r.local.configuration.Epoch > 0 {
-		return r.OtherMembers()
-	}
-	return slices.DeleteFunc(slices.Clone(r.local.configuration.Members), func(peer message.Member) bool { return peer.Addr == r.local.self.Addr })
-}
-
-// adoptConfiguration takes up a set of members that is known to be chosen.
-func (r *Replica) adoptConfiguration(now time.Time, entry quorum.Entry) {
-	local := &r.local
-	if entry.Key != membership.RegisterKey || entry.Value.Version <= local.configuration.Epoch {
-		return
-	}
-	configuration, err := membership.ParseConfiguration(entry.Value)
-	if err != nil {
-		return
-	}
-	wasMember := local.isMember() && local.configuration.Epoch > 0
-	local.configuration, local.configurationEntry, local.adoptedAt = configuration, entry, now
-	r.updatePeers(now)
-	for _, number := range r.operationIDs() {
-		op := r.operations[number]
-		if op.kind == confirmDisk {
-			r.finish(op, nil, nil)
-		} else if op.retryAt.IsZero() {
-			op.attempt++ // what was asked under the set before does not count
-			op.retryAt = now
-		}
-	}
-	r.logEvent("members changed", "epoch", strconv.FormatUint(configuration.Epoch, 10), "members", strconv.Itoa(len(configuration.Members)), "here", strconv.FormatBool(local.isMember()))
-	if wasMember && !local.isMember() {
-		r.logEvent("this replica is no member any more", "epoch", strconv.FormatUint(configuration.Epoch, 10))
-	}
-	r.startDiskConfirmation(now)
-	r.startTakeover(now)
-	r.notifyAfter(0)
-}
-
-// updatePeers makes the members of the set those that are known, and keeps what is known of them.
-func (r *Replica) updatePeers(now time.Time) {
-	peers := map[string]*peerState{}
-	if r.local.configuration.Epoch > 0 {
-		for _, peer := range r.local.configuration.Members {
-			if peer.Node == r.local.self.Node {
-				continue
-			}
-			if previous := r.peers[peer.Node]; previous != nil && previous.SameReplica(peer) {
-				peers[peer.Node] = previous
-				continue
-			}
-			peers[peer.Node] = &peerState{Member: peer, memberSince: now}
-			if candidate := r.candidates[peer.Node]; candidate != nil && candidate.SameReplica(peer) {
-				peers[peer.Node].Member = candidate.Member // where it called from last
-			}
-		}
-	}
-	r.peers = peers
-}
-
-// startTakeover begins to take over from the epoch before, or to learn as a candidate, where that is due.
-func (r *Replica) startTakeover(now time.Time) {
-	local := &r.local
-	if !local.identitySaved || local.configuration.Epoch == 0 || r.Active() {
-		return
-	}
-	if local.isMember() {
-		if local.diskConfirmed && !r.isRunning(takeOverEpoch) {
-			r.startOperation(now, &operation{kind: takeOverEpoch})
-		}
-		return
-	}
-	if !local.caughtUp && !r.isRunning(catchUp) {
-		r.startOperation(now, &operation{kind: catchUp})
-	}
-}
-
-// replaceIdentity gives up a disk that turned out to be one from the past: what it promised later is not known here. Its replica
-// goes on as one that was never a member.
-func (r *Replica) replaceIdentity(now time.Time) {
-	local := &r.local
-	r.logEvent("the disk is one from the past: this replica is no member until it is voted in again", "generation", strconv.FormatUint(local.identity.Generation, 10))
-	local.identity = Identity{Disk: r.newDiskID(now), Starts: 1, Generation: 1}
-	local.submittedIdentity = local.identity
-	local.self.DiskID = local.identity.Disk
-	local.identitySaved, local.diskConfirmed, local.caughtUp = false, false, false
-	r.updatePeers(now)
-	r.saveIdentity(now)
-}
-
-// advanceGeneration counts the generation of the disk on, once others have confirmed it: counted on sooner, an old disk that is started
-// again and again while its replica is cut off would pass what the others know.
-func (r *Replica) advanceGeneration(now time.Time) {
-	local := &r.local
-	if !local.identitySaved {
-		if len(r.pendingSaves) == 0 {
-			r.saveIdentity(now)
-		}
-		return
-	}
-	if !local.diskConfirmed || now.Sub(local.generationAdvancedAt) < generationInterval && !now.Before(local.generationAdvancedAt) {
-		return
-	}
-	local.generationAdvancedAt = now
-	next := local.submittedIdentity
-	next.Generation++
-	local.submittedIdentity = next
-	r.save(now, Save{Identity: &next}, func(_ time.Time, err error) {
-		if err == nil && r.local.identity.Disk == next.Disk {
-			r.local.identity.Generation = max(r.local.identity.Generation, next.Generation)
-		}
-	})
-}
--- /dev/null
+++ b/internal/control/replica/maintenance.go
@@ -0,0 +1,99 @@
+package replica
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/release"
+	"sagelever/internal/control/replication"
+)
+
+// Maintain does the periodic work: it expires leases, backends and tombstones, repairs undecided registers, and starts
+// whatever the state of the configuration requires. The caller runs it several times a second.
+func (r *Replica) Maintain(now time.Time) {
+	r.observeClock(now)
+	r.advanceGeneration(now)
+	r.startDiskConfirmation(now)
+	r.startTakeover(now)
+	r.reconfigure(now)
+	r.noteQuorumChange(now)
+	r.repairUndecided(now)
+	r.retrySave(now)
+	r.pruneOrigins()
+	r.expireLeases(now)
+	r.expireBackends(now)
+	r.expireOrphanedBackends(now)
+	r.observeLeases(now)
+	r.retireTallies(now)
+	r.dropTombstones(now)
+}
+
+// pruneOrigins keeps the version vector short: it drops origins without items, and republishes the items of this
+// replica's old incarnations under the current one.
+func (r *Replica) pruneOrigins() {
+	liveOrigins := map[string]bool{}
+	for _, peer := range r.peers {
+		liveOrigins[peer.origin] = true
+	}
+	r.items.Prune(liveOrigins)
+	if r.items.RepublishOldIncarnations() > 0 {
+		r.notifyAfter(tallyNotifyDelay)
+	}
+}
+
+// observeLeases counts the proxies whose leases were granted by members that are reachable.
+func (r *Replica) observeLeases(now time.Time) {
+	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+		lease, ok := replication.ReadLease(item)
+		if ok && !lease.Ended && lease.Role == message.RoleProxy && r.reachable(lease.Grantor, now) {
+			r.liveness.ObserveLease(item.Key, lease.Zone, now)
+		}
+	})
+}
+
+// retireTallies buries the tallies of releases that have ended or were followed by another.
+func (r *Replica) retireTallies(now time.Time) {
+	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
+		if _, buried := r.tombstones[item.Key]; buried {
+			return
+		}
+		tally, ok := replication.ReadReleaseTally(item)
+		rel, known := release.Read(r.acceptor.Get(release.RegisterKey(tallyService(item.Key))).Value)
+		if ok && known && (rel.Phase != release.PhaseInService || rel.Number > tally.ReleaseNumber) {
+			r.bury(item.Key, now)
+		}
+	})
+}
+
+// bury has an item dropped after tombstoneRetention, if it is still obsolete by then.
+func (r *Replica) bury(key string, now time.Time) {
+	r.tombstones[key] = now.Add(tombstoneRetention)
+}
+
+// dropTombstones drops the tallies and the gone backends whose tombstones have expired.
+func (r *Replica) dropTombstones(now time.Time) {
+	for _, key := range slices.Sorted(maps.Keys(r.tombstones)) {
+		if now.Before(r.tombstones[key]) {
+			continue
+		}
+		delete(r.tombstones, key)
+		if strings.HasPrefix(key, replication.ReleaseTallyKey) || r.backendIsGone(key) {
+			r.items.Delete(key)
+			r.forget(key)
+		}
+	}
+}
+
+// backendIsGone reports whether the backend of an item's key has left or timed out. It may have come back since it was
+// buried.
+func (r *Replica) backendIsGone(key string) bool {
+	item, ok := r.items.Get(key)
+	if !ok {
+		return false
+	}
+	backend, ok := replication.ReadBackend(item)
+	return ok && isGone(backend.Phase)
+}
--- /dev/null
+++ b/internal/control/replica/peers.go
@@ -0,0 +1,179 @@
+package replica
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"sagelever/internal/control/message"
+)
+
+// peerState is what a replica knows of another member of the configuration.
+type peerState struct {
+	message.Member
+	lastPull    time.Time // when the last pull of it began
+	lastHeard   time.Time // when it responded last
+	heardOnce   bool      // it has responded since this replica's start
+	lostSince   time.Time // when it was noticed to be unreachable; zero while it is reachable
+	memberSince time.Time // when this replica learned that it is a member
+	leaving     bool      // its process is about to end
+	activeEpoch uint64    // the epoch in which it was active by its last response
+	origin      string    // of the items that it publishes in its current incarnation
+
+	// Progress of pulls from a peer of protocol version 1.
+	legacySource string
+	legacySeq    uint64
+}
+
+// heard notes a response of the peer.
+func (p *peerState) heard(now time.Time, response *message.PullResponse) {
+	p.lastHeard = now
+	p.heardOnce = true
+	p.activeEpoch = response.ActiveEpoch
+	p.legacySource = ""
+	p.legacySeq = 0
+	if len(response.Origins) > 0 {
+		p.origin = response.Origins[0]
+	}
+	if response.ProtocolVersion < message.ProtocolVersion {
+		p.legacySource = response.Source
+		p.legacySeq = response.Seq
+	}
+}
+
+// OtherMembers returns the members of the configuration except this replica, by node; none before the first
+// configuration is known.
+func (r *Replica) OtherMembers() []message.Member {
+	others := make([]message.Member, 0, len(r.peers))
+	for _, peer := range r.peers {
+		others = append(others, peer.Member)
+	}
+	sortByNode(others)
+	return others
+}
+
+func sortByNode(members []message.Member) {
+	slices.SortFunc(members, func(a, b message.Member) int { return strings.Compare(a.Node, b.Node) })
+}
+
+// votingPeers returns the other replicas that take part in the rounds of the current epoch, with their last known
+// addresses. Before the first configuration these are the initial peers.
+func (r *Replica) votingPeers() []message.Member {
+	if r.local.configuration.Epoch > 0 {
+		return r.OtherMembers()
+	}
+	isSelf := func(peer message.Member) bool { return peer.Addr == r.local.self.Addr }
+	return slices.DeleteFunc(slices.Clone(r.local.configuration.Members), isSelf)
+}
+
+// updatePeers makes the peers those of the current configuration, and keeps what is known of those that remain.
+func (r *Replica) updatePeers(now time.Time) {
+	previous := r.peers
+	r.peers = map[string]*peerState{}
+	if r.local.configuration.Epoch == 0 {
+		return
+	}
+	for _, member := range r.local.configuration.Members {
+		if member.Node == r.local.self.Node {
+			continue
+		}
+		if known := previous[member.Node]; known != nil && known.SameReplica(member) {
+			r.peers[member.Node] = known
+			continue
+		}
+		if candidate := r.candidates[member.Node]; candidate != nil && candidate.SameReplica(member) {
+			member = candidate.Member // with the address from which it called last
+		}
+		r.peers[member.Node] = &peerState{Member: member, memberSince: now}
+	}
+}
+
+// registerController takes up a controller that pulls: as a member of the configuration if it is one with its present
+// disk, otherwise as a candidate.
+func (r *Replica) registerController(now time.Time, request *message.PullRequest) {
+	if request.From.Node == r.config.Self.Node || request.From.Node == "" {
+		return
+	}
+	r.recordGeneration(request.From, request.DiskGeneration)
+	if request.KnownEpoch > r.local.configuration.Epoch && now.Sub(r.lastCallbackAt) > stuckPullTimeout {
+		r.lastCallbackAt = now // all members that this replica knows may be gone
+		r.output.PullNow = append(r.output.PullNow, request.From)
+	}
+	peer := r.callingPeer(request)
+	if peer == nil {
+		r.registerCandidate(now, request)
+		return
+	}
+	peer.Member = request.From // its address may have changed
+	peer.leaving = request.Leaving
+}
+
+// callingPeer returns the member that sent a pull, or nil where the sender is a proxy or a candidate.
+func (r *Replica) callingPeer(request *message.PullRequest) *peerState {
+	peer := r.peers[request.From.Node]
+	if request.Role != message.RoleController || peer == nil || !peer.SameReplica(request.From) {
+		return nil
+	}
+	return peer
+}
+
+// reachable reports whether a node is this replica or a member that has responded within PeerTimeout.
+func (r *Replica) reachable(node string, now time.Time) bool {
+	if node == r.config.Self.Node {
+		return true
+	}
+	peer := r.peers[node]
+	return peer != nil && peer.heardOnce && now.Sub(peer.lastHeard) < PeerTimeout
+}
+
+// HasQuorum reports whether this replica's items can be relied on: it is a member and reaches a majority of the
+// members. Without, it may lack what others have acknowledged.
+func (r *Replica) HasQuorum(now time.Time) bool {
+	if r.leaving || !r.activeOrTakingOver(now) {
+		return false
+	}
+	reachable := 1
+	for node := range r.peers {
+		if r.reachable(node, now) {
+			reachable++
+		}
+	}
+	return r.local.configuration.IsMajority(reachable)
+}
+
+// activeOrTakingOver reports whether this replica is active in the current epoch, or was active in the previous one
+// and is about to take over.
+func (r *Replica) activeOrTakingOver(now time.Time) bool {
+	local := &r.local
+	if local.configuration.Epoch == 0 {
+		return false
+	}
+	if r.Active() {
+		return true
+	}
+	return local.diskConfirmed && r.activeInPreviousEpoch() && local.isMember() &&
+		now.Sub(local.adoptedAt) < takeoverGrace
+}
+
+// noteQuorumChange logs when this replica gains or loses its quorum, and answers the pending pulls, which are told.
+func (r *Replica) noteQuorumChange(now time.Time) {
+	hasQuorum := r.HasQuorum(now)
+	if hasQuorum == r.hadQuorum {
+		return
+	}
+	r.hadQuorum = hasQuorum
+	r.notifyAfter(0)
+	text := "quorum reached"
+	if !hasQuorum {
+		text = "quorum lost"
+	}
+	r.logEvent(text, "sinceStartMs", formatMs(now.Sub(r.startedAt)))
+}
+
+// Leave announces that the process is about to end: pending pulls are answered at once so that their senders turn to
+// other members, and the members are asked for a successor. See HandingOver.
+func (r *Replica) Leave(now time.Time) {
+	r.leaving = true
+	r.notifyAfter(0)
+	r.reconfigure(now)
+}
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -9,65 +9,91 @@
 	"sagelever/internal/control/replication"
 )
 
-// restoreItems takes up what was kept. An appliance counts as cold until its pulse says otherwise, and as silent if none comes:
-// it may have gone, or gone cold, while this agent was away.
-func (r *Replica) restoreItems(persisted PersistedState, now time.Time) {
+// ItemsToPersist returns what has become known since a local sequence number, the progress that it amounts to once it
+// is on disk, and the sequence number to continue from. The caller saves it from time to time; dropped items are
+// listed in Output.ForgottenKeys. While registers, which are part of the progress, are not on disk yet, it returns
+// nothing.
+func (r *Replica) ItemsToPersist(since uint64) (items []PersistedItem, progress replication.Vector, seq uint64) {
+	if len(r.pendingSaves) > 0 || r.saveFailed {
+		return nil, nil, since
+	}
+	for _, item := range r.items.Since(since, nil) {
+		origin, sequence := r.items.OriginOf(item.Key)
+		if strings.HasPrefix(item.Key, replication.RegisterKey) {
+			item.Body = "" // it is saved with the register
+		}
+		items = append(items, PersistedItem{item, origin, sequence})
+	}
+	return items, r.items.Vector(), r.items.LocalSequence()
+}
+
+// restoreItems takes the items that the disk held. If they are older than incrementalPullWindow, those of other
+// origins may have been dropped elsewhere in the meantime: only the registers are kept, and the rest is pulled again.
+func (r *Replica) restoreItems(now time.Time, persisted PersistedState) {
 	slices.SortFunc(persisted.Items, func(a, b PersistedItem) int { return strings.Compare(a.Item.Key, b.Item.Key) })
 	expired := now.Sub(persisted.ProgressAt) > incrementalPullWindow
-	withdrawn := replication.Vector{}
-	for _, kept := range persisted.Items {
-		item := kept.Item
-		if expired && !strings.HasPrefix(item.Key, replication.RegisterKey) && kept.Origin != "" {
-			r.output.ForgottenKeys = append(r.output.ForgottenKeys, item.Key)
-			continue
-		}
-		if name, ok := strings.CutPrefix(item.Key, replication.RegisterKey); ok { // its content stands in the register
-			entry := r.acceptor.Get(name)
-			if !entry.Chosen || entry.Value.Version != item.Version { // written over meanwhile by what is not known to be chosen
-				if number, ok := withdrawn[kept.Origin]; !ok || kept.Number < number {
-					withdrawn[kept.Origin] = kept.Number
-				}
-				continue
-			}
-			item.Body = entryBody(entry)
-		}
-		if id, ok := strings.CutPrefix(item.Key, replication.BackendKey); ok {
-			if a, ok := replication.ReadBackend(item); ok && a.Phase == replication.PhaseReady {
-				a.HeartbeatMs, a.WarmAtMs = now.UnixMilli(), now.Add(r.config.BackendTimeout).UnixMilli()
-				item = a.ItemWithPhase(id, replication.PhaseReady, item.Version)
-			}
-		}
-		if kept.Origin == "" { // the version before did not keep it
-			r.items.Publish(item)
-		} else {
-			r.items.Receive(item, kept.Origin, kept.Number)
-		}
-		if strings.HasPrefix(item.Key, replication.LeaseKey) {
-			if lease, ok := replication.ReadLease(item); ok && !lease.Ended && lease.Role == message.RoleProxy {
-				r.liveness.ObserveLease(item.Key, lease.Zone, now) // it may be sending, though it has not called yet
+	lost := replication.Vector{}
+	for _, saved := range persisted.Items {
+		isRegister := strings.HasPrefix(saved.Item.Key, replication.RegisterKey)
+		switch {
+		case expired && !isRegister && saved.Origin != "":
+			r.forget(saved.Item.Key)
+		case isRegister && !r.restoreRegisterBody(&saved.Item):
+			if lowest, known := lost[saved.Origin]; !known || saved.Number < lowest {
+				lost[saved.Origin] = saved.Number
 			}
+		default:
+			r.restoreItem(now, saved)
 		}
-		r.trackItem(now, item)
 	}
 	if !expired {
 		r.items.Advance(persisted.Progress)
-		r.progressValid, r.lastPullAt = len(persisted.Progress) > 0, now
+		r.progressValid = len(persisted.Progress) > 0
+		r.lastPullAt = now
 	}
-	r.items.Retract(withdrawn)
+	r.items.Retract(lost)
 }
 
-// ItemsToPersist is what has become known since a number, to be kept on the disk where it is good to have, and how far it goes once
-// it is; what was forgotten is told by keys that are not there any more.
-func (r *Replica) ItemsToPersist(since uint64) (items []PersistedItem, progress replication.Vector, seq uint64) {
-	if len(r.pendingSaves) > 0 || r.saveFailed { // registers are part of how far this goes
-		return nil, nil, since
+// restoreRegisterBody completes the item of a register, which is saved without its body. It reports false where the
+// register holds another value by now that is not known to be chosen.
+func (r *Replica) restoreRegisterBody(item *replication.Item) bool {
+	entry := r.acceptor.Get(strings.TrimPrefix(item.Key, replication.RegisterKey))
+	if !entry.Chosen || entry.Value.Version != item.Version {
+		return false
 	}
-	for _, item := range r.items.Since(since, nil) {
-		origin, number := r.items.OriginOf(item.Key)
-		if strings.HasPrefix(item.Key, replication.RegisterKey) {
-			item.Body = ""
+	item.Body = entryBody(entry)
+	return true
+}
+
+// restoreItem takes one item that the disk held.
+func (r *Replica) restoreItem(now time.Time, saved PersistedItem) {
+	item := r.restoreBackend(now, saved.Item)
+	if saved.Origin == "" { // protocol version 1 didn't save it
+		r.items.Publish(item)
+	} else {
+		r.items.Receive(item, saved.Origin, saved.Number)
+	}
+	if strings.HasPrefix(item.Key, replication.LeaseKey) {
+		lease, ok := replication.ReadLease(item)
+		if ok && !lease.Ended && lease.Role == message.RoleProxy {
+			r.liveness.ObserveLease(item.Key, lease.Zone, now) // it may be sending, although it has not pulled yet
 		}
-		items = append(items, PersistedItem{item, origin, number})
 	}
-	return items, r.items.Vector(), r.items.LocalSequence()
+	r.trackItem(now, item)
+}
+
+// restoreBackend makes a ready backend count as warming up until its next heartbeat: it may have gone, or have been
+// restarted, while this replica was down. Other items are returned as they are.
+func (r *Replica) restoreBackend(now time.Time, item replication.Item) replication.Item {
+	id, ok := strings.CutPrefix(item.Key, replication.BackendKey)
+	if !ok {
+		return item
+	}
+	backend, ok := replication.ReadBackend(item)
+	if !ok || backend.Phase != replication.PhaseReady {
+		return item
+	}
+	backend.HeartbeatMs = now.UnixMilli()
+	backend.WarmAtMs = now.Add(r.config.BackendTimeout).UnixMilli()
+	return backend.ItemWithPhase(id, replication.PhaseReady, item.Version)
 }
--- a/internal/control/replica/range_sync.go
+++ b/internal/control/replica/range_sync.go
@@ -4,69 +4,80 @@
 	"time"
 
 	"sagelever/internal/control/message"
-	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/rangesync"
 )
 
-// entryOverheadBytes bounds the bytes of a register in a message beside its key, note and body: names of fields, ballots, numbers.
-const entryOverheadBytes = 256
+const (
+	// entryOverheadBytes bounds the encoded size of a register beside its texts: field names, numbers and the like.
+	entryOverheadBytes = 256
 
-// serveRanges answers for the ranges of registers that another replica asks about: that it holds the same, or what it lacks, as
-// far as one message goes. Registers change only to what is newer, so that a comparison misses nothing that was held when it
-// began.
+	// maxEscapeFactor bounds how much longer a text gets when it is encoded.
+	maxEscapeFactor = 6
+)
+
+// entrySize bounds the encoded size of a register.
+func (r *Replica) entrySize(key string) int {
+	entry := r.acceptor.Get(key)
+	value := entry.Value
+	texts := len(key) + len(value.Body) + len(value.Annotation) +
+		len(entry.Promised.Proposer) + len(entry.Accepted.Proposer)
+	return entryOverheadBytes + maxEscapeFactor*texts
+}
+
+// serveRanges adds to a response what the sender's ranges lack, as far as one message goes. Entries only ever change
+// to newer ones, so that a comparison misses nothing that was held when it began.
 func (r *Replica) serveRanges(request *message.PeerRequest, response *message.PeerResponse) {
 	if request.Ranges == nil {
 		response.OK = false
 		return
 	}
-	answerer := rangesync.Responder{Index: r.acceptor.Index(), Limits: rangesync.DefaultLimits, EntrySize: r.entrySize}
-	answer, err := answerer.Respond(request.Ranges)
-	if err != nil { // no correct replica asks so
+	responder := rangesync.Responder{
+		Index:     r.acceptor.Index(),
+		Limits:    rangesync.DefaultLimits,
+		EntrySize: r.entrySize,
+	}
+	ranges, err := responder.Respond(request.Ranges)
+	if err != nil { // a malformed request, which no correct replica sends
 		response.OK = false
 		return
 	}
-	response.Ranges = answer
-	for _, key := range answer.Keys {
+	response.Ranges = ranges
+	for _, key := range ranges.Keys {
 		response.Entries = append(response.Entries, r.acceptor.Get(key))
 	}
 }
 
-// maxEscapeFactor is by how many times a text may grow in a message.
-const maxEscapeFactor = 6
-
-// entrySize bounds the bytes of a register in a message.
-func (r *Replica) entrySize(key string) int {
-	entry := r.acceptor.Get(key)
-	texts := len(key) + len(entry.Value.Body) + len(entry.Value.Annotation) + len(entry.Promised.Proposer) + len(entry.Accepted.Proposer)
-	return entryOverheadBytes + maxEscapeFactor*texts
-}
-
-// startSessions begins to compare ranges of registers with some other replicas: the first request is the same for all.
-func (r *Replica) startSessions(op *operation, others []message.Member, ranges rangesync.Range) *rangesync.Request {
+// startSessions begins to compare a range of registers with some other replicas. It returns the first request, which
+// is the same for all; nil where there are none.
+func (r *Replica) startSessions(
+	op *operation, others []message.Member, compared rangesync.Range,
+) (first *rangesync.Request) {
 	r.lastID++
 	op.sessions = map[message.Member]*rangesync.Session{}
-	var first *rangesync.Request
 	for _, peer := range others {
-		session := rangesync.NewSession(r.lastID, r.acceptor.Index(), ranges, rangesync.DefaultLimits)
+		session := rangesync.NewSession(r.lastID, r.acceptor.Index(), compared, rangesync.DefaultLimits)
 		op.sessions[peer] = session
 		first = session.NextRequest()
 	}
 	return first
 }
 
-// handleRanges takes an answer to a comparison, learns what it brings, and asks on; then is called once all is held that the other
-// held when the comparison began, and is on the disk as far as it came by it.
-func (r *Replica) handleRanges(now time.Time, op *operation, from message.Member, path string, response *message.PeerResponse, done func(now time.Time)) {
+// handleRanges takes a response to a comparison, learns the entries that it contains, and sends the next requests.
+// done is called once this replica holds, and has saved, everything that the other held when the comparison began.
+func (r *Replica) handleRanges(
+	now time.Time, op *operation, from message.Member, path string,
+	response *message.PeerResponse, done func(now time.Time),
+) {
 	session := op.sessions[from]
 	if session == nil || response.Ranges == nil {
 		return
 	}
 	r.learnForOperation(now, op, response.Entries, func(now time.Time) {
 		if session.HandleResponse(response.Ranges) != nil {
-			return // malformed: the other is passed over
+			return // malformed: the other's part is never complete
 		}
 		for next := session.NextRequest(); next != nil; next = session.NextRequest() {
-			r.requestMore(op, from, path, r.rangesRequest(path, next))
+			r.requestMore(op, from, path, r.newRangesRequest(path, next))
 		}
 		if session.Done() {
 			delete(op.sessions, from)
@@ -75,15 +86,11 @@
 	})
 }
 
-func (r *Replica) rangesRequest(path string, ranges *rangesync.Request) *message.PeerRequest {
+// newRangesRequest returns the message for a request of a comparison.
+func (r *Replica) newRangesRequest(path string, ranges *rangesync.Request) *message.PeerRequest {
 	request := &message.PeerRequest{Epoch: r.local.configuration.Epoch, Ranges: ranges}
 	if path == message.StatePath {
-		request.Configuration = r.local.entry()
+		request.Configuration = r.local.chosenEntry()
 	}
 	return request
 }
-
-// entriesWithPrefix are those that hold something and whose keys begin so.
-func (r *Replica) entriesWithPrefix(prefix string) []quorum.Entry {
-	return r.acceptor.EntriesWithPrefix(prefix)
-}
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -6,62 +6,122 @@
 
 	"sagelever/internal/control/message"
 	"sagelever/internal/control/quorum"
+	"sagelever/internal/control/rangesync"
 )
 
-func (r *Replica) handleReadResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
+// readState is the part of an operation that reads registers.
+type readState struct {
+	keys   []string                // the registers to read; where there are none, those with the prefix
+	prefix string                  // of the keys of the registers to read
+	values map[string]quorum.Value // the values found that are known to be chosen
+}
+
+// Read reads the registers whose keys have a prefix. It brings this replica up to date with as many members as hold,
+// among them, everything that was ever acknowledged. Values that are then not known to be chosen are proposed again,
+// so that a later read finds them too. It returns the operation's ID.
+func (r *Replica) Read(now, expiresAt time.Time, prefix string) uint64 {
+	return r.startReadOperation(now, expiresAt, readState{prefix: prefix})
+}
+
+// ReadKeys is Read for some registers by name.
+func (r *Replica) ReadKeys(now, expiresAt time.Time, keys []string) uint64 {
+	return r.startReadOperation(now, expiresAt, readState{keys: keys})
+}
+
+func (r *Replica) startReadOperation(now, expiresAt time.Time, read readState) uint64 {
+	op := &operation{kind: quorumRead, expiresAt: expiresAt, reportCompletion: true, read: read}
+	return r.startOperation(now, op)
+}
+
+// startRead asks the other members for what they hold.
+func (r *Replica) startRead(now time.Time, op *operation) {
+	configuration := r.local.configuration
+	if configuration.MaxFailures == 0 {
+		r.finishRead(now, op)
+		return
+	}
+	peers := r.votingPeers()
+	var request *message.PeerRequest
+	if len(op.read.keys) > 0 {
+		request = &message.PeerRequest{Epoch: configuration.Epoch, Keys: op.read.keys}
+	} else {
+		ranges := r.startSessions(op, peers, rangesync.PrefixRange(op.read.prefix))
+		request = r.newRangesRequest(message.ReadPath, ranges)
+	}
+	r.requestFrom(now, op, peers, message.ReadPath, request)
+}
+
+// handleReadResponse takes what another member holds. With this replica itself, MaxFailures+1 members are enough.
+func (r *Replica) handleReadResponse(
+	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
+) {
 	if op.answered[from.Node] || !response.OK {
 		return
 	}
-	onSaved := func(now time.Time) {
+	memberDone := func(now time.Time) {
 		op.answered[from.Node] = true
 		if len(op.answered) >= r.local.configuration.MaxFailures {
 			r.finishRead(now, op)
 		}
 	}
-	if len(op.readKeys) > 0 {
-		r.learnForOperation(now, op, response.Entries, onSaved)
+	if len(op.read.keys) > 0 {
+		r.learnForOperation(now, op, response.Entries, memberDone)
 		return
 	}
-	r.handleRanges(now, op, from, message.ReadPath, response, onSaved)
+	r.handleRanges(now, op, from, message.ReadPath, response, memberDone)
 }
 
-// finishRead ends a read, once what it tells is chosen.
+// finishRead ends a read whose values are all known to be chosen; otherwise it proposes the others again first.
 func (r *Replica) finishRead(now time.Time, op *operation) {
-	if r.epochClosed() { // this member's own word does not count any more
+	if r.epochClosed() { // what this replica holds counts no longer
 		r.scheduleRetry(now, op)
 		return
 	}
-	op.kind, op.keys, op.decide, op.chosenValues = completeRead, nil, keepValues, map[string]quorum.Value{}
+	op.read.values = map[string]quorum.Value{}
+	var unknown []string
 	for _, entry := range r.readEntries(op) {
 		if entry.Chosen {
-			op.chosenValues[entry.Key] = entry.Value
+			op.read.values[entry.Key] = entry.Value
 		} else {
-			op.keys = append(op.keys, entry.Key)
+			unknown = append(unknown, entry.Key)
 		}
 	}
-	slices.Sort(op.keys)
-	if len(op.keys) == 0 {
-		r.finish(op, op.chosenValues, nil)
+	slices.Sort(unknown)
+	if len(unknown) == 0 {
+		r.finish(op, op.read.values, nil)
 		return
 	}
+	op.kind = completeRead
+	op.proposal = proposal{keys: unknown, decide: keepValues}
 	r.startAttempt(now, op)
 }
 
-// readEntries is what this member holds of what a read is about.
+// readEntries returns what this replica holds of the registers of a read.
 func (r *Replica) readEntries(op *operation) []quorum.Entry {
-	if len(op.readKeys) > 0 {
-		return r.entriesByKey(op.readKeys)
+	if len(op.read.keys) > 0 {
+		return r.acceptedEntries(op.read.keys)
 	}
-	return r.entriesWithPrefix(op.prefix)
+	return r.acceptor.EntriesWithPrefix(op.read.prefix)
 }
 
-// entriesByKey is what this member holds of some registers.
-func (r *Replica) entriesByKey(keys []string) []quorum.Entry {
-	var held []quorum.Entry
-	for _, key := range keys {
-		if entry := r.acceptor.Get(key); entry.Accepted != (quorum.ProposalNumber{}) {
-			held = append(held, entry)
+// learnForOperation learns what a member has sent in a response, and calls done once that is on disk.
+func (r *Replica) learnForOperation(
+	now time.Time, op *operation, entries []quorum.Entry, done func(now time.Time),
+) {
+	attempt := op.attempt
+	op.pendingSaves++
+	changed := r.learnEntries(now, entries)
+	r.save(now, Save{Entries: changed}, func(now time.Time, err error) {
+		if !r.isCurrent(op, attempt) {
+			return
 		}
-	}
-	return held
+		op.pendingSaves--
+		if err != nil {
+			op.saveFailed = true
+		}
+		if !op.saveFailed {
+			done(now)
+		}
+		r.retryIfStuck(now, op, attempt)
+	})
 }
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -9,63 +9,52 @@
 	"sagelever/internal/control/quorum"
 )
 
-const (
-	// removalTimeout is for how long a member is silent before it is removed without a successor, where the others can bear as
-	// many losses without it: longer than regions are cut off from one another.
-	removalTimeout = 5 * time.Minute
-	// bootstrapWait is for how long the first contacts wait for all members before they decide on a first set without those that
-	// are missing: all are started within a part of a second.
-	bootstrapWait = 1500 * time.Millisecond
-	// bootstrapTurn is for how long a first contact leaves it to those before it in the list to propose the first set.
-	bootstrapTurn = 300 * time.Millisecond
-)
-
-const (
-	// candidatePullWait is for how long a candidate's pull waits for news: shorter than a member's, so that one that is gone is not
-	// voted in. From when a next set is accepted, losses count against both sets together.
-	candidatePullWait = time.Second
-	// candidateTimeout is for how long a candidate counts as there after its last pull.
-	candidateTimeout = candidatePullWait + 750*time.Millisecond
-)
-
-// candidate is a replica that is no member and has called.
+// candidate is a controller that has pulled here and is no member of the configuration.
 type candidate struct {
 	membership.Candidate
 	lastPull time.Time
 }
 
-// registerCandidate takes up a replica that calls and is no member.
+// registerCandidate takes the pull of a controller that is no member.
 func (r *Replica) registerCandidate(now time.Time, request *message.PullRequest) {
-	local := &r.local
 	ready := request.Ready && request.From.DiskID != "" && !request.Leaving
-	if local.configuration.Epoch > 0 {
-		ready = ready && request.KnownEpoch > 0
+	if r.local.configuration.Epoch > 0 && request.KnownEpoch == 0 {
+		ready = false
 	}
 	known := r.candidates[request.From.Node]
 	if known == nil || known.CaughtUp != ready || !known.SameReplica(request.From) {
-		r.logEvent("a replica would be a member", "node", request.From.Node, "ready", strconv.FormatBool(ready))
+		r.logEvent("candidate registered", "node", request.From.Node, "ready", strconv.FormatBool(ready))
+	}
+	r.candidates[request.From.Node] = &candidate{
+		Candidate: membership.Candidate{Member: request.From, CaughtUp: ready},
+		lastPull:  now,
 	}
-	r.candidates[request.From.Node] = &candidate{membership.Candidate{Member: request.From, CaughtUp: ready}, now}
 	if ready {
 		r.reconfigure(now)
 	}
 }
 
-// liveCandidates are the candidates that were heard lately.
+// CandidateReady reports whether a candidate has told this replica that it holds what the members hold.
+func (r *Replica) CandidateReady(node string) bool {
+	candidate := r.candidates[node]
+	return candidate != nil && candidate.CaughtUp
+}
+
+// liveCandidates returns the candidates that have pulled within candidateTimeout, and forgets the others.
 func (r *Replica) liveCandidates(now time.Time) []membership.Candidate {
-	var present []membership.Candidate
+	var live []membership.Candidate
 	for node, candidate := range r.candidates {
 		if now.Sub(candidate.lastPull) > candidateTimeout {
 			delete(r.candidates, node)
 		} else {
-			present = append(present, candidate.Candidate)
+			live = append(live, candidate.Candidate)
 		}
 	}
-	return present
+	return live
 }
 
-// reconfigure proposes the next set of members where there should be one: the first by name of the members that are heard does it
-// for all, and one that leaves for itself.
+// reconfigure proposes the next configuration where there should be one. Normally the first by name of the reachable
+// members does that for all; a member that leaves does it for itself.
 func (r *Replica) reconfigure(now time.Time) {
 	local := &r.local
 	if local.proposing || !r.Active() {
@@ -75,44 +64,54 @@
 		r.proposeFirstConfiguration(now)
 		return
 	}
-	if !r.leaving && (!r.HasQuorum(now) || !r.isReconfigurer(now)) || !r.takeoverComplete(now) {
+	if !r.leaving && (!r.HasQuorum(now) || !r.isReconfigurer(now)) {
 		return
 	}
-	seen := []membership.MemberStatus{{Member: local.self, Leaving: r.leaving}}
+	if !r.takeoverComplete(now) {
+		return
+	}
+	timeouts := membership.Timeouts{ReplaceAfter: PeerTimeout, RemoveAfter: removalTimeout}
+	members := r.memberStatus(now)
+	candidates := r.liveCandidates(now)
+	next, reason, ok := membership.Next(local.configuration, r.config.Target, timeouts, members, candidates)
+	if ok {
+		r.proposeConfiguration(now, next, reason)
+	}
+}
+
+// memberStatus returns what this replica knows of the members.
+func (r *Replica) memberStatus(now time.Time) []membership.MemberStatus {
+	members := []membership.MemberStatus{{Member: r.local.self, Leaving: r.leaving}}
 	for node, peer := range r.peers {
 		member := membership.MemberStatus{Member: peer.Member, Leaving: peer.leaving}
 		if !r.reachable(node, now) {
-			member.SinceLastHeartbeat = max(1, now.Sub(latestTime(peer.lastHeard, peer.memberSince, r.startedAt)))
+			silent := now.Sub(latestOf(peer.lastHeard, peer.memberSince, r.startedAt))
+			member.SinceLastHeartbeat = max(1, silent) // 0 stands for a member that is reachable
 		}
-		seen = append(seen, member)
-	}
-	limits := membership.Timeouts{ReplaceAfter: PeerTimeout, RemoveAfter: removalTimeout}
-	if next, reason, ok := membership.Next(local.configuration, r.config.Target, limits, seen, r.liveCandidates(now)); ok {
-		r.proposeConfiguration(now, next, reason)
+		members = append(members, member)
 	}
+	return members
 }
 
-func latestTime(times ...time.Time) (last time.Time) {
-	for _, moment := range times {
-		if moment.After(last) {
-			last = moment
+func latestOf(times ...time.Time) (latest time.Time) {
+	for _, t := range times {
+		if t.After(latest) {
+			latest = t
 		}
 	}
-	return last
+	return latest
 }
 
-// joinTimeout is for how long the next change of members waits for one that is heard and does not act.
-const joinTimeout = 10 * time.Second
-
-// takeoverComplete tells whether all members that are not given up act in the epoch in force. The next set takes over from these: proposed
-// sooner, it could find too few of them after one loss, and those that would still act in this epoch go for the newest one.
+// takeoverComplete reports whether all members that are not given up are active in the current epoch, or
+// takeoverTimeout has passed. The next configuration takes over from these members: proposed sooner, it might find too
+// few of them after one failure, and those that are still to become active would skip this epoch.
 func (r *Replica) takeoverComplete(now time.Time) bool {
 	local := &r.local
-	if now.Sub(local.adoptedAt) >= joinTimeout {
+	if now.Sub(local.adoptedAt) >= takeoverTimeout {
 		return true
 	}
 	for _, peer := range r.peers {
-		givenUp := now.Sub(latestTime(peer.lastHeard, peer.memberSince)) >= PeerTimeout // it is given up
+		givenUp := now.Sub(latestOf(peer.lastHeard, peer.memberSince)) >= PeerTimeout
 		if !givenUp && peer.activeEpoch != local.configuration.Epoch {
 			return false
 		}
@@ -120,7 +119,7 @@
 	return true
 }
 
-// isReconfigurer tells whether this member is the first by name of those that are heard.
+// isReconfigurer reports whether this replica is the first by name of the members that are reachable.
 func (r *Replica) isReconfigurer(now time.Time) bool {
 	for node := range r.peers {
 		if node < r.config.Self.Node && r.reachable(node, now) {
@@ -130,11 +129,14 @@
 	return true
 }
 
-// proposeFirstConfiguration proposes the first set, as one of the first contacts.
+// proposeFirstConfiguration proposes the first configuration, as an initial peer. The initial peers take turns, in the
+// order of their addresses.
 func (r *Replica) proposeFirstConfiguration(now time.Time) {
 	local := &r.local
-	present := append(r.liveCandidates(now), membership.Candidate{Member: local.self, CaughtUp: true})
-	next, ok := membership.Bootstrap(r.config.Target, present, now.Sub(r.startedAt) > bootstrapWait)
+	self := membership.Candidate{Member: local.self, CaughtUp: true}
+	present := append(r.liveCandidates(now), self)
+	waited := now.Sub(r.startedAt) > bootstrapWait
+	next, ok := membership.Bootstrap(r.config.Target, present, waited)
 	if !ok {
 		local.bootstrapPossibleSince = time.Time{}
 		return
@@ -153,24 +155,29 @@
 	}
 }
 
-// proposeConfiguration has the members decide on the next set.
-func (r *Replica) proposeConfiguration(now time.Time, next membership.Configuration, reason membership.Reason) {
+// proposeConfiguration has the members of the current configuration decide on the next one.
+func (r *Replica) proposeConfiguration(
+	now time.Time, next membership.Configuration, reason membership.Reason,
+) {
 	local := &r.local
 	local.proposing = true
-	r.logEvent("next members proposed", "epoch", strconv.FormatUint(next.Epoch, 10), "reason", string(reason), "members", strconv.Itoa(len(next.Members)))
-	keys, decide := quorum.UpdateEach(map[string]quorum.UpdateFunc{membership.RegisterKey: local.configuration.ReplaceWith(next)})
-	r.startOperation(now, &operation{kind: proposeWrite, expiresAt: now.Add(4 * attemptTimeout), keys: keys, decide: decide, onEnd: func() { local.proposing = false }})
+	r.logEvent("configuration proposed", "epoch", formatUint(next.Epoch), "reason", string(reason),
+		"members", strconv.Itoa(len(next.Members)))
+	update := local.configuration.ReplaceWith(next)
+	updates := map[string]quorum.UpdateFunc{membership.RegisterKey: update}
+	r.startInternalWrite(now, updates, func() { local.proposing = false })
 }
 
-// HandingOver tells whether an ending process should go on for a while: a successor is ready and takes this member's place, or has
-// taken it and so few members act in the new epoch that one more loss could take what only this replica holds with it.
+// HandingOver reports whether a process that is to end should go on for a while: until it is replaced, where a
+// successor is ready, and until so many members are active in the new epoch that one more failure can't lose what only
+// this replica holds besides.
 func (r *Replica) HandingOver(now time.Time) bool {
 	local := &r.local
 	if !r.leaving || !local.identity.Acting || !local.diskConfirmed {
 		return false
 	}
 	if !local.isMember() {
-		return r.activeInPreviousEpoch() && r.activeMembers() <= local.configuration.MaxFailures
+		return r.activeInPreviousEpoch() && r.activePeers() <= local.configuration.MaxFailures
 	}
 	for _, candidate := range r.liveCandidates(now) {
 		if candidate.CaughtUp && candidate.Zone == local.self.Zone {
@@ -180,12 +187,12 @@
 	return false
 }
 
-// activeMembers is how many members have told that they act in the epoch in force.
-func (r *Replica) activeMembers() (acting int) {
+// activePeers returns how many other members were active in the current epoch by their last response.
+func (r *Replica) activePeers() (active int) {
 	for _, peer := range r.peers {
 		if peer.activeEpoch == r.local.configuration.Epoch {
-			acting++
+			active++
 		}
 	}
-	return acting
+	return active
 }
--- /dev/null
+++ b/internal/control/replica/registers.go
@@ -0,0 +1,156 @@
+package replica
+
+import (
+	"time"
+
+	"github.com/mailru/easyjson"
+
+	"sagelever/internal/control/membership"
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/quorum"
+	"sagelever/internal/control/replication"
+)
+
+// responder takes the response to a request, or the error with which it failed.
+type responder func(now time.Time, response *message.PeerResponse, err error)
+
+// HandleRequest takes another member's request. The response is part of the Output of this step or of a later one,
+// under the same call ID: it waits until what it says is on disk.
+func (r *Replica) HandleRequest(now time.Time, callID uint64, path string, request *message.PeerRequest) {
+	r.serveRequest(now, path, request, func(_ time.Time, response *message.PeerResponse, err error) {
+		r.output.Responses = append(r.output.Responses, OutgoingResponse{callID, response, err})
+	})
+}
+
+// serveRequest serves a request of another member, or this replica's own part in a round.
+func (r *Replica) serveRequest(now time.Time, path string, request *message.PeerRequest, respond responder) {
+	switch path {
+	case message.GenerationPath:
+		respond(now, r.serveGeneration(request), nil)
+	case message.StatePath:
+		r.serveState(now, request, respond)
+	default:
+		r.serveEpochRequest(now, path, request, respond)
+	}
+}
+
+// serveEpochRequest serves a request that only an active member of the request's epoch may answer.
+func (r *Replica) serveEpochRequest(now time.Time, path string, request *message.PeerRequest, respond responder) {
+	if request.Epoch < r.local.configuration.Epoch { // the sender is told the configuration in force
+		respond(now, &message.PeerResponse{Configuration: r.local.chosenEntry()}, nil)
+		return
+	}
+	if request.Epoch > r.local.configuration.Epoch || !r.Active() {
+		respond(now, nil, ErrCatchingUp)
+		return
+	}
+	response := &message.PeerResponse{}
+	var changed []quorum.Entry
+	switch path {
+	case message.PreparePath:
+		response, changed = r.servePrepare(request)
+	case message.AcceptPath:
+		response, changed = r.serveAccept(request)
+	case message.ReadPath:
+		response = r.serveRead(request)
+	}
+	for _, entry := range changed { // whether or not the save succeeds
+		r.trackUndecided(now, entry)
+	}
+	r.save(now, Save{Entries: changed}, respondSaved(response, respond))
+}
+
+// respondSaved returns a save callback that sends a response if the save has succeeded, and the error otherwise.
+func respondSaved(response *message.PeerResponse, respond responder) saveCallback {
+	return func(now time.Time, err error) {
+		if err != nil {
+			respond(now, nil, err)
+			return
+		}
+		respond(now, response, nil)
+	}
+}
+
+// servePrepare serves phase 1 of a round.
+func (r *Replica) servePrepare(request *message.PeerRequest) (*message.PeerResponse, []quorum.Entry) {
+	if r.epochClosed() && !concernsOnlyConfiguration(request) {
+		return &message.PeerResponse{}, nil
+	}
+	accepted, changed, rejectedBy := r.acceptor.Prepare(request.Proposal, request.Keys)
+	if rejectedBy != (quorum.ProposalNumber{}) {
+		return &message.PeerResponse{PromisedProposal: rejectedBy}, nil
+	}
+	return &message.PeerResponse{OK: true, Entries: accepted}, changed
+}
+
+// serveAccept serves phase 2 of a round.
+func (r *Replica) serveAccept(request *message.PeerRequest) (*message.PeerResponse, []quorum.Entry) {
+	if r.epochClosed() && !concernsOnlyConfiguration(request) {
+		return &message.PeerResponse{}, nil
+	}
+	changed, rejectedBy := r.acceptor.Accept(request.Proposal, request.Entries)
+	if rejectedBy != (quorum.ProposalNumber{}) {
+		return &message.PeerResponse{PromisedProposal: rejectedBy}, nil
+	}
+	return &message.PeerResponse{OK: true}, changed
+}
+
+// serveRead serves a quorum read, of registers by name or by a comparison of ranges. In a closed epoch it is refused:
+// the next configuration may be in force already and have chosen values that this replica doesn't know.
+func (r *Replica) serveRead(request *message.PeerRequest) *message.PeerResponse {
+	if r.epochClosed() {
+		return &message.PeerResponse{}
+	}
+	response := &message.PeerResponse{OK: true}
+	if len(request.Keys) > 0 {
+		response.Entries = r.acceptedEntries(request.Keys)
+	} else {
+		r.serveRanges(request, response)
+	}
+	return response
+}
+
+// acceptedEntries returns those of some registers that hold an accepted value here.
+func (r *Replica) acceptedEntries(keys []string) []quorum.Entry {
+	var accepted []quorum.Entry
+	for _, key := range keys {
+		if entry := r.acceptor.Get(key); entry.Accepted != (quorum.ProposalNumber{}) {
+			accepted = append(accepted, entry)
+		}
+	}
+	return accepted
+}
+
+// learnEntries takes entries that others hold: it publishes the values that are known to be chosen and schedules the
+// repair of the others. It returns the entries that have changed, to be saved.
+func (r *Replica) learnEntries(now time.Time, entries []quorum.Entry) (changed []quorum.Entry) {
+	changed = r.acceptor.Learn(entries)
+	for _, entry := range changed {
+		if !entry.Chosen {
+			r.trackUndecided(now, entry)
+			continue
+		}
+		delete(r.undecided, entry.Key)
+		r.publishEntry(entry)
+		if entry.Key == membership.RegisterKey {
+			r.adoptConfiguration(now, entry)
+		}
+	}
+	return changed
+}
+
+// publishEntry publishes a chosen register as an item.
+func (r *Replica) publishEntry(entry quorum.Entry) {
+	r.mergeLocal(replication.Item{
+		Key:     replication.RegisterKey + entry.Key,
+		Version: entry.Value.Version,
+		Body:    entryBody(entry),
+	})
+}
+
+// entryBody returns the item body of a chosen register.
+func entryBody(entry quorum.Entry) string {
+	published := quorum.Entry{Key: entry.Key, Accepted: entry.Accepted, Value: entry.Value, Chosen: true}
+	body, _ := easyjson.Marshal(published) // strings and integers only: it can't fail
+	return string(body)
+}
--- /dev/null
+++ b/internal/control/replica/request.go
@@ -0,0 +1,95 @@
+package replica
+
+import (
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/quorum"
+)
+
+// pendingRequest is a request whose response is still to come.
+type pendingRequest struct {
+	operationID uint64
+	attempt     int
+	to          message.Member
+}
+
+// broadcast sends a request of an operation to all members including this replica.
+func (r *Replica) broadcast(now time.Time, op *operation, path string, request *message.PeerRequest) {
+	peers := r.votingPeers()
+	r.send(op, peers, path, request)
+	op.pendingResponses = len(peers) + 1
+	attempt := op.attempt
+	self := message.Member{Node: r.quorumName()}
+	r.serveRequest(now, path, request, func(now time.Time, response *message.PeerResponse, err error) {
+		if !r.isCurrent(op, attempt) {
+			return
+		}
+		if err != nil {
+			response = nil
+		}
+		r.dispatchResponse(now, op, self, response)
+	})
+}
+
+// requestFrom sends a request of an operation to some other replicas.
+func (r *Replica) requestFrom(
+	now time.Time, op *operation, to []message.Member, path string, request *message.PeerRequest,
+) {
+	r.send(op, to, path, request)
+	op.pendingResponses = len(to)
+	if op.pendingResponses == 0 {
+		r.scheduleRetry(now, op)
+	}
+}
+
+// requestMore sends a further request of an attempt to one replica.
+func (r *Replica) requestMore(op *operation, to message.Member, path string, request *message.PeerRequest) {
+	op.pendingResponses++
+	r.send(op, []message.Member{to}, path, request)
+}
+
+func (r *Replica) send(op *operation, to []message.Member, path string, request *message.PeerRequest) {
+	for _, peer := range to {
+		r.lastID++
+		r.pendingRequests[r.lastID] = pendingRequest{op.id, op.attempt, peer}
+		r.output.Requests = append(r.output.Requests, OutgoingRequest{r.lastID, peer, path, request})
+	}
+}
+
+// HandleResponse takes the response to the request of an ID; nil means that none came.
+func (r *Replica) HandleResponse(now time.Time, id uint64, response *message.PeerResponse) {
+	pending, known := r.pendingRequests[id]
+	delete(r.pendingRequests, id)
+	if !known {
+		return
+	}
+	if response != nil && response.Configuration != nil { // the request was of an epoch that has ended
+		changed := r.learnEntries(now, []quorum.Entry{*response.Configuration})
+		r.save(now, Save{Entries: changed}, nil)
+	}
+	if op := r.operations[pending.operationID]; op != nil && op.attempt == pending.attempt {
+		r.dispatchResponse(now, op, pending.to, response)
+	}
+}
+
+// dispatchResponse hands a response of the current attempt to its operation; nil means that none came.
+func (r *Replica) dispatchResponse(
+	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
+) {
+	op.pendingResponses--
+	attempt := op.attempt
+	if response != nil {
+		switch op.kind {
+		case proposeWrite, completeRead, repairValues:
+			r.handleRoundResponse(now, op, from.Node, response)
+		case quorumRead:
+			r.handleReadResponse(now, op, from, response)
+		case confirmDisk:
+			r.handleGenerationResponse(now, op, from, response)
+		case takeOverEpoch, catchUp:
+			r.handleStateResponse(now, op, from, response)
+		}
+	}
+	r.retryIfStuck(now, op, attempt)
+}
--- /dev/null
+++ b/internal/control/replica/round.go
@@ -0,0 +1,72 @@
+package replica
+
+import (
+	"maps"
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/quorum"
+)
+
+// keepValues is the decision of a round that writes again what its registers hold, so that it becomes chosen.
+func keepValues(map[string]quorum.Value) map[string]quorum.Value { return nil }
+
+// startRound begins phase 1 of a Paxos round.
+func (r *Replica) startRound(now time.Time, op *operation) {
+	configuration := r.local.configuration
+	number := r.acceptor.NextProposal(configuration.Epoch, r.local.proposerID())
+	members := len(configuration.Members)
+	round := quorum.NewRound(number, members, configuration.MaxFailures, op.proposal.keys, op.proposal.decide)
+	op.proposal.round = round
+	op.proposal.accepting = false
+	r.broadcast(now, op, message.PreparePath, &message.PeerRequest{
+		Epoch:    configuration.Epoch,
+		Proposal: round.Proposal,
+		Keys:     round.Keys(),
+	})
+}
+
+// handleRoundResponse takes a member's response to either phase of a round.
+func (r *Replica) handleRoundResponse(now time.Time, op *operation, from string, response *message.PeerResponse) {
+	switch {
+	case !response.OK:
+		op.proposal.round.HandleRejection(response.PromisedProposal)
+	case !op.proposal.accepting:
+		r.handlePromise(now, op, from, response)
+	default:
+		r.handleAccepted(now, op, from)
+	}
+}
+
+// handlePromise takes a promise and begins phase 2 once there are enough.
+func (r *Replica) handlePromise(now time.Time, op *operation, from string, response *message.PeerResponse) {
+	round := op.proposal.round
+	values := round.HandlePromise(from, response.Entries)
+	if values == nil {
+		return
+	}
+	op.proposal.accepting = true
+	op.attempt++ // so that later promises are not taken for acceptances
+	r.broadcast(now, op, message.AcceptPath, &message.PeerRequest{
+		Epoch:    round.Proposal.Epoch,
+		Proposal: round.Proposal,
+		Entries:  values,
+	})
+}
+
+// handleAccepted takes an acceptance and ends the operation once there are enough.
+func (r *Replica) handleAccepted(now time.Time, op *operation, from string) {
+	round := op.proposal.round
+	if !round.HandleAccepted(from) {
+		return
+	}
+	chosen := round.ChosenEntries()
+	// That they are chosen needs not be on disk before the operation ends: whoever finds them undecided repairs them.
+	r.save(now, Save{Entries: r.learnEntries(now, chosen)}, nil)
+	values := make(map[string]quorum.Value, len(chosen))
+	for _, entry := range chosen {
+		values[entry.Key] = entry.Value
+	}
+	maps.Copy(values, op.read.values)
+	r.finish(op, values, nil)
+}
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -11,216 +11,194 @@
 	"sagelever/internal/control/rangesync"
 )
 
-// requestDiskConfirmation asks the other members which generation of this disk they know.
-func (r *Replica) requestDiskConfirmation(now time.Time, op *operation) {
-	local := &r.local
-	others := r.votingPeers()
-	if !local.isMember() {
-		others = r.takeoverSources()
-	}
-	r.requestFrom(now, op, others, message.GenerationPath, &message.PeerRequest{Epoch: local.configuration.Epoch, From: local.self, Generation: local.identity.Generation})
-}
-
-// serveGeneration says which generation of a disk was known here, and notes the one that is told. It says so whether or not
-// this replica acts itself: after a loss of all power none does yet.
-func (r *Replica) serveGeneration(request *message.PeerRequest) *message.PeerResponse {
-	response := &message.PeerResponse{OK: true, DiskID: r.local.self.DiskID}
-	if known := r.diskGenerations[request.From.Node]; known.DiskID == request.From.DiskID {
-		response.Generation = known.Number
-	}
-	r.recordGeneration(request.From, request.Generation)
-	return response
-}
+// A member takes over from the previous epoch before it is active in the current one: it collects the registers of
+// TakeoverQuorum members of the previous configuration, of which at least one holds each chosen value. They don't
+// change any more, because whoever is asked about the current epoch adopts it first. A candidate, which is to become a
+// member later, catches up in the same way from one active member.
 
-func (r *Replica) recordGeneration(owner message.Member, number uint64) {
-	if owner.DiskID == "" || number == 0 {
+// startTakeover begins to take over from the previous epoch, or to catch up as a candidate, where that is due.
+func (r *Replica) startTakeover(now time.Time) {
+	local := &r.local
+	if !local.identitySaved || local.configuration.Epoch == 0 || r.Active() {
 		return
 	}
-	known := r.diskGenerations[owner.Node]
-	if known.DiskID == owner.DiskID && known.Number >= number {
+	if local.isMember() {
+		if local.diskConfirmed && !r.isRunning(takeOverEpoch) {
+			r.startOperation(now, &operation{kind: takeOverEpoch})
+		}
 		return
 	}
-	if member, ok := r.local.configuration.Find(owner.Node); ok && member.DiskID != owner.DiskID && known.DiskID == member.DiskID {
-		return // a candidate takes no member's place
+	if !local.caughtUp && !r.isRunning(catchUp) {
+		r.startOperation(now, &operation{kind: catchUp})
 	}
-	r.diskGenerations[owner.Node] = message.DiskGeneration{DiskID: owner.DiskID, Number: number}
 }
 
-// handleGenerationResponse takes another's word on this disk.
-func (r *Replica) handleGenerationResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
-	local := &r.local
-	if !response.OK || op.answered[from.Node] || response.DiskID != from.DiskID { // a member that lost its disk knows nothing
-		return
-	}
-	if response.Generation > local.identity.Generation {
-		r.finish(op, nil, nil)
-		r.replaceIdentity(now)
-		return
-	}
-	op.answered[from.Node] = true
-	if len(op.answered) < local.configuration.GenerationQuorum() {
+// requestTakeoverState asks the members of the previous and of the current configuration for everything they hold.
+func (r *Replica) requestTakeoverState(now time.Time, op *operation) {
+	if r.activeInPreviousEpoch() && r.local.configuration.TakeoverQuorum() <= 1 {
+		r.finishTakeover(now, op)
 		return
 	}
-	local.diskConfirmed = true
-	r.finish(op, nil, nil)
-	r.advanceGeneration(now)
-	r.startTakeover(now)
-	r.noteQuorumChange(now)
+	r.requestState(now, op, r.takeoverSources())
 }
 
-// requestTakeoverState asks the members of the epoch before, and of this one, for all that they hold.
-func (r *Replica) requestTakeoverState(now time.Time, op *operation) {
-	local := &r.local
-	if r.activeInPreviousEpoch() && local.configuration.TakeoverQuorum() <= 1 {
-		r.finishTakeover(now, op)
+// requestCatchUpState asks an active member for everything it holds, a different one in each attempt.
+func (r *Replica) requestCatchUpState(now time.Time, op *operation) {
+	peers := r.OtherMembers()
+	if len(peers) == 0 {
+		r.scheduleRetry(now, op)
 		return
 	}
-	sources := r.takeoverSources()
-	r.requestFrom(now, op, sources, message.StatePath, r.rangesRequest(message.StatePath, r.startSessions(op, sources, rangesync.Range{})))
+	source := peers[op.attempt%len(peers)]
+	r.requestState(now, op, []message.Member{source})
+}
+
+// requestState begins to compare all registers with those of some other replicas.
+func (r *Replica) requestState(now time.Time, op *operation, sources []message.Member) {
+	ranges := r.startSessions(op, sources, rangesync.Range{})
+	r.requestFrom(now, op, sources, message.StatePath, r.newRangesRequest(message.StatePath, ranges))
 }
 
-// takeoverSources are the other members of the epoch before and of this one.
+// takeoverSources returns the other members of the previous and of the current configuration, with their last known
+// addresses.
 func (r *Replica) takeoverSources() (sources []message.Member) {
-	local := &r.local
-	for _, peer := range append(slices.Clone(local.configuration.Previous), local.configuration.Members...) {
-		if peer.SameReplica(local.self) || slices.ContainsFunc(sources, peer.SameReplica) {
+	configuration := &r.local.configuration
+	for _, member := range slices.Concat(configuration.Previous, configuration.Members) {
+		if member.SameReplica(r.local.self) || slices.ContainsFunc(sources, member.SameReplica) {
 			continue
 		}
-		if known := r.peers[peer.Node]; known != nil && known.SameReplica(peer) {
-			peer = known.Member
+		if peer := r.peers[member.Node]; peer != nil && peer.SameReplica(member) {
+			member = peer.Member
 		}
-		sources = append(sources, peer)
+		sources = append(sources, member)
 	}
 	return sources
 }
 
-// activeInPreviousEpoch tells whether this replica's own state is one of the epoch before.
-func (r *Replica) activeInPreviousEpoch() bool {
-	local := &r.local
-	return local.identity.Acting && local.identity.Active+1 == local.configuration.Epoch && slices.ContainsFunc(local.configuration.Previous, local.self.SameReplica)
-}
-
-// requestCatchUpState asks one acting member after the other.
-func (r *Replica) requestCatchUpState(now time.Time, op *operation) {
-	peers := r.OtherMembers()
-	if len(peers) == 0 {
-		r.scheduleRetry(now, op)
-		return
-	}
-	source := []message.Member{peers[op.attempt%len(peers)]}
-	r.requestFrom(now, op, source, message.StatePath, r.rangesRequest(message.StatePath, r.startSessions(op, source, rangesync.Range{})))
-}
-
-// serveState tells what this replica holds. One that is asked about an epoch that it did not know of adopts it first, and
-// has that on its disk before it answers: from then on what it holds of the epoch before does not change any more.
-func (r *Replica) serveState(now time.Time, request *message.PeerRequest, respond func(now time.Time, response *message.PeerResponse, err error)) {
+// serveState tells what this replica holds. It first adopts the sender's configuration if that is newer, and has it on
+// disk before the response: from then on, what it holds of the previous epoch doesn't change.
+func (r *Replica) serveState(now time.Time, request *message.PeerRequest, respond responder) {
 	var changed []quorum.Entry
 	if request.Configuration != nil {
 		changed = r.learnEntries(now, []quorum.Entry{*request.Configuration})
 	}
 	local := &r.local
 	if request.Epoch < local.configuration.Epoch {
-		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, &message.PeerResponse{Configuration: local.entry()}, nil) })
+		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) {
+			respond(now, &message.PeerResponse{Configuration: local.chosenEntry()}, nil)
+		})
 		return
 	}
 	if !local.diskConfirmed || !local.identity.Acting || request.Epoch != local.configuration.Epoch {
 		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, nil, ErrCatchingUp) })
 		return
 	}
-	response := &message.PeerResponse{OK: true, DiskID: local.self.DiskID, ActiveEpoch: local.identity.Active, DiskGenerations: maps.Clone(r.diskGenerations)}
+	response := &message.PeerResponse{
+		OK:              true,
+		DiskID:          local.self.DiskID,
+		ActiveEpoch:     local.identity.Active,
+		DiskGenerations: maps.Clone(r.diskGenerations),
+	}
 	r.serveRanges(request, response)
-	r.save(now, Save{Entries: changed}, func(now time.Time, err error) {
-		if err != nil {
-			response = nil
-		}
-		respond(now, response, err)
-	})
+	r.save(now, Save{Entries: changed}, respondSaved(response, respond))
 }
 
-// handleStateResponse takes what another replica holds.
-func (r *Replica) handleStateResponse(now time.Time, op *operation, from message.Member, response *message.PeerResponse) {
+// handleStateResponse takes what another replica holds, for a takeover or to catch up.
+func (r *Replica) handleStateResponse(
+	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
+) {
 	if !response.OK || op.answered[from.Node+from.DiskID] || response.DiskID != from.DiskID {
 		return
 	}
-	// Who comes new into the set is asked for its word on disks like those whose place it takes.
+	// A new member will be asked to confirm the disks of others like the member that it replaces.
 	for node, generation := range response.DiskGenerations {
 		r.recordGeneration(message.Member{Node: node, DiskID: generation.DiskID}, generation.Number)
 	}
 	r.handleRanges(now, op, from, message.StatePath, response, func(now time.Time) {
 		if op.kind == catchUp {
-			r.finishCatchUp(now, op, response)
-			return
-		}
-		local := &r.local
-		if response.ActiveEpoch == local.configuration.Epoch { // it holds all that was chosen before this epoch
-			r.finishTakeover(now, op)
-			return
-		}
-		if response.ActiveEpoch+1 != local.configuration.Epoch || !slices.ContainsFunc(local.configuration.Previous, from.SameReplica) {
-			return
-		}
-		op.answered[from.Node+from.DiskID] = true
-		answers := len(op.answered)
-		if slices.ContainsFunc(local.configuration.Previous, local.self.SameReplica) { // one that did not act there has accepted nothing there, and now holds what was chosen before
-			answers++
-		}
-		if answers >= local.configuration.TakeoverQuorum() {
-			r.finishTakeover(now, op)
+			r.finishCatchUp(now, op, response.ActiveEpoch)
+		} else {
+			r.countTakeoverSource(now, op, from, response.ActiveEpoch)
 		}
 	})
 }
 
-// finishTakeover has this replica act in the epoch in force, once its disk says so.
-func (r *Replica) finishTakeover(now time.Time, op *operation) {
+// countTakeoverSource notes that everything a replica held is held here, and ends the takeover once that is enough:
+// one replica that is active in the current epoch, or TakeoverQuorum replicas that were active in the previous one.
+func (r *Replica) countTakeoverSource(now time.Time, op *operation, source message.Member, activeEpoch uint64) {
 	local := &r.local
-	if op.accepting {
+	if activeEpoch == local.configuration.Epoch {
+		r.finishTakeover(now, op)
 		return
 	}
-	op.accepting, op.attemptDeadline = true, time.Time{} // it takes as long as the disk does
-	epoch, attempt := local.configuration.Epoch, op.attempt
+	if activeEpoch+1 != local.configuration.Epoch || !local.inPrevious(source) {
+		return
+	}
+	op.answered[source.Node+source.DiskID] = true
+	sources := len(op.answered)
+	// A member of the previous configuration counts itself. If it was not active there, it has accepted nothing in
+	// that epoch, and it now holds what was chosen before.
+	if local.inPrevious(local.self) {
+		sources++
+	}
+	if sources >= local.configuration.TakeoverQuorum() {
+		r.finishTakeover(now, op)
+	}
+}
+
+// finishTakeover makes this replica active in the current epoch once that is on disk, together with the refusal of all
+// proposals of earlier epochs.
+func (r *Replica) finishTakeover(now time.Time, op *operation) {
+	if op.activating {
+		return
+	}
+	op.activating = true
+	op.attemptDeadline = time.Time{} // it takes as long as the disk does
+	local := &r.local
+	epoch := local.configuration.Epoch
 	r.acceptor.RaiseMinProposal(quorum.ProposalNumber{Epoch: epoch})
 	floor := r.acceptor.MinProposal()
 	next := local.submittedIdentity
-	next.Acting, next.Active = true, epoch
+	next.Acting = true
+	next.Active = epoch
 	local.submittedIdentity = next
 	op.pendingSaves++
-	number := r.lastID + 1 // of this save
-	r.save(now, Save{Floor: &floor, Identity: &next}, func(now time.Time, err error) {
-		if r.operations[op.id] != op || op.attempt != attempt {
+	attempt := op.attempt
+	var saveID uint64
+	saveID = r.save(now, Save{Floor: &floor, Identity: &next}, func(now time.Time, err error) {
+		if !r.isCurrent(op, attempt) {
 			return
 		}
 		op.pendingSaves--
-		if err != nil || op.saveFailed || next.Disk != local.identity.Disk || r.hasUnsavedBefore(number) {
+		if err != nil || op.saveFailed || next.Disk != local.identity.Disk || r.hasUnsavedBefore(saveID) {
 			r.scheduleRetry(now, op)
 			return
 		}
-		local.identity.Acting, local.identity.Active = true, epoch
-		r.finish(op, nil, nil)
-		r.logEvent("acts as a member", "epoch", strconv.FormatUint(epoch, 10), "registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())),
-			"afterMs", strconv.FormatInt(now.Sub(local.adoptedAt).Milliseconds(), 10))
-		r.noteQuorumChange(now)
-		r.notifyAfter(0)
+		r.activate(now, op, epoch)
 	})
 }
 
-// hasUnsavedBefore tells whether something that was handed to the disk before a save is not known to be there.
-func (r *Replica) hasUnsavedBefore(save uint64) bool {
-	for number := range r.pendingSaves {
-		if number < save {
-			return true
-		}
-	}
-	return r.saveFailed
+// activate makes this replica active in an epoch.
+func (r *Replica) activate(now time.Time, op *operation, epoch uint64) {
+	local := &r.local
+	local.identity.Acting = true
+	local.identity.Active = epoch
+	r.finish(op, nil, nil)
+	r.logEvent("active member of the epoch", "epoch", formatUint(epoch),
+		"registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())), "afterMs", formatMs(now.Sub(local.adoptedAt)))
+	r.noteQuorumChange(now)
+	r.notifyAfter(0)
 }
 
-// finishCatchUp makes a candidate ready to be voted in.
-func (r *Replica) finishCatchUp(now time.Time, op *operation, response *message.PeerResponse) {
-	if response.ActiveEpoch != r.local.configuration.Epoch {
+// finishCatchUp makes a candidate ready to become a member, if the replica from which it has caught up is active in
+// the current epoch.
+func (r *Replica) finishCatchUp(now time.Time, op *operation, activeEpoch uint64) {
+	if activeEpoch != r.local.configuration.Epoch {
 		r.scheduleRetry(now, op)
 		return
 	}
 	r.local.caughtUp = true
 	r.finish(op, nil, nil)
-	r.logEvent("holds what the members hold, and waits to be voted in", "registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())))
+	r.logEvent("candidate caught up", "registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())))
 	r.notifyAfter(0)
 }
