--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -90,7 +90,7 @@
 		backend = &replication.Backend{}
 	}
 	r.mergeLocal(backend.ItemWithPhase(id, replication.PhaseLeft, replication.LeftVersion))
-	r.bury(key, now)
+	r.addTombstone(key, now)
 	r.liveness.ForgetBackend(id)
 	delete(r.backends, id)
 }
@@ -106,7 +106,7 @@
 			continue
 		}
 		r.mergeLocal(backend.TimedOut(id, item.Version))
-		r.bury(key, now)
+		r.addTombstone(key, now)
 	}
 }
 
@@ -130,7 +130,7 @@
 	})
 	for _, item := range timedOut {
 		r.mergeLocal(item)
-		r.bury(item.Key, now)
+		r.addTombstone(item.Key, now)
 	}
 }
 
--- a/internal/control/replica/clock.go
+++ b/internal/control/replica/clock.go
@@ -12,7 +12,7 @@
 		return
 	}
 	for _, op := range r.operations {
-		moveBack(setBack, &op.expiresAt, &op.attemptDeadline, &op.retryAt)
+		moveBack(setBack, &op.expiresAt, &op.attempt.deadline, &op.retryAt)
 	}
 	for key, at := range r.undecided {
 		r.undecided[key] = at.Add(-setBack)
--- a/internal/control/replica/identity.go
+++ b/internal/control/replica/identity.go
@@ -142,7 +142,7 @@
 ) {
 	local := &r.local
 	// A member with another disk than expected has lost what it knew.
-	if !response.OK || op.answered[from.Node] || response.DiskID != from.DiskID {
+	if !response.OK || op.attempt.answered[from.Node] || response.DiskID != from.DiskID {
 		return
 	}
 	if response.Generation > local.identity.Generation {
@@ -150,8 +150,8 @@
 		r.replaceIdentity(now)
 		return
 	}
-	op.answered[from.Node] = true
-	if len(op.answered) < local.configuration.GenerationQuorum() {
+	op.attempt.answered[from.Node] = true
+	if len(op.attempt.answered) < local.configuration.GenerationQuorum() {
 		return
 	}
 	local.diskConfirmed = true
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -205,8 +205,8 @@
 	return true
 }
 
-// quorumName returns the name under which this replica's own part in a round is counted.
-func (r *Replica) quorumName() string {
+// voterID returns the name under which this replica's own part in a round is counted.
+func (r *Replica) voterID() string {
 	if r.local.configuration.Epoch == 0 {
 		return r.local.self.Addr
 	}
--- a/internal/control/replica/maintenance.go
+++ b/internal/control/replica/maintenance.go
@@ -27,8 +27,8 @@
 	r.expireBackends(now)
 	r.expireOrphanedBackends(now)
 	r.observeLeases(now)
-	r.retireTallies(now)
-	r.dropTombstones(now)
+	r.expireTallies(now)
+	r.collectTombstones(now)
 }
 
 // pruneOrigins keeps the version vector short: it drops origins without items, and republishes the items of this
@@ -54,27 +54,27 @@
 	})
 }
 
-// retireTallies buries the tallies of releases that have ended or were followed by another.
-func (r *Replica) retireTallies(now time.Time) {
+// expireTallies adds tombstones for the tallies of releases that have ended or were followed by another.
+func (r *Replica) expireTallies(now time.Time) {
 	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
-		if _, buried := r.tombstones[item.Key]; buried {
+		if _, noted := r.tombstones[item.Key]; noted {
 			return
 		}
 		tally, ok := replication.ReadReleaseTally(item)
 		rel, known := release.Read(r.acceptor.Get(release.RegisterKey(tallyService(item.Key))).Value)
 		if ok && known && (rel.Phase != release.PhaseInService || rel.Number > tally.ReleaseNumber) {
-			r.bury(item.Key, now)
+			r.addTombstone(item.Key, now)
 		}
 	})
 }
 
-// bury has an item dropped after tombstoneRetention, if it is still obsolete by then.
-func (r *Replica) bury(key string, now time.Time) {
+// addTombstone has an item dropped after tombstoneRetention, if it is still obsolete by then.
+func (r *Replica) addTombstone(key string, now time.Time) {
 	r.tombstones[key] = now.Add(tombstoneRetention)
 }
 
-// dropTombstones drops the tallies and the gone backends whose tombstones have expired.
-func (r *Replica) dropTombstones(now time.Time) {
+// collectTombstones drops the tallies and the gone backends whose tombstones have expired.
+func (r *Replica) collectTombstones(now time.Time) {
 	for _, key := range slices.Sorted(maps.Keys(r.tombstones)) {
 		if now.Before(r.tombstones[key]) {
 			continue
@@ -87,8 +87,8 @@
 	}
 }
 
-// backendIsGone reports whether the backend of an item's key has left or timed out. It may have come back since it was
-// buried.
+// backendIsGone reports whether the backend of an item's key has left or timed out. It may have come back since its
+// tombstone was added.
 func (r *Replica) backendIsGone(key string) bool {
 	item, ok := r.items.Get(key)
 	if !ok {
--- a/internal/control/replica/operation.go
+++ b/internal/control/replica/operation.go
@@ -78,10 +78,14 @@
 	proposal proposal
 	read     readState
 
-	// The current attempt.
-	attempt          int       // its number; responses to earlier attempts are ignored
-	attemptDeadline  time.Time // when it times out; zero: never
-	retryAt          time.Time // when the next attempt begins; zero while one is under way
+	attempt attempt
+	retryAt time.Time // when the next attempt begins; zero while one is under way
+}
+
+// attempt is the current attempt of an operation.
+type attempt struct {
+	number           int       // responses to requests of other numbers are ignored
+	deadline         time.Time // when it times out; zero: never
 	pendingResponses int       // responses that are still to come
 	pendingSaves     int       // saves of what responses have brought
 	saveFailed       bool
@@ -152,13 +156,12 @@
 		r.postpone(now, op)
 		return
 	}
-	op.attempt++
-	op.attemptDeadline = now.Add(attemptTimeout)
 	op.retryAt = time.Time{}
-	op.pendingSaves = 0
-	op.saveFailed = false
-	op.answered = map[string]bool{}
-	op.activating = false
+	op.attempt = attempt{
+		number:   op.attempt.number + 1,
+		deadline: now.Add(attemptTimeout),
+		answered: map[string]bool{},
+	}
 	switch op.kind {
 	case proposeWrite, completeRead, repairValues:
 		r.startRound(now, op)
@@ -186,19 +189,19 @@
 	}
 }
 
-// isCurrent reports whether an attempt of an operation is still under way.
-func (r *Replica) isCurrent(op *operation, attempt int) bool {
-	return r.operations[op.id] == op && op.attempt == attempt
+// isCurrent reports whether the attempt of a number is still under way.
+func (r *Replica) isCurrent(op *operation, number int) bool {
+	return r.operations[op.id] == op && op.attempt.number == number
 }
 
 // retryIfStuck ends an attempt that can't succeed any more: it waits for nothing, or its round can't get enough
 // responses.
-func (r *Replica) retryIfStuck(now time.Time, op *operation, attempt int) {
-	if !r.isCurrent(op, attempt) || !op.retryAt.IsZero() || op.pendingSaves > 0 {
+func (r *Replica) retryIfStuck(now time.Time, op *operation, number int) {
+	if !r.isCurrent(op, number) || !op.retryAt.IsZero() || op.attempt.pendingSaves > 0 {
 		return
 	}
 	round := op.proposal.round
-	if op.pendingResponses <= 0 || round != nil && round.CannotSucceed(op.pendingResponses) {
+	if op.attempt.pendingResponses <= 0 || round != nil && round.CannotSucceed(op.attempt.pendingResponses) {
 		r.scheduleRetry(now, op)
 	}
 }
@@ -224,7 +227,7 @@
 		if op.kind == confirmDisk {
 			r.finish(op, nil, nil)
 		} else if op.retryAt.IsZero() {
-			op.attempt++
+			op.attempt.number++
 			op.retryAt = now
 		}
 	}
@@ -251,7 +254,7 @@
 	for _, op := range r.operations {
 		consider(op.expiresAt)
 		if op.retryAt.IsZero() {
-			consider(op.attemptDeadline)
+			consider(op.attempt.deadline)
 		} else {
 			consider(op.retryAt)
 		}
@@ -271,7 +274,7 @@
 		switch {
 		case reached(op.expiresAt):
 			r.finish(op, nil, ErrTooFewResponses)
-		case op.retryAt.IsZero() && reached(op.attemptDeadline):
+		case op.retryAt.IsZero() && reached(op.attempt.deadline):
 			r.scheduleRetry(now, op)
 		case reached(op.retryAt):
 			if op.kind == completeRead && op.proposal.round == nil {
--- a/internal/control/replica/pull_answer.go
+++ b/internal/control/replica/pull_answer.go
@@ -1,9 +1,6 @@
 package replica
 
 import (
-	"cmp"
-	"slices"
-	"strconv"
 	"strings"
 	"time"
 
@@ -25,13 +22,6 @@
 	progress replication.Vector
 }
 
-// peerProgress is how far another member has come by the last pull that it sent here.
-type peerProgress struct {
-	vector    replication.Vector
-	legacySeq uint64 // in this replica's local sequence numbers, in protocol version 1
-	at        time.Time
-}
-
 // HandlePull takes a pull: it renews the lease of a proxy, or takes up a controller. AnswerPull returns the response.
 func (r *Replica) HandlePull(now time.Time, request *message.PullRequest) *PendingPull {
 	pending := &PendingPull{
@@ -62,22 +52,6 @@
 	return pending
 }
 
-// notePullProgress notes how far the member that sent a pull has come.
-func (r *Replica) notePullProgress(now time.Time, request *message.PullRequest, complete bool) {
-	node := request.From.Node
-	previous, known := r.pullProgress[node]
-	r.pullProgress[node] = peerProgress{
-		vector:    request.Progress,
-		legacySeq: request.LegacyVector[r.items.Source],
-		at:        now,
-	}
-	if away := now.Sub(previous.at); known && away > PeerTimeout+LeaseTerm {
-		missing, _ := r.items.Missing(request.Progress, r.items.LocalSequence(), nil)
-		r.logEvent("member returned", "member", node, "awayMs", formatMs(away),
-			"items", strconv.Itoa(len(missing)), "complete", strconv.FormatBool(complete))
-	}
-}
-
 // AnswerPull returns the response to a pull as of now. Unless it is ready, there is nothing new in it, and it should
 // not be sent before the pull's waiting time is over.
 func (r *Replica) AnswerPull(now time.Time, pending *PendingPull) (response *message.PullResponse, ready bool) {
@@ -225,78 +199,3 @@
 	sortByNode(targets)
 	return targets
 }
-
-const (
-	// maxResponseBytes bounds the items of one response. A single item may be longer.
-	maxResponseBytes = 192 << 10
-
-	// itemOverheadBytes bounds the encoded size of an item beside its key and body.
-	itemOverheadBytes = 48
-)
-
-// limitResponse leaves out the items beyond maxResponseBytes; the sender pulls the rest at once. Within each origin
-// the items are sent in the order of their sequence numbers, so that the response's progress can end before the first
-// that is left out. A complete response to a proxy is not limited, because the proxy takes it for all there is.
-func limitResponse(response *message.PullResponse, request *message.PullRequest) {
-	if response.Complete && request.Role != message.RoleController {
-		return
-	}
-	slices.SortStableFunc(response.Items, func(a, b replication.Item) int {
-		if a.OriginIndex != b.OriginIndex {
-			return a.OriginIndex - b.OriginIndex
-		}
-		return cmp.Compare(a.Sequence, b.Sequence)
-	})
-	size := 0
-	for i, item := range response.Items {
-		size += itemOverheadBytes + len(item.Key) + len(item.Body)
-		if size > maxResponseBytes && i > 0 {
-			response.WithdrawProgress(response.Items[i:], request.Progress)
-			response.Items = response.Items[:i]
-			return
-		}
-	}
-}
-
-// Replicated reports whether an item that was published here at a given time is held widely enough to be acknowledged:
-// by so many members that each member with a quorum reaches one of them, and, until RemovalReplicationWait has passed,
-// by all that are reachable.
-func (r *Replica) Replicated(now time.Time, key string, publishedAt time.Time) bool {
-	origin, sequence := r.items.OriginOf(key)
-	if origin == "" {
-		return false
-	}
-	localSequence := r.items.LocalSequenceOf(key)
-	holders := 1
-	onAllReachable := true
-	for node := range r.peers {
-		progress, known := r.pullProgress[node]
-		switch {
-		case known && progress.holds(origin, sequence, localSequence):
-			holders++
-		case r.reachable(node, now):
-			onAllReachable = false
-		}
-	}
-	if holders < replicationQuorum(len(r.local.configuration.Members)) {
-		return false
-	}
-	return onAllReachable || now.Sub(publishedAt) >= RemovalReplicationWait
-}
-
-// holds reports whether a member holds an item, by its sequence number at its origin or, in protocol version 1, by its
-// local sequence number here.
-func (p peerProgress) holds(origin string, sequence, localSequence uint64) bool {
-	if p.vector[origin] >= sequence {
-		return true
-	}
-	return p.vector == nil && p.legacySeq >= localSequence
-}
-
-// replicationQuorum returns how many of the members have to hold an item so that every majority of them contains a
-// holder: half of them rounded up. It is two at least, so that the item outlives the member that acknowledges it even
-// in a configuration of two.
-func replicationQuorum(members int) int {
-	const minHolders = 2
-	return max(members-members/2, min(members, minHolders))
-}
--- a/internal/control/replica/pull_response.go
+++ b/internal/control/replica/pull_response.go
@@ -176,7 +176,7 @@
 	}
 	gone := isGone(backend.Phase)
 	if gone {
-		r.bury(item.Key, now)
+		r.addTombstone(item.Key, now)
 	}
 	if gone || backend.Owner != r.config.Self.Node {
 		r.liveness.ForgetBackend(id)
--- a/internal/control/replica/range_sync.go
+++ b/internal/control/replica/range_sync.go
@@ -31,12 +31,12 @@
 		response.OK = false
 		return
 	}
-	responder := rangesync.Responder{
+	comparison := rangesync.Responder{
 		Index:     r.acceptor.Index(),
 		Limits:    rangesync.DefaultLimits,
 		EntrySize: r.entrySize,
 	}
-	ranges, err := responder.Respond(request.Ranges)
+	ranges, err := comparison.Respond(request.Ranges)
 	if err != nil { // a malformed request, which no correct replica sends
 		response.OK = false
 		return
@@ -53,10 +53,10 @@
 	op *operation, others []message.Member, compared rangesync.Range,
 ) (first *rangesync.Request) {
 	r.lastID++
-	op.sessions = map[message.Member]*rangesync.Session{}
+	op.attempt.sessions = map[message.Member]*rangesync.Session{}
 	for _, peer := range others {
 		session := rangesync.NewSession(r.lastID, r.acceptor.Index(), compared, rangesync.DefaultLimits)
-		op.sessions[peer] = session
+		op.attempt.sessions[peer] = session
 		first = session.NextRequest()
 	}
 	return first
@@ -68,7 +68,7 @@
 	now time.Time, op *operation, from message.Member, path string,
 	response *message.PeerResponse, done func(now time.Time),
 ) {
-	session := op.sessions[from]
+	session := op.attempt.sessions[from]
 	if session == nil || response.Ranges == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 			r.requestMore(op, from, path, r.newRangesRequest(path, next))
 		}
 		if session.Done() {
-			delete(op.sessions, from)
+			delete(op.attempt.sessions, from)
 			done(now)
 		}
 	})
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -55,12 +55,12 @@
 func (r *Replica) handleReadResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
-	if op.answered[from.Node] || !response.OK {
+	if op.attempt.answered[from.Node] || !response.OK {
 		return
 	}
 	memberDone := func(now time.Time) {
-		op.answered[from.Node] = true
-		if len(op.answered) >= r.local.configuration.MaxFailures {
+		op.attempt.answered[from.Node] = true
+		if len(op.attempt.answered) >= r.local.configuration.MaxFailures {
 			r.finishRead(now, op)
 		}
 	}
@@ -108,20 +108,20 @@
 func (r *Replica) learnForOperation(
 	now time.Time, op *operation, entries []quorum.Entry, done func(now time.Time),
 ) {
-	attempt := op.attempt
-	op.pendingSaves++
+	number := op.attempt.number
+	op.attempt.pendingSaves++
 	changed := r.learnEntries(now, entries)
 	r.save(now, Save{Entries: changed}, func(now time.Time, err error) {
-		if !r.isCurrent(op, attempt) {
+		if !r.isCurrent(op, number) {
 			return
 		}
-		op.pendingSaves--
+		op.attempt.pendingSaves--
 		if err != nil {
-			op.saveFailed = true
+			op.attempt.saveFailed = true
 		}
-		if !op.saveFailed {
+		if !op.attempt.saveFailed {
 			done(now)
 		}
-		r.retryIfStuck(now, op, attempt)
+		r.retryIfStuck(now, op, number)
 	})
 }
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -64,7 +64,7 @@
 		r.proposeFirstConfiguration(now)
 		return
 	}
-	if !r.leaving && (!r.HasQuorum(now) || !r.isReconfigurer(now)) {
+	if !r.leaving && (!r.HasQuorum(now) || !r.isCoordinator(now)) {
 		return
 	}
 	if !r.takeoverComplete(now) {
@@ -119,8 +119,8 @@
 	return true
 }
 
-// isReconfigurer reports whether this replica is the first by name of the members that are reachable.
-func (r *Replica) isReconfigurer(now time.Time) bool {
+// isCoordinator reports whether this replica is the first by name of the members that are reachable.
+func (r *Replica) isCoordinator(now time.Time) bool {
 	for node := range r.peers {
 		if node < r.config.Self.Node && r.reachable(node, now) {
 			return false
--- a/internal/control/replica/registers.go
+++ b/internal/control/replica/registers.go
@@ -11,8 +11,8 @@
 	"sagelever/internal/control/replication"
 )
 
-// responder takes the response to a request, or the error with which it failed.
-type responder func(now time.Time, response *message.PeerResponse, err error)
+// responseCallback takes the response to a request, or the error with which it failed.
+type responseCallback func(now time.Time, response *message.PeerResponse, err error)
 
 // HandleRequest takes another member's request. The response is part of the Output of this step or of a later one,
 // under the same call ID: it waits until what it says is on disk.
@@ -23,7 +23,7 @@
 }
 
 // serveRequest serves a request of another member, or this replica's own part in a round.
-func (r *Replica) serveRequest(now time.Time, path string, request *message.PeerRequest, respond responder) {
+func (r *Replica) serveRequest(now time.Time, path string, request *message.PeerRequest, respond responseCallback) {
 	switch path {
 	case message.GenerationPath:
 		respond(now, r.serveGeneration(request), nil)
@@ -35,7 +35,7 @@
 }
 
 // serveEpochRequest serves a request that only an active member of the request's epoch may answer.
-func (r *Replica) serveEpochRequest(now time.Time, path string, request *message.PeerRequest, respond responder) {
+func (r *Replica) serveEpochRequest(now time.Time, path string, request *message.PeerRequest, respond responseCallback) {
 	if request.Epoch < r.local.configuration.Epoch { // the sender is told the configuration in force
 		respond(now, &message.PeerResponse{Configuration: r.local.chosenEntry()}, nil)
 		return
@@ -61,7 +61,7 @@
 }
 
 // respondSaved returns a save callback that sends a response if the save has succeeded, and the error otherwise.
-func respondSaved(response *message.PeerResponse, respond responder) saveCallback {
+func respondSaved(response *message.PeerResponse, respond responseCallback) saveCallback {
 	return func(now time.Time, err error) {
 		if err != nil {
 			respond(now, nil, err)
--- a/internal/control/replica/request.go
+++ b/internal/control/replica/request.go
@@ -18,11 +18,11 @@
 func (r *Replica) broadcast(now time.Time, op *operation, path string, request *message.PeerRequest) {
 	peers := r.votingPeers()
 	r.send(op, peers, path, request)
-	op.pendingResponses = len(peers) + 1
-	attempt := op.attempt
-	self := message.Member{Node: r.quorumName()}
+	op.attempt.pendingResponses = len(peers) + 1
+	number := op.attempt.number
+	self := message.Member{Node: r.voterID()}
 	r.serveRequest(now, path, request, func(now time.Time, response *message.PeerResponse, err error) {
-		if !r.isCurrent(op, attempt) {
+		if !r.isCurrent(op, number) {
 			return
 		}
 		if err != nil {
@@ -37,22 +37,22 @@
 	now time.Time, op *operation, to []message.Member, path string, request *message.PeerRequest,
 ) {
 	r.send(op, to, path, request)
-	op.pendingResponses = len(to)
-	if op.pendingResponses == 0 {
+	op.attempt.pendingResponses = len(to)
+	if op.attempt.pendingResponses == 0 {
 		r.scheduleRetry(now, op)
 	}
 }
 
 // requestMore sends a further request of an attempt to one replica.
 func (r *Replica) requestMore(op *operation, to message.Member, path string, request *message.PeerRequest) {
-	op.pendingResponses++
+	op.attempt.pendingResponses++
 	r.send(op, []message.Member{to}, path, request)
 }
 
 func (r *Replica) send(op *operation, to []message.Member, path string, request *message.PeerRequest) {
 	for _, peer := range to {
 		r.lastID++
-		r.pendingRequests[r.lastID] = pendingRequest{op.id, op.attempt, peer}
+		r.pendingRequests[r.lastID] = pendingRequest{op.id, op.attempt.number, peer}
 		r.output.Requests = append(r.output.Requests, OutgoingRequest{r.lastID, peer, path, request})
 	}
 }
@@ -68,7 +68,7 @@
 		changed := r.learnEntries(now, []quorum.Entry{*response.Configuration})
 		r.save(now, Save{Entries: changed}, nil)
 	}
-	if op := r.operations[pending.operationID]; op != nil && op.attempt == pending.attempt {
+	if op := r.operations[pending.operationID]; op != nil && op.attempt.number == pending.attempt {
 		r.dispatchResponse(now, op, pending.to, response)
 	}
 }
@@ -77,8 +77,8 @@
 func (r *Replica) dispatchResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
-	op.pendingResponses--
-	attempt := op.attempt
+	op.attempt.pendingResponses--
+	number := op.attempt.number
 	if response != nil {
 		switch op.kind {
 		case proposeWrite, completeRead, repairValues:
@@ -91,5 +91,5 @@
 			r.handleStateResponse(now, op, from, response)
 		}
 	}
-	r.retryIfStuck(now, op, attempt)
+	r.retryIfStuck(now, op, number)
 }
--- a/internal/control/replica/round.go
+++ b/internal/control/replica/round.go
@@ -46,7 +46,7 @@
 		return
 	}
 	op.proposal.accepting = true
-	op.attempt++ // so that later promises are not taken for acceptances
+	op.attempt.number++ // so that later promises are not taken for acceptances
 	r.broadcast(now, op, message.AcceptPath, &message.PeerRequest{
 		Epoch:    round.Proposal.Epoch,
 		Proposal: round.Proposal,
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -49,7 +49,7 @@
 		r.scheduleRetry(now, op)
 		return
 	}
-	source := peers[op.attempt%len(peers)]
+	source := peers[op.attempt.number%len(peers)]
 	r.requestState(now, op, []message.Member{source})
 }
 
@@ -77,7 +77,7 @@
 
 // serveState tells what this replica holds. It first adopts the sender's configuration if that is newer, and has it on
 // disk before the response: from then on, what it holds of the previous epoch doesn't change.
-func (r *Replica) serveState(now time.Time, request *message.PeerRequest, respond responder) {
+func (r *Replica) serveState(now time.Time, request *message.PeerRequest, respond responseCallback) {
 	var changed []quorum.Entry
 	if request.Configuration != nil {
 		changed = r.learnEntries(now, []quorum.Entry{*request.Configuration})
@@ -107,7 +107,7 @@
 func (r *Replica) handleStateResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
-	if !response.OK || op.answered[from.Node+from.DiskID] || response.DiskID != from.DiskID {
+	if !response.OK || op.attempt.answered[from.Node+from.DiskID] || response.DiskID != from.DiskID {
 		return
 	}
 	// A new member will be asked to confirm the disks of others like the member that it replaces.
@@ -134,8 +134,8 @@
 	if activeEpoch+1 != local.configuration.Epoch || !local.inPrevious(source) {
 		return
 	}
-	op.answered[source.Node+source.DiskID] = true
-	sources := len(op.answered)
+	op.attempt.answered[source.Node+source.DiskID] = true
+	sources := len(op.attempt.answered)
 	// A member of the previous configuration counts itself. If it was not active there, it has accepted nothing in
 	// that epoch, and it now holds what was chosen before.
 	if local.inPrevious(local.self) {
@@ -149,11 +149,11 @@
 // finishTakeover makes this replica active in the current epoch once that is on disk, together with the refusal of all
 // proposals of earlier epochs.
 func (r *Replica) finishTakeover(now time.Time, op *operation) {
-	if op.activating {
+	if op.attempt.activating {
 		return
 	}
-	op.activating = true
-	op.attemptDeadline = time.Time{} // it takes as long as the disk does
+	op.attempt.activating = true
+	op.attempt.deadline = time.Time{} // it takes as long as the disk does
 	local := &r.local
 	epoch := local.configuration.Epoch
 	r.acceptor.RaiseMinProposal(quorum.ProposalNumber{Epoch: epoch})
@@ -162,15 +162,15 @@
 	next.Acting = true
 	next.Active = epoch
 	local.submittedIdentity = next
-	op.pendingSaves++
-	attempt := op.attempt
+	op.attempt.pendingSaves++
+	number := op.attempt.number
 	var saveID uint64
 	saveID = r.save(now, Save{Floor: &floor, Identity: &next}, func(now time.Time, err error) {
-		if !r.isCurrent(op, attempt) {
+		if !r.isCurrent(op, number) {
 			return
 		}
-		op.pendingSaves--
-		if err != nil || op.saveFailed || next.Disk != local.identity.Disk || r.hasUnsavedBefore(saveID) {
+		op.attempt.pendingSaves--
+		if err != nil || op.attempt.saveFailed || next.Disk != local.identity.Disk || r.hasUnsavedBefore(saveID) {
 			r.scheduleRetry(now, op)
 			return
 		}
