--- a/internal/control/replica/identity.go
+++ b/internal/control/replica/identity.go
@@ -11,16 +11,16 @@
 // Identity is what a disk says about the replica that uses it. It is saved as a whole, as JSON.
 //
 // A replica that lost its disk, or got back an old copy of it, no longer knows what it has promised. It must not go on
-// as the same member. Disk tells apart a new disk from the old one. Generation tells apart a disk from an old copy of
-// it: it is advanced every generationInterval and told to other controllers, who confirm it after a restart.
+// as the same member. The ID tells apart a new disk from the old one. The generation tells apart a disk from an old
+// copy of it: it is advanced every generationInterval and sent to other controllers, who confirm it after a restart.
 type Identity struct {
 	Disk       string   `json:"Disk"`       // random, drawn when the disk is first used
 	Starts     uint64   `json:"Starts"`     // how many processes have used the disk
 	Generation uint64   `json:"Generation"` // advanced while the disk is confirmed not to be an old copy
 	Fresh      bool     `json:"Fresh"`      // the disk took part in the first start of the whole system
 	Contacts   []string `json:"Contacts"`   // Config.InitialPeers at that time
-	Acting     bool     `json:"Acting"`     // the replica has been active, last in the epoch Active
-	Active     uint64   `json:"Active"`     // the last epoch at whose start it held everything chosen before
+	Acting     bool     `json:"Acting"`     // the replica has been active, or took part in the first start
+	Active     uint64   `json:"Active"`     // the last epoch in which it was active
 }
 
 // newDiskID draws the identity of a disk that is used for the first time.
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -21,8 +21,8 @@
 	origin      string    // of the items that it publishes in its current incarnation
 
 	// Progress of pulls from a peer of protocol version 1.
-	legacySource string
-	legacySeq    uint64
+	legacySource   string
+	legacySequence uint64
 }
 
 // heard notes a response of the peer.
@@ -31,13 +31,13 @@
 	p.heardOnce = true
 	p.activeEpoch = response.ActiveEpoch
 	p.legacySource = ""
-	p.legacySeq = 0
+	p.legacySequence = 0
 	if len(response.Origins) > 0 {
 		p.origin = response.Origins[0]
 	}
 	if response.ProtocolVersion < message.ProtocolVersion {
 		p.legacySource = response.Source
-		p.legacySeq = response.Seq
+		p.legacySequence = response.Seq
 	}
 }
 
@@ -155,7 +155,8 @@
 		now.Sub(local.adoptedAt) < takeoverGrace
 }
 
-// noteQuorumChange logs when this replica gains or loses its quorum, and answers the pending pulls, which are told.
+// noteQuorumChange logs when this replica gains or loses its quorum, and has the pending pulls answered, whose
+// responses say it.
 func (r *Replica) noteQuorumChange(now time.Time) {
 	hasQuorum := r.HasQuorum(now)
 	if hasQuorum == r.hadQuorum {
--- a/internal/control/replica/pull_answer.go
+++ b/internal/control/replica/pull_answer.go
@@ -18,7 +18,7 @@
 
 	// What this replica held when the pull was received. Items that reach it later from other origins are on their way
 	// to the sender already and are left out.
-	seq      uint64
+	sequence uint64
 	progress replication.Vector
 }
 
@@ -27,7 +27,7 @@
 	pending := &PendingPull{
 		request:   request,
 		hadQuorum: r.HasQuorum(now),
-		seq:       r.items.LocalSequence(),
+		sequence:  r.items.LocalSequence(),
 		progress:  r.items.Vector(),
 	}
 	if request.Role == message.RoleController {
@@ -141,12 +141,12 @@
 	if pending.complete {
 		base = nil
 	}
-	maxSeq, reached := pending.seq, pending.progress
+	maxSequence, reached := pending.sequence, pending.progress
 	// a proxy pulls from one member only, so that nothing else is on its way to it
 	if pending.complete || !fromController {
-		maxSeq, reached = r.items.LocalSequence(), r.items.Vector()
+		maxSequence, reached = r.items.LocalSequence(), r.items.Vector()
 	}
-	response.Items, response.Origins = r.items.Missing(base, maxSeq, itemFilter(request.Role))
+	response.Items, response.Origins = r.items.Missing(base, maxSequence, itemFilter(request.Role))
 	if !fromController { // controllers prune their vectors themselves
 		response.DroppedOrigins = droppedOrigins(request.Progress, reached)
 	}
--- a/internal/control/replica/pull_request.go
+++ b/internal/control/replica/pull_request.go
@@ -61,7 +61,7 @@
 	peer.lastPull = now
 	request.PeerActiveEpoch = peer.activeEpoch
 	if peer.legacySource != "" {
-		request.LegacyVector = map[string]uint64{peer.legacySource: peer.legacySeq}
+		request.LegacyVector = map[string]uint64{peer.legacySource: peer.legacySequence}
 	}
 }
 
--- a/internal/control/replica/registers.go
+++ b/internal/control/replica/registers.go
@@ -35,7 +35,9 @@
 }
 
 // serveEpochRequest serves a request that only an active member of the request's epoch may answer.
-func (r *Replica) serveEpochRequest(now time.Time, path string, request *message.PeerRequest, respond responseCallback) {
+func (r *Replica) serveEpochRequest(
+	now time.Time, path string, request *message.PeerRequest, respond responseCallback,
+) {
 	if request.Epoch < r.local.configuration.Epoch { // the sender is told the configuration in force
 		respond(now, &message.PeerResponse{Configuration: r.local.chosenEntry()}, nil)
 		return
--- a/internal/control/replica/replicated.go
+++ b/internal/control/replica/replicated.go
@@ -10,9 +10,9 @@
 
 // peerProgress is how far another member has come by the last pull that it sent here.
 type peerProgress struct {
-	vector    replication.Vector
-	legacySeq uint64 // in this replica's local sequence numbers, in protocol version 1
-	at        time.Time
+	vector         replication.Vector
+	legacySequence uint64 // in this replica's local sequence numbers, in protocol version 1
+	at             time.Time
 }
 
 // notePullProgress notes how far the member that sent a pull has come.
@@ -20,9 +20,9 @@
 	node := request.From.Node
 	previous, known := r.pullProgress[node]
 	r.pullProgress[node] = peerProgress{
-		vector:    request.Progress,
-		legacySeq: request.LegacyVector[r.items.Source],
-		at:        now,
+		vector:         request.Progress,
+		legacySequence: request.LegacyVector[r.items.Source],
+		at:             now,
 	}
 	if away := now.Sub(previous.at); known && away > PeerTimeout+LeaseTerm {
 		missing, _ := r.items.Missing(request.Progress, r.items.LocalSequence(), nil)
@@ -63,7 +63,7 @@
 	if p.vector[origin] >= sequence {
 		return true
 	}
-	return p.vector == nil && p.legacySeq >= localSequence
+	return p.vector == nil && p.legacySequence >= localSequence
 }
 
 // replicationQuorum returns how many of the members have to hold an item so that every majority of them contains a
