--- /dev/null
+++ b/internal/control/replica/leases_test.go
@@ -0,0 +1,63 @@
+package replica
+
+import (
+	"testing"
+	"time"
+
+	"sagelever/internal/control/message"
+	"sagelever/internal/control/replication"
+)
+
+// proxyPull returns a proxy's pull at an incarnation.
+func proxyPull(incarnation uint64, listenerAddr string) *message.PullRequest {
+	return &message.PullRequest{
+		From:            message.Member{Node: "e7", Zone: "z0"},
+		Role:            message.RoleProxy,
+		ProtocolVersion: message.ProtocolVersion,
+		ListenerAddr:    listenerAddr,
+		Incarnation:     incarnation,
+	}
+}
+
+// The version of a lease grows with the proxy's incarnation and, within one, with each change of the lease. Pulls of
+// an earlier incarnation, and of one that has ended its lease, are refused.
+func TestLeaseVersions(t *testing.T) {
+	start := time.Unix(1_000_000, 0)
+	cfg := Config{Self: message.Member{Node: "m0", Zone: "z0"}, Random: func() float64 { return 0.5 }}
+	r := New(cfg, PersistedState{}, start)
+	ended := proxyPull(9, "")
+	ended.Ended = true
+	for _, step := range []struct {
+		name        string
+		at          time.Duration
+		pull        *message.PullRequest
+		refusedBy   uint64 // the known incarnation; 0 for a pull that is taken
+		wantVersion uint64
+		wantEnded   bool
+	}{
+		{"first pull", 0, proxyPull(8, "a:80"), 0, 8 << 8, false},
+		{"unchanged", time.Second, proxyPull(8, "a:80"), 0, 8 << 8, false},
+		{"another address", 2 * time.Second, proxyPull(8, "b:80"), 0, 8<<8 + 1, false},
+		{"late pull of an earlier incarnation", 3 * time.Second, proxyPull(7, "a:80"), 8, 8<<8 + 1, false},
+		{"back after the lease expired", 10 * time.Second, proxyPull(8, "b:80"), 0, 8<<8 + 3, false},
+		{"next incarnation", 11 * time.Second, proxyPull(9, "b:80"), 0, 9 << 8, false},
+		{"ended by the proxy", 12 * time.Second, ended, 0, 9<<8 + 0xff, true},
+		{"late pull after that", 13 * time.Second, proxyPull(9, "b:80"), 9, 9<<8 + 0xff, true},
+	} {
+		now := start.Add(step.at)
+		r.expireLeases(now)
+		if got := r.HandlePull(now, step.pull).knownIncarnation; got != step.refusedBy {
+			t.Errorf("%s: refused by incarnation %d, want %d", step.name, got, step.refusedBy)
+		}
+		var leases []replication.Item
+		r.items.ForEach(replication.LeaseKey, func(item replication.Item) { leases = append(leases, item) })
+		if len(leases) != 1 {
+			t.Fatalf("%s: %d leases", step.name, len(leases))
+		}
+		lease, ok := replication.ReadLease(leases[0])
+		if !ok || leases[0].Version != step.wantVersion || lease.Ended != step.wantEnded {
+			t.Errorf("%s: version %#x, %+v; want version %#x, ended %v",
+				step.name, leases[0].Version, lease, step.wantVersion, step.wantEnded)
+		}
+	}
+}
