--- a/internal/control/replica/response_limit.go
+++ b/internal/control/replica/response_limit.go
@@ -8,31 +8,32 @@
 	"sagelever/internal/control/replication"
 )
 
-// maxResponseBytes bounds the items of one answer to a pull; one item may be longer. What is left over goes with the next pull, which
-// comes at once.
-const maxResponseBytes = 192 << 10
+const (
+	// maxResponseBytes bounds the items of one response. A single item may be longer.
+	maxResponseBytes = 192 << 10
 
-// itemOverheadBytes bounds the bytes of an item in a message beside its key and body.
-const itemOverheadBytes = 48
+	// itemOverheadBytes bounds the encoded size of an item beside its key and body.
+	itemOverheadBytes = 48
+)
 
-// truncateResponse cuts an answer to its bound, and has it claim no more than it tells: of each origin the items go out in the order of
-// their numbers, so that one that has taken these has come as far as the first that is left over. An agent that is told all takes
-// that for all there is, and is told it in one answer.
-func truncateResponse(response *message.PullResponse, request *message.PullRequest) {
+// limitResponse leaves out the items beyond maxResponseBytes; the sender pulls the rest at once. Within each origin
+// the items are sent in the order of their sequence numbers, so that the response's progress can end before the first
+// that is left out. A complete response to a proxy is not limited, because the proxy takes it for all there is.
+func limitResponse(response *message.PullResponse, request *message.PullRequest) {
 	if response.Complete && request.Role != message.RoleController {
 		return
 	}
-	slices.SortStableFunc(response.Items, func(first, second replication.Item) int {
-		if first.OriginIndex != second.OriginIndex {
-			return first.OriginIndex - second.OriginIndex
+	slices.SortStableFunc(response.Items, func(a, b replication.Item) int {
+		if a.OriginIndex != b.OriginIndex {
+			return a.OriginIndex - b.OriginIndex
 		}
-		return cmp.Compare(first.Sequence, second.Sequence)
+		return cmp.Compare(a.Sequence, b.Sequence)
 	})
 	size := 0
 	for i, item := range response.Items {
 		size += itemOverheadBytes + len(item.Key) + len(item.Body)
 		if size > maxResponseBytes && i > 0 {
-			response.Unclaim(response.Items[i:], request.Progress)
+			response.WithdrawProgress(response.Items[i:], request.Progress)
 			response.Items = response.Items[:i]
 			return
 		}
