--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,46 +1,52 @@
+// Package lease holds a proxy's permission to send to backends, which expires by itself where the proxy hears nothing.
+//
+// docs/leaving.md derives the times.
 package lease
 
 import "time"
 
-// SendLease is a node's leave to send: it lasts for a term after the moment at which the core, or the appliance itself, can last
-// be said not to have known of a removal. A node that hears nothing stops by itself; it does not have to be told.
+// maxDuration bounds a send lease. It is shorter than the membership lease that the controllers hold for the proxy, so
+// that the proxy has stopped sending when they report that its membership lease expired.
+const maxDuration = 2200 * time.Millisecond
+
+// SendLease is a proxy's permission to send to backends. It lasts for a fixed time after the last moment at which a
+// controller is known not to have known of a removal that the proxy does not know of. A proxy that hears nothing
+// stops by itself; it does not have to be told. The time is passed in, and a SendLease is not safe for concurrent
+// use.
 type SendLease struct {
 	duration  time.Duration
-	renewedAt time.Time // when it last asked a sound member what it then was told
+	renewedAt time.Time // when the last request was sent that a healthy controller answered
 }
 
-// maxLeaseDuration is how long a leave lasts at most: less than the lease that the core holds for the node, so that it has stopped when
-// the core says that its lease ran out.
-const maxLeaseDuration = 2200 * time.Millisecond
-
-// LeaseDuration is how long a leave lasts, of `empty`, the time for which an appliance goes on serving after the acknowledgement: a
-// quarter of it is kept for a request on its way and for a member that has just lost the others. It counts from the
-// question, as nobody can say when an answer was given.
+// LeaseDuration returns how long a send lease lasts, given the time for which a backend goes on serving after its
+// removal was acknowledged (0 where there is no such bound). A quarter of the drain time is kept for a request on its
+// way, and for a controller that has just lost contact with the others.
 func LeaseDuration(drainTime time.Duration) time.Duration {
 	if drainTime <= 0 {
-		return maxLeaseDuration
+		return maxDuration
 	}
-	return min(maxLeaseDuration, drainTime*3/4)
+	return min(maxDuration, drainTime*3/4)
 }
 
-// PullWait is how long a pull may wait for news. A leave must outlast the pull that has brought it and the next one, and a slow
-// answer: two fifths of it for each, and one for that.
+// PullWait returns how long a controller may hold a proxy's pull until there are updates. A lease must outlast the pull
+// that has renewed it, the next one, and a slow response: two fifths of it for each pull, and one for the response.
 func PullWait(drainTime time.Duration) time.Duration { return LeaseDuration(drainTime) * 2 / 5 }
 
-// Span is how long the leave lasts.
-func (l *SendLease) Span() time.Duration { return l.duration }
-
-// NewSendLease is a leave that has yet to be given.
+// NewSendLease returns a lease that has yet to be granted: it is not valid until it is renewed.
 func NewSendLease(drainTime time.Duration) SendLease {
 	return SendLease{duration: LeaseDuration(drainTime)}
 }
 
-// Renew notes that a sound member has answered what was asked at a moment: what it knew then is known here.
+// Span returns how long the lease lasts.
+func (l *SendLease) Span() time.Duration { return l.duration }
+
+// Renew records that a healthy controller has answered a request sent at requestedAt. The lease counts from the
+// request, since nobody can say when during it the answer was formed. An older moment changes nothing.
 func (l *SendLease) Renew(requestedAt time.Time) {
 	if requestedAt.After(l.renewedAt) {
 		l.renewedAt = requestedAt
 	}
 }
 
-// Valid tells whether the core's word still covers a moment.
+// Valid reports whether the lease covers a moment.
 func (l *SendLease) Valid(now time.Time) bool { return now.Before(l.renewedAt.Add(l.duration)) }
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -345,7 +345,7 @@
 		if !b.eligible(svc, request, backend, arm, now) {
 			continue
 		}
-		permitted := backend.Drain.Covered(&b.lease, now)
+		permitted := backend.Drain.MaySend(&b.lease, now)
 		if takeFirst && permitted {
 			return backend
 		}
--- a/internal/proxy/balancer/draining.go
+++ b/internal/proxy/balancer/draining.go
@@ -82,7 +82,7 @@
 // MayWrite tells whether a request that was given to an appliance may still be written to it: it may have begun to leave while
 // the connection came up, or the leave to send has run out meanwhile.
 func (b *Balancer) MayWrite(backend *Backend, now time.Time) bool {
-	return backend.Drain.State() == draining.Serving && backend.Drain.Covered(&b.lease, now)
+	return backend.Drain.State() == draining.Serving && backend.Drain.MaySend(&b.lease, now)
 }
 
 // undoSend undoes what was noted of a send that never was.
--- a/internal/proxy/draining/tracker.go
+++ b/internal/proxy/draining/tracker.go
@@ -1,70 +1,51 @@
-// Package ebb is how an appliance leaves: no node sends it anything new from one moment on, what is out there comes back,
-// and then it is free. It holds the state of each appliance as one node has it, the leave to send that ends by itself where
-// nothing is heard, the room that a removal must leave, and what an operator is told of a removal under way. It is pure: the
-// time is handed in.
+// Package draining decides whether a proxy may send to a backend that is being removed.
 //
-//	state    input                                   next      effect
-//	serving  a reason begins                         leaving   nothing new from now on; what waits is placed anew
-//	serving  a reason begins, nothing is out there   left      the same
-//	leaving  another reason begins or ends           leaving   the moment from which nothing new may go stays
-//	leaving  the last answer comes back              left      free
-//	leaving  its last reason ends                    serving   new work; cold where it may have restarted meanwhile
-//	left     its last reason ends                    serving   the same
-//	any      its life ends: signed off, lost, 421    gone      nothing more, ever; what is out is waited for
-//	serving  the leave to send runs out              serving   nothing new until the core or it itself has said a word
+// From one moment on no proxy sends a draining backend anything new; the requests in flight finish there; then it is
+// free to go. A Tracker holds the state of one backend as one proxy sees it. Together with the proxy's
+// lease.SendLease it says whether a request may be sent. The package does no input or output: the time is passed in,
+// and callers guard its values against concurrent use.
 //
-// docs/leaving.md has the arithmetic of the times.
+//	state     input                                    next      effect
+//	serving   a reason begins                          draining  no new requests; queued ones are placed elsewhere
+//	serving   a reason begins, nothing is in flight    drained   the same
+//	draining  another reason begins or ends            draining  the moment from which nothing new may go stays
+//	draining  the last response comes back             drained   free
+//	draining  its last reason ends                     serving   new requests; warming up if it may have restarted
+//	drained   its last reason ends                     serving   the same
+//	any       its incarnation ends: sign-off, lost,    ended     no request ever again; what is in flight is waited for
+//	          a 421 response
+//	serving   the send lease expires                   serving   nothing new until a controller or the backend confirms
+//
+// docs/leaving.md derives the times.
 package draining
 
 import (
-	"strings"
 	"time"
-)
-
-// State of an appliance at one node.
-type State uint8
 
-const (
-	Serving  State = iota
-	Draining       // nothing new goes there; something is out there
-	Drained        // nothing new goes there, and nothing is out there
-	Ended          // its life is over
-)
-
-func (s State) String() string { return [...]string{"serving", "leaving", "left", "gone"}[s] }
-
-// Reasons is a set of reasons for which an appliance gets nothing new.
-type Reasons uint8
-
-const (
-	SelfReported  Reasons = 1 << iota // its pulse says that it is emptying
-	ZoneEvacuated                     // its zone is cleared out
-	OperatorDrain                     // an operator drains it, its service there, or its zone
-	BuildRetired                      // its build was sent back, or is no longer the one in force
+	"sagelever/internal/lease"
 )
 
-func (r Reasons) String() string {
-	var names []string
-	for i, name := range []string{"emptying", "zone cleared out", "drained", "build out of service"} {
-		if r&(1<<i) != 0 {
-			names = append(names, name)
-		}
-	}
-	return strings.Join(names, ", ")
-}
-
-// Tracker is an appliance as one node holds it. Its zero value serves.
+// Tracker follows one backend at one proxy. Its zero value is a backend that serves.
+//
+// Invariant: drainingSince is zero exactly while the state is Serving.
 type Tracker struct {
 	reasons            Reasons
 	ended              bool
-	drainingSince      time.Time // from which nothing new may go; zero while it serves
-	inFlight           [2]int    // requests of this node that are out there: harmless, risky
-	confirmedAt        time.Time // when it last said itself that it was not leaving
-	consecutiveCloses  int       // answers in a row with which it closed the connection
-	closesWhileServing bool      // it does so though it serves
+	drainingSince      time.Time
+	inFlight           [requestKinds]int // requests of this proxy, by kind
+	confirmedAt        time.Time         // when it last said itself that it was not draining
+	consecutiveCloses  int               // responses in a row that closed their connection
+	closesWhileServing bool              // it closes connections though it said that it serves
 }
 
-// State is where it stands.
+// The kinds of requests that are counted apart.
+const (
+	idempotentKind = iota
+	nonIdempotentKind
+	requestKinds
+)
+
+// State returns where the backend stands.
 func (t *Tracker) State() State {
 	switch {
 	case t.ended:
@@ -77,19 +58,19 @@
 	return Drained
 }
 
-// Reasons is for what it gets nothing new.
+// Reasons returns why the backend gets no new requests.
 func (t *Tracker) Reasons() Reasons { return t.reasons }
 
-// DrainingSince is the moment from which nothing new may go there; zero while it serves.
+// DrainingSince returns the moment from which nothing new may be sent; zero while the backend serves.
 func (t *Tracker) DrainingSince() time.Time { return t.drainingSince }
 
-// InFlight is how many requests of this node are out there.
-func (t *Tracker) InFlight() int { return t.inFlight[0] + t.inFlight[1] }
+// InFlight returns the number of requests of this proxy that the backend has.
+func (t *Tracker) InFlight() int { return t.inFlight[idempotentKind] + t.inFlight[nonIdempotentKind] }
 
-// NonIdempotentInFlight is how many of them must run at most once.
-func (t *Tracker) NonIdempotentInFlight() int { return t.inFlight[1] }
+// NonIdempotentInFlight returns how many of them must run at most once.
+func (t *Tracker) NonIdempotentInFlight() int { return t.inFlight[nonIdempotentKind] }
 
-// SetReasons takes up the reasons as they stand; it tells whether it begins to leave, or serves again.
+// SetReasons replaces the reasons. It reports whether the backend begins to drain, or serves again.
 func (t *Tracker) SetReasons(reasons Reasons, now time.Time) (changed bool) {
 	if t.ended {
 		return false
@@ -107,23 +88,74 @@
 	return true
 }
 
-// End ends its life: whatever is heard later, it gets nothing more.
+// End records that the backend's incarnation is over. Later reasons change nothing.
 func (t *Tracker) End(now time.Time) {
-	if !t.ended && t.reasons == 0 {
+	if t.State() == Serving {
 		t.drainingSince = now
 	}
 	t.ended = true
 }
 
-// RequestStarted notes that a request goes there.
+// RequestStarted counts a request that is about to be sent to the backend.
 func (t *Tracker) RequestStarted(nonIdempotent bool) { t.inFlight[kindIndex(nonIdempotent)]++ }
 
-// RequestFinished notes that a request has come to its end there, however it ended. Nothing but this ends what is out.
+// RequestFinished counts a request that has come to its end, however it ended. Nothing else lowers the number in
+// flight.
 func (t *Tracker) RequestFinished(nonIdempotent bool) { t.inFlight[kindIndex(nonIdempotent)]-- }
 
 func kindIndex(nonIdempotent bool) int {
 	if nonIdempotent {
-		return 1
+		return nonIdempotentKind
+	}
+	return idempotentKind
+}
+
+// MaySend reports whether a request may go to the backend now, as far as confirmation goes: that of the controllers,
+// which is the lease, or the backend's own, which lasts as long. A backend that may be draining before the
+// controllers have said so, as it closed the connection of drainingCloseCount responses in a row, gets nothing until
+// it answers a health check.
+func (t *Tracker) MaySend(sendLease *lease.SendLease, now time.Time) bool {
+	if t.suspectedDraining() {
+		return false
+	}
+	return sendLease.Valid(now) || now.Before(t.confirmedAt.Add(sendLease.Span()))
+}
+
+// drainingCloseCount is how many responses in a row with `Connection: close` say that a backend may be draining: all
+// responses of a draining one have that header, and now and then another's does.
+const drainingCloseCount = 2
+
+// ObserveResponse records a response of the backend to a request sent at sentAt. One that keeps the connection open
+// proves that the backend was not draining at that time.
+func (t *Tracker) ObserveResponse(sentAt time.Time, closesConnection bool) {
+	if closesConnection {
+		t.consecutiveCloses++
+		return
+	}
+	t.consecutiveCloses = 0
+	t.confirm(sentAt)
+}
+
+// ObserveHealthCheck records the backend's answer to a health check sent at sentAt: whether it serves.
+func (t *Tracker) ObserveHealthCheck(sentAt time.Time, serving bool) {
+	if !serving {
+		return
+	}
+	if t.suspectedDraining() {
+		t.closesWhileServing = true
+	}
+	t.consecutiveCloses = 0
+	t.confirm(sentAt)
+}
+
+// suspectedDraining reports whether the backend's closed connections suggest that it drains, and it has not shown that
+// it closes them while it serves.
+func (t *Tracker) suspectedDraining() bool {
+	return t.consecutiveCloses >= drainingCloseCount && !t.closesWhileServing
+}
+
+func (t *Tracker) confirm(at time.Time) {
+	if at.After(t.confirmedAt) {
+		t.confirmedAt = at
 	}
-	return 0
 }
--- a/internal/stats/bestarm/bestarm.go
+++ b/internal/stats/bestarm/bestarm.go
@@ -1,14 +1,31 @@
-// Package arms is the two-arm statistic of the design (docs/design.md), after "Optimal Best Arm Identification with Fixed
-// Confidence": the optimal proportion between two Bernoulli arms, D-Tracking to it, and Chernoff's likelihood-ratio
-// statistic. Both programs decide their trials by it. It knows no tuned value.
+// Package bestarm implements the two-armed best-arm-identification test that decides a canary release.
+//
+// It follows Garivier and Kaufmann, "Optimal Best Arm Identification with Fixed Confidence" (COLT 2016): the optimal
+// sampling proportion between two Bernoulli arms, the D-Tracking sampling rule that follows it, and the generalized
+// likelihood-ratio statistic of Chernoff's stopping rule. The agent and the load balancer both use it; docs/design.md
+// says with which parameters. The package holds no tuned value.
 package bestarm
 
 import "math"
 
-// Arm is what is counted of one build: how often it was picked, its outcomes, and the sum of their payoffs.
-type Arm struct{ Pulls, Observations, Reward float64 }
+const (
+	// minMeanGap is the difference between two means below which they count as equal.
+	minMeanGap = 1e-6
+	// bisections is how often the interval of a proportion is halved: an error of at most 2^-31.
+	bisections = 30
+	// minProbability keeps means away from 0 and 1, where the divergence is infinite.
+	minProbability = 1e-9
+)
 
-// Mean is the mean payoff; a half where nothing was seen.
+// Arm holds the counts of one arm, that is of one build. They are floating-point numbers because those of several
+// nodes, some of them decayed, are added up.
+type Arm struct {
+	Pulls        float64 // times that the arm was chosen, whether or not an outcome is known yet
+	Observations float64 // outcomes seen
+	Reward       float64 // sum of the rewards of these outcomes, each between 0 and 1
+}
+
+// Mean returns the mean reward, and one half where there are no observations.
 func (a Arm) Mean() float64 {
 	if a.Observations == 0 {
 		return 0.5
@@ -16,52 +33,66 @@
 	return a.Reward / a.Observations
 }
 
-// KLDivergence is d(p, q), the Kullback-Leibler divergence of two Bernoulli means, in nats.
+// KLDivergence returns the Kullback-Leibler divergence d(p, q) of two Bernoulli distributions, in nats.
 func KLDivergence(p, q float64) float64 {
-	const epsilon = 1e-9
-	p, q = min(max(p, epsilon), 1-epsilon), min(max(q, epsilon), 1-epsilon)
+	p = clampProbability(p)
+	q = clampProbability(q)
 	return p*math.Log(p/q) + (1-p)*math.Log((1-p)/(1-q))
 }
 
-// OptimalProportion solves d(m1,m)=d(m2,m) for α*, m being α*m1+(1-α*)m2, by halving: the first arm's share of the attempts.
+func clampProbability(p float64) float64 { return min(max(p, minProbability), 1-minProbability) }
+
+// OptimalProportion returns the share of the pulls that the first arm should get. It solves
+// d(firstMean, m) = d(secondMean, m) for α, where m = α·firstMean + (1-α)·secondMean, by bisection.
 func OptimalProportion(firstMean, secondMean float64) float64 {
-	if math.Abs(firstMean-secondMean) < 1e-6 {
+	if math.Abs(firstMean-secondMean) < minMeanGap {
 		return 0.5
 	}
-	lo, hi := 0.0, 1.0
-	for i := 0; i < 30; i++ {
-		mid := (lo + hi) / 2
-		if mixture := mid*firstMean + (1-mid)*secondMean; KLDivergence(firstMean, mixture) > KLDivergence(secondMean, mixture) {
-			lo = mid
+	low := 0.0
+	high := 1.0
+	for range bisections {
+		middle := (low + high) / 2
+		mixture := middle*firstMean + (1-middle)*secondMean
+		if KLDivergence(firstMean, mixture) > KLDivergence(secondMean, mixture) {
+			low = middle
 		} else {
-			hi = mid
+			high = middle
 		}
 	}
-	return (lo + hi) / 2
+	return (low + high) / 2
 }
 
-// PullSecond is D-Tracking: an arm picked below √t-1 times is forced, else the one furthest behind t·w* goes. It tells
-// whether the second one does.
+// PullSecond is the D-Tracking rule: it reports whether the second of two arms is to be pulled next. After t pulls an
+// arm with fewer than √t-1 of them is pulled by force; otherwise the one that is furthest behind its optimal share is.
 func PullSecond(firstArm, secondArm Arm) (second bool) {
-	firstPulls, secondPulls := firstArm.Pulls, secondArm.Pulls
-	total, proportion := firstPulls+secondPulls, OptimalProportion(firstArm.Mean(), secondArm.Mean())
-	if explorationFloor := math.Sqrt(total) - 1; min(firstPulls, secondPulls) < explorationFloor {
+	firstPulls := firstArm.Pulls
+	secondPulls := secondArm.Pulls
+	total := firstPulls + secondPulls
+	proportion := OptimalProportion(firstArm.Mean(), secondArm.Mean())
+	explorationFloor := math.Sqrt(total) - 1
+	if min(firstPulls, secondPulls) < explorationFloor {
 		return secondPulls < firstPulls
 	}
 	return total*(1-proportion)-secondPulls > total*proportion-firstPulls
 }
 
-// LikelihoodRatio is Z for two arms, with extra added to the second one's mean.
+// LikelihoodRatio returns the generalized log-likelihood ratio Z of the hypothesis that the two means differ against
+// the hypothesis that they are equal. secondBonus is added to the second arm's mean first; the sum is capped at 1.
+// Without observations of both arms Z is 0.
 func LikelihoodRatio(first, second Arm, secondBonus float64) float64 {
 	if first.Observations == 0 || second.Observations == 0 {
 		return 0
 	}
-	firstMean, secondMean := first.Mean(), min(second.Mean()+secondBonus, 1)
-	pooledMean := (first.Observations*firstMean + second.Observations*secondMean) / (first.Observations + second.Observations)
-	return first.Observations*KLDivergence(firstMean, pooledMean) + second.Observations*KLDivergence(secondMean, pooledMean)
+	firstMean := first.Mean()
+	secondMean := min(second.Mean()+secondBonus, 1)
+	firstCount := first.Observations
+	secondCount := second.Observations
+	pooledMean := (firstCount*firstMean + secondCount*secondMean) / (firstCount + secondCount)
+	return firstCount*KLDivergence(firstMean, pooledMean) + secondCount*KLDivergence(secondMean, pooledMean)
 }
 
-// StoppingThreshold is log(2t·n/δ), for t decisions of n balancers and the risk δ of a wrong word.
+// StoppingThreshold returns log(2t·n/δ): the value of the likelihood ratio from which one of n balancers may decide
+// after t decisions so that the probability of a wrong decision of any of them is at most δ.
 func StoppingThreshold(decisions, balancers, errorProbability float64) float64 {
 	return math.Log(2 * max(decisions, 1) * max(balancers, 1) / errorProbability)
 }
--- a/internal/stats/decay/decay.go
+++ b/internal/stats/decay/decay.go
@@ -1,63 +1,47 @@
-// Package gauge holds what is measured over time. It knows no tuned value: callers name spans and half-lives.
+// Package decay provides statistics over recent time: sums and means whose past fades with a half-life, and exact
+// counts over a sliding window.
+//
+// Time is passed in as a duration since an origin of the caller's choice, so that simulations can drive the package. It
+// holds no tuned value: callers name windows and half-lives, and must use the same half-life throughout for one value.
 package decay
 
 import (
 	"math"
-	"sort"
 	"time"
 )
 
-// SlidingWindow counts moments exactly over a trailing window.
-type SlidingWindow struct{ moments []time.Duration }
-
-// Add notes one moment and drops those older than keep; moments come in order.
-func (s *SlidingWindow) Add(now, retention time.Duration) {
-	if expired := s.countBefore(now - retention); 2*expired > len(s.moments) { // half at a time, so that each is moved once at most
-		s.moments = append(s.moments[:0], s.moments[expired:]...)
-	}
-	s.moments = append(s.moments, now)
-}
-
-// Count tells how many moments lie within the window that ends now, which is no longer than what is kept.
-func (s *SlidingWindow) Count(now, window time.Duration) int {
-	return len(s.moments) - s.countBefore(now-window)
-}
-
-// countBefore tells how many moments lie before one.
-func (s *SlidingWindow) countBefore(moment time.Duration) int {
-	return sort.Search(len(s.moments), func(i int) bool { return s.moments[i] >= moment })
-}
-
-// Sum is a sum whose past halves with every half-life; it is brought up to date when read.
+// Sum is an exponentially decaying sum: what was added halves with every half-life. It is brought up to date when it is
+// read. Its zero value is an empty sum. It is not safe for concurrent use.
 type Sum struct {
 	total     float64
 	updatedAt time.Duration
 }
 
-// Add puts x onto the sum.
-func (d *Sum) Add(now, halfLife time.Duration, value float64) {
-	d.total = d.Value(now, halfLife) + value
+// Add adds a value to the sum.
+func (s *Sum) Add(now, halfLife time.Duration, value float64) {
+	s.total = s.Value(now, halfLife) + value
 }
 
-// Value gives the sum as of now.
-func (d *Sum) Value(now, halfLife time.Duration) float64 {
-	if now > d.updatedAt {
-		d.total *= math.Exp2(-float64(now-d.updatedAt) / float64(halfLife))
-		d.updatedAt = now
+// Value returns the sum as of now. A moment before the last update counts as that update's.
+func (s *Sum) Value(now, halfLife time.Duration) float64 {
+	if now > s.updatedAt {
+		s.total *= math.Exp2(-float64(now-s.updatedAt) / float64(halfLife))
+		s.updatedAt = now
 	}
-	return d.total
+	return s.total
 }
 
-// Mean is a decaying mean.
+// Mean is an exponentially decaying mean. Its zero value has seen nothing.
 type Mean struct{ sum, weight Sum }
 
-// Add notes one value.
+// Add adds one observation.
 func (m *Mean) Add(now, halfLife time.Duration, value float64) {
 	m.sum.Add(now, halfLife, value)
 	m.weight.Add(now, halfLife, 1)
 }
 
-// Estimate gives the mean drawn towards prior as if prior had been seen weight times.
+// Estimate returns the mean as of now, drawn towards prior as if prior had been observed priorWeight times. It returns
+// prior where neither has any weight.
 func (m *Mean) Estimate(now, halfLife time.Duration, prior, priorWeight float64) float64 {
 	totalWeight := m.weight.Value(now, halfLife) + priorWeight
 	if totalWeight == 0 {
@@ -66,5 +50,5 @@
 	return (m.sum.Value(now, halfLife) + prior*priorWeight) / totalWeight
 }
 
-// Weight tells how much has been seen lately.
+// Weight returns the decayed number of observations.
 func (m *Mean) Weight(now, halfLife time.Duration) float64 { return m.weight.Value(now, halfLife) }
