--- /dev/null
+++ b/internal/proxy/balancer/inflight.go
@@ -0,0 +1,77 @@
+package balancer
+
+import (
+	"math"
+	"sort"
+	"time"
+
+	"sagelever/internal/control/drain"
+	"sagelever/internal/control/replication"
+	"sagelever/internal/proxy/draining"
+)
+
+// negligibleRate is the rate, in requests a second, below which traffic counts as ended: one request a minute.
+const negligibleRate = 1.0 / 60
+
+// InFlightReport returns what operators are shown of a drain: this proxy's requests in flight at backends that drain,
+// the load that it carries, and the version of each zone's list of drains that it applies.
+func (b *Balancer) InFlightReport(
+	now time.Time,
+) (rows []replication.BackendInFlight, loads []drain.ServiceLoad, drainVersions map[string]uint64) {
+	if b.table != nil {
+		drainVersions = b.table.DrainVersions
+	}
+	return b.drainingInFlight(), b.serviceLoads(now), drainVersions
+}
+
+// drainingInFlight returns the requests in flight at backends that drain or are gone, sorted by backend.
+func (b *Balancer) drainingInFlight() (rows []replication.BackendInFlight) {
+	for _, backend := range b.backends {
+		if backend.Drain.State() != draining.Serving && backend.Drain.InFlight() > 0 {
+			rows = append(rows, backend.inFlightRow())
+		}
+	}
+	for _, backend := range b.departed {
+		rows = append(rows, backend.inFlightRow())
+	}
+	sort.Slice(rows, func(i, j int) bool { return rows[i].BackendID < rows[j].BackendID })
+	return rows
+}
+
+func (b *Backend) inFlightRow() replication.BackendInFlight {
+	nonIdempotent := b.Drain.NonIdempotentInFlight()
+	return replication.BackendInFlight{
+		BackendID:     b.ID,
+		Idempotent:    b.Drain.InFlight() - nonIdempotent,
+		NonIdempotent: nonIdempotent,
+	}
+}
+
+// serviceLoads returns the load of each service by the regions in which it may be served, sorted by both. Traffic that
+// has ended is forgotten.
+func (b *Balancer) serviceLoads(now time.Time) (loads []drain.ServiceLoad) {
+	for name, svc := range b.services {
+		serviceSeconds := svc.latency.Estimate(sinceOrigin(now), statsHalfLife, 0, 0)
+		for homeRegions, recent := range svc.requestRates {
+			// A constant rate r has the decayed sum r·halfLife/ln 2.
+			rate := recent.Value(sinceOrigin(now), statsHalfLife) * math.Ln2 / statsHalfLife.Seconds()
+			if rate < negligibleRate {
+				delete(svc.requestRates, homeRegions)
+				continue
+			}
+			loads = append(loads, drain.ServiceLoad{
+				Service:           name,
+				HomeRegions:       homeRegions,
+				RequestsPerSecond: rate,
+				ServiceSeconds:    serviceSeconds,
+			})
+		}
+	}
+	sort.Slice(loads, func(i, j int) bool {
+		if loads[i].Service != loads[j].Service {
+			return loads[i].Service < loads[j].Service
+		}
+		return loads[i].HomeRegions < loads[j].HomeRegions
+	})
+	return loads
+}
--- /dev/null
+++ b/internal/proxy/balancer/inflight_test.go
@@ -0,0 +1,49 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+
+	"sagelever/internal/control/drain"
+)
+
+// The report has the traffic by home regions; traffic that has ended is left out.
+func TestInFlightReportHasLoads(t *testing.T) {
+	b := newTestBalancer("a1", nil)
+	b.addBackends(6, "a1")
+	now := start
+	for i := range 4000 { // forty seconds: 75 requests a second anywhere, 25 in region a
+		now = start.Add(time.Duration(i) * 10 * time.Millisecond)
+		path := idempotentPath
+		if i%4 == 0 {
+			path = nonIdempotentPath
+		}
+		request := b.startRequest(path, now)
+		if backend := b.Pick(request, now); backend != nil {
+			b.ReportOutcome(request, backend, succeeded, now)
+		}
+	}
+	_, loads, _ := b.InFlightReport(now)
+	want := []drain.ServiceLoad{
+		{Service: "s", RequestsPerSecond: 75, ServiceSeconds: 0.1},
+		{Service: "s", HomeRegions: "a", RequestsPerSecond: 25, ServiceSeconds: 0.1},
+	}
+	if len(loads) != len(want) {
+		t.Fatalf("%+v, want %+v", loads, want)
+	}
+	for i, load := range loads {
+		if load.HomeRegions != want[i].HomeRegions ||
+			!near(load.RequestsPerSecond, want[i].RequestsPerSecond, 0.03) ||
+			!near(load.ServiceSeconds, want[i].ServiceSeconds, 0.01) {
+			t.Errorf("%+v, want %+v", load, want[i])
+		}
+	}
+	if _, loads, _ := b.InFlightReport(now.Add(10 * time.Minute)); len(loads) != 0 {
+		t.Errorf("traffic that ended long ago is reported: %v", loads)
+	}
+}
+
+// near reports whether a value differs from the wanted one by a share of it at most.
+func near(value, want, share float64) bool {
+	return value >= (1-share)*want && value <= (1+share)*want
+}
--- a/internal/proxy/balancer/passivehealth.go
+++ b/internal/proxy/balancer/passivehealth.go
@@ -1,52 +1,66 @@
 package balancer
 
 import (
+	"net/http"
 	"time"
 
 	"sagelever/internal/proxy/retry"
 )
 
-// passiveHealth is what a relay holds against an appliance. One that takes no connection rests, each time longer, and is then
-// tried with one request at a time; once it takes them again it may have come back cold without a word of it.
-type passiveHealth struct {
-	failures    int
-	pausedUntil time.Time // it rests until then
-	refusedAt   time.Time // when it last took no connection
-	refusing    bool      // it has taken none since
-}
-
 const (
+	// initialPause is the first pause of a backend that failed; it doubles with each further failure.
 	initialPause = 250 * time.Millisecond
-	maxPause     = 4 * time.Second // some pulses: by then the core has said whether it is there
+	// maxPause bounds the pause: some heartbeats, after which the controllers know whether the backend is there.
+	maxPause = 4 * time.Second
+	// maxPauseDoublings keeps the shift of the pause from overflowing.
+	maxPauseDoublings = 6
+	// probeFailures is the number of failures in a row from which a backend gets one request at a time.
+	probeFailures = 2
+	// reconnectWarmUp is for how long a backend that accepts connections again counts as warming up unless its
+	// heartbeats say otherwise: longer than these take.
+	reconnectWarmUp = 2 * time.Second
 )
 
-// admits tells whether the appliance may have a request in spite of the doubt.
+// passiveHealth is what a proxy concludes from the outcomes of its requests to a backend. One that refuses connections
+// or loses responses pauses, each time longer, and is then probed with one request at a time. One that accepts
+// connections again may have restarted, and warms up.
+type passiveHealth struct {
+	failures    int // in a row
+	pausedUntil time.Time
+	refusedAt   time.Time // when it last refused a connection
+	refusing    bool      // it has accepted none since
+}
+
+// admits reports whether the backend may have the request.
 func (h *passiveHealth) admits(backend *Backend, request *Request, now time.Time) bool {
 	if h.pausedUntil.After(now) {
 		return false
 	}
-	if h.failures >= 2 && backend.Drain.InFlight() > 0 {
+	if h.failures >= probeFailures && backend.Drain.InFlight() > 0 {
 		return false // one at a time until one has come back
 	}
-	if h.failures >= 2 && !request.Route.Idempotent && !h.refusing {
-		return false // what may be lost is not risked on it
+	if h.failures >= probeFailures && !request.Route.Idempotent && !h.refusing {
+		return false // a request that may be lost is not risked on it
 	}
 	return true
 }
 
-// observe weighs how a send ended.
+// observe takes the outcome of an attempt.
 func (h *passiveHealth) observe(backend *Backend, outcome Outcome, now time.Time) {
 	switch {
 	case outcome.Cancelled && !outcome.TimedOut:
+		// It says nothing of the backend.
 	case !outcome.Connected && outcome.Execution == retry.NotExecuted:
-		h.refusing, h.refusedAt = true, now
+		h.refusing = true
+		h.refusedAt = now
 		h.recordFailure(now)
-	case outcome.Execution == retry.Executed && outcome.Status < 500, outcome.Succeeded:
+	case outcome.Execution == retry.Executed && outcome.Status < http.StatusInternalServerError, outcome.Succeeded:
 		if h.refusing {
 			h.refusing = false
 			backend.extendWarmUp(now.Add(reconnectWarmUp), now)
 		}
-		h.failures, h.pausedUntil = 0, time.Time{}
+		h.failures = 0
+		h.pausedUntil = time.Time{}
 	case outcome.Execution == retry.NotExecuted: // it is full, and says so
 		h.pausedUntil = now.Add(initialPause)
 	case outcome.Execution == retry.MaybeExecuted:
@@ -54,13 +68,11 @@
 	}
 }
 
-// reconnectWarmUp is for how long an appliance that is back counts as cold unless its pulses tell: longer than they take.
-const reconnectWarmUp = 2 * time.Second
-
 func (h *passiveHealth) recordFailure(now time.Time) {
-	if h.failures++; h.failures == 1 && !h.refusing {
-		return // a single answer may be lost anywhere
+	h.failures++
+	if h.failures == 1 && !h.refusing {
+		return // a single response may be lost anywhere
 	}
-	pause := initialPause << min(h.failures-1, 6)
+	pause := initialPause << min(h.failures-1, maxPauseDoublings)
 	h.pausedUntil = now.Add(min(pause, maxPause))
 }
--- /dev/null
+++ b/internal/proxy/balancer/preconnect.go
@@ -0,0 +1,54 @@
+package balancer
+
+import (
+	"sort"
+	"time"
+
+	"sagelever/internal/proxy/draining"
+)
+
+// PreconnectTarget is a backend to which a connection is best opened before it is needed.
+type PreconnectTarget struct {
+	Address string
+	InUse   int // requests in flight: as many connections are in use
+}
+
+// planPreconnects makes up for backends that begin to drain: where the displaced requests will go next, connections are
+// to be opened, one for each. Backends that warm up are left out, as they are fed at their own pace.
+func (b *Balancer) planPreconnects(svc *serviceState, displaced int, now time.Time) {
+	if displaced == 0 || b.table == nil {
+		return
+	}
+	type candidate struct {
+		backend *Backend
+		cost    float64
+	}
+	var candidates []candidate
+	for _, backend := range svc.backends {
+		if b.canTakeDisplaced(svc, backend, now) {
+			candidates = append(candidates, candidate{backend, b.cost(backend, now)})
+		}
+	}
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].cost < candidates[j].cost })
+	for _, chosen := range candidates[:min(displaced, len(candidates))] {
+		target := PreconnectTarget{Address: chosen.backend.Address, InUse: chosen.backend.Drain.InFlight()}
+		b.preconnects = append(b.preconnects, target)
+	}
+}
+
+func (b *Balancer) canTakeDisplaced(svc *serviceState, backend *Backend, now time.Time) bool {
+	if backend.Drain.State() != draining.Serving || svc.armOf(backend) != stableArm {
+		return false
+	}
+	if backend.warmingUp(now) || backend.health.pausedUntil.After(now) {
+		return false
+	}
+	return backend.Drain.InFlight() < b.inFlightLimit(backend)
+}
+
+// TakePreconnects hands over the connections that are to be opened.
+func (b *Balancer) TakePreconnects() []PreconnectTarget {
+	targets := b.preconnects
+	b.preconnects = nil
+	return targets
+}
--- a/internal/proxy/balancer/tombstones.go
+++ b/internal/proxy/balancer/tombstones.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// tombstoneTTL is for how long a life of an appliance that is over is remembered: as long as the core remembers it, and longer
-// than a member that was cut off goes on telling what it knew.
+// tombstoneTTL is for how long a backend whose incarnation is over is remembered: as long as the controllers remember
+// it, and longer than a controller that was cut off goes on reporting what it knew.
 const tombstoneTTL = time.Minute
 
-// tombstones remembers lives of appliances that are over, so that no older word brings one back.
+// tombstones holds when the incarnations of backends ended, by ID, so that no older update brings one back. Its zero
+// value is empty and ready to use.
 type tombstones map[string]time.Time
 
+// add records that an incarnation is over, and drops expired entries.
 func (t *tombstones) add(id string, now time.Time) {
 	if *t == nil {
 		*t = tombstones{}
@@ -21,6 +23,7 @@
 	(*t)[id] = now
 }
 
+// has reports whether the incarnation ended less than tombstoneTTL ago.
 func (t tombstones) has(id string, now time.Time) bool {
 	removedAt, known := t[id]
 	return known && now.Sub(removedAt) < tombstoneTTL
