--- a/internal/testbed/cluster/clients.go
+++ b/internal/testbed/cluster/clients.go
@@ -4,99 +4,149 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
+)
 
-	"github.com/go-faster/errors"
+const (
+	// clientTimeout is how long a client waits for an operation, all its attempts together.
+	clientTimeout = 3 * time.Second
+	// maxAttempts is how often a client tries an operation.
+	maxAttempts = 4
+	// lookupTTL is for how long a client uses the addresses of proxies that it has looked up.
+	lookupTTL     = time.Second
+	lookupTimeout = time.Second
+	// clientsStream tells the clients' random numbers from those of backends.
+	clientsStream = 77
+	// changesOfTen is how many of ten requests are changes.
+	changesOfTen       = 4
+	maxIdleConnections = 256
 )
 
-// clientTimeout is how long a client waits for what it wants, all its tries together.
-const clientTimeout = 3 * time.Second
+// requestKind is a kind of request that clients send; each has a route.
+type requestKind struct {
+	name          string
+	path          string // followed by the attempt's ID
+	method        string
+	routeSuffix   string // of the route's name, after the service
+	routeKind     string // in the route's configuration
+	nonIdempotent bool
+	bodyBytes     int
+}
+
+var (
+	readRequest = requestKind{
+		name: "look", path: "/look/", method: http.MethodGet, routeSuffix: "/look", routeKind: "harmless",
+	}
+	changeRequest = requestKind{
+		name: "change", path: "/change/", method: http.MethodPost, routeSuffix: "/chan", routeKind: "risky",
+		nonIdempotent: true, bodyBytes: 800,
+	}
+)
 
-// Clients ask at random moments, as many a second as the load says, until they are stopped.
+// Clients begin operations at random moments until they are stopped.
 type Clients struct {
 	cluster    *Cluster
-	rng        *rand.Rand
-	keepAlive  *http.Client // connections that are kept for long
-	perRequest *http.Client // one for each request
-	mu         sync.Mutex
-	lookups    map[string]*lookup // by zone
-	inFlight   sync.WaitGroup
+	rng        *rand.Rand   // of the generator alone
+	keepAlive  *http.Client // whose connections are kept
+	perRequest *http.Client // with a connection for each request
+	running    sync.WaitGroup
 	cancel     context.CancelFunc
+
+	mu      sync.Mutex
+	lookups map[string]*lookup // by zone
 }
 
+// lookup is what the directory said of a zone.
 type lookup struct {
 	addresses []string
 	fetchedAt time.Time
 }
 
-// StartClients begins to ask, at a share of the room that the appliances together have.
+// StartClients starts clients, which ask for a share of the capacity that all backends have together.
 func (c *Cluster) StartClients(load float64) *Clients {
-	clients := &Clients{cluster: c, rng: rand.New(rand.NewPCG(c.options.Seed, 77)), lookups: map[string]*lookup{},
-		keepAlive:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
-		perRequest: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	ctx, cancel := context.WithCancel(context.Background())
-	clients.cancel = cancel
-	rate := load * float64(c.options.Backends*slotsPerBackend) / c.options.MeanWork.Seconds()
-	go func() {
-		for next := time.Now(); ctx.Err() == nil; {
-			next = next.Add(time.Duration(clients.rng.ExpFloat64() / rate * float64(time.Second)))
-			time.Sleep(time.Until(next))
-			if ctx.Err() != nil {
-				return
-			}
-			service, kind := Services[clients.rng.IntN(len(Services))], clients.rng.IntN(10)
-			zone, keepAlive := zoneNames[clients.rng.IntN(len(zoneNames))], clients.rng.IntN(2) == 0
-			clients.inFlight.Add(1)
-			go func() {
-				defer clients.inFlight.Done()
-				clients.runOperation(service, kind >= 6, zone, keepAlive)
-			}()
-		}
-	}()
+	clients := &Clients{
+		cluster: c,
+		rng:     rand.New(rand.NewPCG(c.options.Seed, clientsStream)),
+		lookups: map[string]*lookup{},
+		cancel:  cancel,
+		keepAlive: &http.Client{
+			Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: time.Minute},
+		},
+		perRequest: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+	}
+	capacity := float64(c.options.Backends*slotsPerBackend) / c.options.MeanWork.Seconds()
+	clients.running.Go(func() { clients.generate(ctx, load*capacity) })
 	return clients
 }
 
-// SendOnce sends one request and gives its status; 0 where there was no answer.
-func (c *Cluster) SendOnce(service, path string, timeout time.Duration) int {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+net.JoinHostPort(c.ip(0), listenerPort)+path, strings.NewReader("once"))
-	if err != nil {
-		return 0
-	}
-	request.Host = service + ".example"
-	request.Header.Set("X-Sagelever-Try-Id", "once")
-	request.Header.Set("X-Sagelever-Time-Left-Ms", strconv.FormatInt(timeout.Milliseconds(), 10))
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return 0
+// generate begins operations as a Poisson process, with a rate a second, until the context ends.
+func (c *Clients) generate(ctx context.Context, rate float64) {
+	next := time.Now()
+	for ctx.Err() == nil {
+		next = next.Add(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
+		time.Sleep(time.Until(next))
+		if ctx.Err() != nil {
+			return
+		}
+		service := Services[c.rng.IntN(len(Services))]
+		kind := changeRequest
+		if c.rng.IntN(10) >= changesOfTen {
+			kind = readRequest
+		}
+		zone := zoneNames[c.rng.IntN(len(zoneNames))]
+		keepAlive := c.rng.IntN(2) == 0
+		c.running.Go(func() { c.runOperation(service, kind, zone, keepAlive) })
 	}
-	response.Body.Close()
-	return response.StatusCode
 }
 
-// Stop ends the asking, and waits for what was asked.
+// Stop ends the clients, and waits for the operations that they have begun.
 func (c *Clients) Stop() {
 	c.cancel()
-	c.inFlight.Wait()
+	c.running.Wait()
 	c.keepAlive.CloseIdleConnections()
 }
 
-// pickProxy draws an agent's address from what the directory says, but for those that have failed this client.
+// runOperation begins an operation and retries it as the protocol allows, within its deadline.
+func (c *Clients) runOperation(service string, kind requestKind, zone string, keepAlive bool) {
+	startedAt := time.Now()
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(clientTimeout))
+	defer cancel()
+	ledger := c.cluster.Ledger
+	id := fmt.Sprint("op", c.cluster.operations.Add(1))
+	failed := map[string]bool{}
+	httpClient := c.keepAlive
+	for n := range maxAttempts {
+		proxy := c.pickProxy(zone, failed)
+		if n > 0 || !keepAlive { // a retry goes on a new connection
+			httpClient = c.perRequest
+		}
+		current := attempt{id: fmt.Sprint(id, "-", n), service: service, kind: kind, proxy: proxy}
+		ledger.AttemptStarted(id, current.id, service+"_"+kind.name, kind.nonIdempotent, startedAt)
+		retry, retryAfter := current.send(ctx, httpClient, ledger)
+		if !retry || ctx.Err() != nil {
+			break
+		}
+		failed[proxy] = true
+		pause(ctx, retryAfter)
+	}
+	ledger.OperationEnded(id, time.Now())
+}
+
+// pickProxy draws the address of a proxy from what the directory says, other than those that have failed; "" where none
+// is known.
 func (c *Clients) pickProxy(zone string, failed map[string]bool) string {
 	c.mu.Lock()
 	found := c.lookups[zone]
 	c.mu.Unlock()
-	if found == nil || time.Since(found.fetchedAt) > time.Second {
-		if got := c.lookUpProxies(zone); len(got) > 0 {
-			found = &lookup{got, time.Now()}
+	if found == nil || time.Since(found.fetchedAt) > lookupTTL {
+		if addresses := c.lookUpProxies(zone); len(addresses) > 0 {
+			found = &lookup{addresses: addresses, fetchedAt: time.Now()}
 			c.mu.Lock()
 			c.lookups[zone] = found
 			c.mu.Unlock()
@@ -117,21 +167,25 @@
 	return untried[rand.IntN(len(untried))]
 }
 
+// lookUpProxies asks the directory of the zone's controller, and then the others.
 func (c *Clients) lookUpProxies(zone string) []string {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
-	for _, controller := range append([]string{c.cluster.controllerAddress(zone)}, c.cluster.ControllerAddresses()...) {
+	preferred := c.cluster.controllerAddress(zone)
+	for _, controller := range append([]string{preferred}, c.cluster.ControllerAddresses()...) {
 		host, _, _ := net.SplitHostPort(controller)
-		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+net.JoinHostPort(host, directoryPort)+"/api/lookup?name=x&zone="+zone+"&region="+regionByZone[zone], nil)
-		resp, err := c.keepAlive.Do(req)
+		directory := net.JoinHostPort(host, directoryPort)
+		url := "http://" + directory + "/api/lookup?name=x&zone=" + zone + "&region=" + regionByZone[zone]
+		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+		response, err := c.keepAlive.Do(request)
 		if err != nil {
 			continue
 		}
 		found := struct {
 			Addresses []string `json:"addresses"`
 		}{}
-		err = json.NewDecoder(resp.Body).Decode(&found)
-		resp.Body.Close()
+		err = json.NewDecoder(response.Body).Decode(&found)
+		response.Body.Close()
 		if err == nil && len(found.Addresses) > 0 {
 			return found.Addresses
 		}
@@ -139,73 +193,20 @@
 	return nil
 }
 
-// runOperation wants something done: it tries, and again as the protocol has it, within its deadline.
-func (c *Clients) runOperation(service string, nonIdempotent bool, zone string, keepAlive bool) {
-	id, path, method := fmt.Sprint("op", c.cluster.operations.Add(1)), "/look/", http.MethodGet
-	kind := service + "_look"
-	if nonIdempotent {
-		path, method, kind = "/change/", http.MethodPost, service+"_change"
-	}
-	startedAt := time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(clientTimeout))
+// SendOnce sends one POST request and returns the status of its response; 0 where there was none.
+func (c *Cluster) SendOnce(service, path string, timeout time.Duration) int {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	failed := map[string]bool{}
-	client := c.keepAlive
-	for attemptNumber := range 4 {
-		proxy := c.pickProxy(zone, failed)
-		if attemptNumber > 0 || !keepAlive { // another try goes on a new connection
-			client = c.perRequest
-		}
-		attempt := fmt.Sprint(id, "-", attemptNumber)
-		c.cluster.Ledger.AttemptStarted(id, attempt, kind, nonIdempotent, startedAt)
-		retry, pause := c.attempt(ctx, client, proxy, service, method, path, attempt, nonIdempotent)
-		if !retry || ctx.Err() != nil {
-			break
-		}
-		failed[proxy] = true
-		select {
-		case <-time.After(pause):
-		case <-ctx.Done():
-		}
-	}
-	c.cluster.Ledger.OperationEnded(id, time.Now())
-}
-
-// attempt makes one; it tells whether another may follow, and when.
-func (c *Clients) attempt(ctx context.Context, client *http.Client, proxy, service, method, path, attempt string, nonIdempotent bool) (retry bool, pause time.Duration) {
-	deadline, _ := ctx.Deadline()
-	body := ""
-	if nonIdempotent {
-		body = strings.Repeat("b", 800)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+proxy+path+attempt, strings.NewReader(body))
+	url := "http://" + net.JoinHostPort(c.ip(0), listenerPort) + path
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("once"))
 	if err != nil {
-		return false, 0
+		return 0
 	}
-	req.GetBody = nil // the client's own library must not ask twice
-	req.Host = service + ".example"
-	req.Header.Set("X-Sagelever-Try-Id", attempt)
-	req.Header.Set("X-Sagelever-Time-Left-Ms", strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
-	resp, err := client.Do(req)
-	inTime := time.Until(deadline) > 100*time.Millisecond
+	setHeaders(request, service, "once", timeout)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		if op, ok := errors.Into[*net.OpError](err); ok && op.Op == "dial" { // it never got there
-			c.cluster.Ledger.AttemptEnded(attempt, http.StatusServiceUnavailable, true, true, inTime)
-			return true, 20 * time.Millisecond
-		}
-		c.cluster.Ledger.AttemptEnded(attempt, 0, false, false, inTime)
-		return !nonIdempotent, 20 * time.Millisecond
-	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(resp.Body)
-	matches := string(data) == fmt.Sprintf("%s of %d bytes", attempt, len(body)) && resp.Header.Get("X-Sagelever-Server-Seal") != ""
-	c.cluster.Ledger.AttemptEnded(attempt, resp.StatusCode, err == nil, matches, inTime)
-	if resp.StatusCode/100 == 2 && err == nil {
-		return false, 0
-	}
-	promised := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		pause = time.Duration(s * float64(time.Second))
+		return 0
 	}
-	return !nonIdempotent || promised, max(pause, 20*time.Millisecond)
+	response.Body.Close()
+	return response.StatusCode
 }
--- /dev/null
+++ b/internal/testbed/cluster/configure.go
@@ -0,0 +1,72 @@
+package cluster
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"net/http"
+
+	"github.com/go-faster/errors"
+)
+
+// object is a JSON object of the controllers' interface.
+type object map[string]any
+
+// Configure creates the services and their routes, and waits until every proxy is ready.
+func (c *Cluster) Configure(ctx context.Context) error {
+	body, err := json.Marshal(object{"putItems": object{"items": c.configItems()}})
+	if err != nil {
+		return err
+	}
+	if err := c.Operator().Call(ctx, "settings.change", "", body, nil); err != nil {
+		return err
+	}
+	for i := range c.options.Proxies {
+		for !c.proxyReady(i) {
+			pause(ctx, readinessPeriod)
+			if ctx.Err() != nil {
+				return errors.New("not every proxy became ready")
+			}
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) configItems() (items []object) {
+	put := func(kind, name string, body object) {
+		metadata := object{"name": name, "version": "00000001"}
+		items = append(items, object{"type": kind, "metadata": metadata, "body": body})
+	}
+	for _, service := range Services {
+		put("services", service, object{
+			"checkPath":    "/health",
+			"maxLinks":     130,
+			"warmUp":       c.options.WarmUp.String(),
+			"warmingRateS": 5,
+		})
+		for _, kind := range []requestKind{readRequest, changeRequest} {
+			put("routes", service+kind.routeSuffix, object{
+				"host":        serviceHost(service),
+				"pathStart":   kind.path,
+				"kind":        kind.routeKind,
+				"giveUp":      clientTimeout.String(),
+				"target_time": "1s",
+				"service":     service,
+				"tries":       3,
+			})
+		}
+	}
+	put("limits", "", object{"headSizeBytes": 16384, "bodySizeBytes": 1 << 20, "headWait": "3s", "quiet": "15s"})
+	return items
+}
+
+func serviceHost(service string) string { return service + ".example" }
+
+func (c *Cluster) proxyReady(i int) bool {
+	response, err := http.Get("http://" + net.JoinHostPort(c.ip(i), readinessPort) + "/api/ready")
+	if err != nil {
+		return false
+	}
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
--- a/internal/testbed/cluster/delay.go
+++ b/internal/testbed/cluster/delay.go
@@ -1,6 +1,3 @@
-// Package rig is a whole system in one process, on loopback: stewards, relays, stand-in appliances that speak the
-// protocol, clients and an operator, with delays played between the zones. What runs, what is answered and what clients are
-// told is written down in a ledger, and checked: nothing lost, doubled, late at one that leaves, or cut.
 package cluster
 
 import (
@@ -9,70 +6,90 @@
 	"time"
 )
 
-// delayedConn is a connection on which everything takes a while, both ways: a link between machines that stand apart.
+const (
+	// sameRegionDelay and otherRegionDelay are how long a packet takes one way, as between the operators' machines.
+	sameRegionDelay  = 1400 * time.Microsecond
+	otherRegionDelay = 35 * time.Millisecond
+	// maxInTransit is how many writes may be in transit each way; a writer of more waits.
+	maxInTransit   = 256
+	readBufferSize = 16 << 10
+)
+
+// delayedConn is a connection on which data takes a while each way.
 type delayedConn struct {
 	net.Conn
 	delay     time.Duration
 	outgoing  chan packet
 	incoming  chan packet
-	unread    []byte
-	readErr   error
+	unread    []byte // of the last packet
+	readErr   error  // that came with it
 	closeOnce sync.Once
-	closed    chan struct{}
+	closing   chan struct{}
 }
 
+// packet is a piece of data in transit, or the error that ends the stream.
 type packet struct {
 	data      []byte
 	deliverAt time.Time
 	err       error
 }
 
-// maxInTransit is how many pieces may be on their way; a writer of more waits.
-const maxInTransit = 256
-
-// WithDelay has a connection take so long each way.
+// WithDelay returns a connection on which everything takes delay each way. Its goroutines end soon after Close.
 func WithDelay(conn net.Conn, delay time.Duration) net.Conn {
-	d := &delayedConn{Conn: conn, delay: delay, outgoing: make(chan packet, maxInTransit), incoming: make(chan packet, maxInTransit), closed: make(chan struct{})}
-	go func() {
-		for {
-			select {
-			case segment := <-d.outgoing:
-				time.Sleep(time.Until(segment.deliverAt))
-				if _, err := conn.Write(segment.data); err != nil {
-					return
-				}
-			case <-d.closed:
+	delayed := &delayedConn{
+		Conn:     conn,
+		delay:    delay,
+		outgoing: make(chan packet, maxInTransit),
+		incoming: make(chan packet, maxInTransit),
+		closing:  make(chan struct{}),
+	}
+	go delayed.deliverOutgoing()
+	go delayed.receiveIncoming()
+	return delayed
+}
+
+func (c *delayedConn) deliverOutgoing() {
+	for {
+		select {
+		case segment := <-c.outgoing:
+			time.Sleep(time.Until(segment.deliverAt))
+			if _, err := c.Conn.Write(segment.data); err != nil {
 				return
 			}
+		case <-c.closing:
+			return
 		}
-	}()
-	go func() {
-		for {
-			buffer := make([]byte, 16<<10)
-			n, err := conn.Read(buffer)
-			select {
-			case d.incoming <- packet{buffer[:n], time.Now().Add(delay), err}:
-			case <-d.closed:
-				return
-			}
-			if err != nil {
-				return
-			}
+	}
+}
+
+func (c *delayedConn) receiveIncoming() {
+	for {
+		buffer := make([]byte, readBufferSize)
+		n, err := c.Conn.Read(buffer)
+		select {
+		case c.incoming <- packet{data: buffer[:n], deliverAt: time.Now().Add(c.delay), err: err}:
+		case <-c.closing:
+			return
 		}
-	}()
-	return d
+		if err != nil {
+			return
+		}
+	}
 }
 
-func (c *delayedConn) Write(p []byte) (int, error) {
+// Write queues data; it returns before the data is delivered.
+func (c *delayedConn) Write(data []byte) (int, error) {
+	segment := packet{data: append([]byte(nil), data...), deliverAt: time.Now().Add(c.delay)}
 	select {
-	case c.outgoing <- packet{data: append([]byte(nil), p...), deliverAt: time.Now().Add(c.delay)}:
-		return len(p), nil
-	case <-c.closed:
+	case c.outgoing <- segment:
+		return len(data), nil
+	case <-c.closing:
 		return 0, net.ErrClosed
 	}
 }
 
-func (c *delayedConn) Read(p []byte) (int, error) {
+// Read returns data that has arrived, and the peer's end of the stream after all of it.
+func (c *delayedConn) Read(buffer []byte) (int, error) {
 	if len(c.unread) == 0 {
 		if c.readErr != nil {
 			return 0, c.readErr
@@ -80,12 +97,13 @@
 		select {
 		case segment := <-c.incoming:
 			time.Sleep(time.Until(segment.deliverAt))
-			c.unread, c.readErr = segment.data, segment.err
-		case <-c.closed:
+			c.unread = segment.data
+			c.readErr = segment.err
+		case <-c.closing:
 			return 0, net.ErrClosed
 		}
 	}
-	n := copy(p, c.unread)
+	n := copy(buffer, c.unread)
 	c.unread = c.unread[n:]
 	if n == 0 {
 		return 0, c.readErr
@@ -93,18 +111,19 @@
 	return n, nil
 }
 
+// Close closes the connection; data in transit is lost.
 func (c *delayedConn) Close() error {
-	c.closeOnce.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closing) })
 	return c.Conn.Close()
 }
 
-// zoneDelay is how long a packet takes one way: as on the operators' machines.
+// zoneDelay returns how long a packet takes from one zone to another.
 func zoneDelay(regions map[string]string, from, to string) time.Duration {
 	switch {
 	case from == to:
 		return 0
 	case regions[from] == regions[to]:
-		return 1400 * time.Microsecond
+		return sameRegionDelay
 	}
-	return 35 * time.Millisecond
+	return otherRegionDelay
 }
--- /dev/null
+++ b/internal/testbed/cluster/stress.go
@@ -0,0 +1,91 @@
+package cluster
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-faster/errors"
+)
+
+// stressLoad is the load of the stress phase, in which a zone is gone and backends are replaced besides.
+const stressLoad = 0.6
+
+const (
+	evacuateBefore = 1 // the index of the backend before whose replacement a zone is evacuated
+	restartBefore  = 2 // the index of the one before which a controller is restarted
+)
+
+// measureStress runs the stress phase under load.
+func (c *Cluster) measureStress(ctx context.Context, result *Result) error {
+	from := time.Now()
+	clients := c.StartClients(stressLoad)
+	err := c.runStress(ctx)
+	clients.Stop()
+	result.Stress = c.Ledger.Summarize(from, time.Time{})
+	return err
+}
+
+// runStress replaces all backends of a service one by one while a zone is evacuated and the proxies are restarted one
+// by one. A controller is restarted too, on whose word a removal may just have been announced.
+func (c *Cluster) runStress(ctx context.Context) error {
+	restarts := make(chan error, 1)
+	go func() { restarts <- c.restartProxies() }()
+	err := c.replaceDuringEvacuation(ctx, zoneNames[2])
+	return errors.Join(err, <-restarts)
+}
+
+func (c *Cluster) restartProxies() error {
+	for i := range c.options.Proxies {
+		if err := c.RestartNode(proxyName(i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) replaceDuringEvacuation(ctx context.Context, zone string) error {
+	for i, backend := range c.Backends(Services[0]) {
+		switch i {
+		case evacuateBefore:
+			if err := c.beginEvacuation(ctx, zone); err != nil {
+				return err
+			}
+		case restartBefore:
+			if err := c.RestartNode(controllerName(zoneNames[0])); err != nil {
+				return err
+			}
+		}
+		if _, err := c.StartBackend(backend.Service, backend.Zone, backend.Build, 0); err != nil {
+			return err
+		}
+		if err := backend.Shutdown("replaced in a storm"); err != nil {
+			return err
+		}
+	}
+	return c.endEvacuation(ctx, zone)
+}
+
+func (c *Cluster) beginEvacuation(ctx context.Context, zone string) error {
+	if err := c.Operator().Call(ctx, "clear_out.begin", zone, nil, nil); err != nil {
+		return errors.Wrap(err, "clear out")
+	}
+	for _, backend := range c.allBackends() {
+		if backend.Zone == zone {
+			c.Ledger.RemovalAcknowledged(backend.ID, "zone cleared out", time.Now())
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) endEvacuation(ctx context.Context, zone string) error {
+	for _, backend := range c.allBackends() {
+		if backend.Zone == zone {
+			backend.SetWarmUp(c.options.WarmUp)
+			c.Ledger.BackendReturned(backend.ID, time.Now())
+		}
+	}
+	if err := c.Operator().Call(ctx, "clear_out.finish", zone, nil, nil); err != nil {
+		return errors.Wrap(err, "take back")
+	}
+	return nil
+}
