--- a/internal/proxy/balancer/backend.go
+++ b/internal/proxy/balancer/backend.go
@@ -10,7 +10,7 @@
 	"sagelever/internal/stats/decay"
 )
 
-// Distance is how far a backend is from this proxy. Bytes between zones and between regions are dear.
+// Distance is how far a backend is from this proxy. Traffic between zones, and more so between regions, is expensive.
 type Distance int
 
 // The distances, the nearest first.
@@ -23,8 +23,8 @@
 const (
 	// maxClockSkew is by how much the clocks of two machines may differ.
 	maxClockSkew = 250 * time.Millisecond
-	// retainedHeartbeats is for how many heartbeat intervals a backend that was heard of lately is kept though a
-	// complete list of backends lacks it.
+	// retainedHeartbeats is for how many heartbeat intervals after its first update a backend is kept though a
+	// controller's complete list lacks it.
 	retainedHeartbeats = 10
 )
 
@@ -72,6 +72,12 @@
 	b.reviewDrains(b.service(backend.Service), now)
 }
 
+// isReady reports whether the backend serves by its last heartbeat. One whose heartbeats have stopped still counts as
+// ready: requests find out whether it is there.
+func (b *Backend) isReady() bool {
+	return b.Phase == replication.PhaseReady || b.Phase == replication.PhaseTimedOut
+}
+
 func (b *Balancer) insertBackend(id, serviceName string, now time.Time) *Backend {
 	backend := &Backend{ID: id, firstSeen: now}
 	b.backends[id] = backend
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// SetProxyCounts takes the number of proxies that may be sending, and how many of them are in this zone. Shares of what
-// all may do together are divided by these numbers. A controller that has just started knows few proxies, so a smaller
-// number is believed only when no larger one has been reported for proxyCountRetention.
+// SetProxyCounts sets the number of proxies that may be sending, and how many of them are in this zone. Budgets that
+// hold over all proxies together are divided by these numbers. A controller that has just started knows few proxies,
+// so a smaller number is believed only when no larger one has been reported for proxyCountRetention.
 func (b *Balancer) SetProxyCounts(proxies, zoneProxies int, now time.Time) {
 	if proxies >= b.proxies || now.Sub(b.proxiesAt) > proxyCountRetention {
 		b.proxies = max(proxies, 1)
--- a/internal/proxy/balancer/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -13,18 +13,23 @@
 const (
 	stableArm = 0  // the stable build
 	canaryArm = 1  // the build on trial
-	noArm     = -1 // a build that gets nothing: rolled back, or named by no release
+	noArm     = -1 // a build that gets no requests: it was reverted, or no release names it
 )
 
 const (
-	capUtilisation    = 0.9  // of the cap on the canary's share that is used: counts of others come with a delay
-	leewayUtilisation = 0.5  // of the allowance that is used; the rest is for what is in flight when the cap is reached
-	loadPhaseStart    = 0.35 // of the release's duration, from which one backend gets all requests of the canary
-	loadPhaseEnd      = 0.6  // of the release's duration, until which it does; no vote to finish is cast before
+	// capUtilisation is the part of the cap on the canary's share that is used, since counts of others come late.
+	capUtilisation = 0.9
+	// leewayUtilisation is the part of the allowance beside the cap that is used. The rest is kept for requests that
+	// are in flight when the cap is reached.
+	leewayUtilisation = 0.5
+	// loadPhaseStart and loadPhaseEnd delimit the load phase, as fractions of the release's duration.
+	loadPhaseStart = 0.35
+	loadPhaseEnd   = 0.6
 )
 
-// canaryRelease is a release under way as this proxy tracks it (docs/design.md): D-Tracking chooses the build for each
-// request, under a cap that holds over all proxies; the counts of all proxies decide this proxy's vote.
+// canaryRelease is a release under way, as this proxy tracks it (docs/design.md). D-Tracking chooses the build for each
+// request, under a cap on the canary's requests that holds over all proxies. The counts of all proxies decide how this
+// proxy votes.
 type canaryRelease struct {
 	release   release.Release
 	startedAt time.Time // when this proxy learned of the release
@@ -32,7 +37,7 @@
 	received  float64 // requests since then
 }
 
-// followRelease takes up a release as it stands.
+// followRelease applies the latest state of the service's release.
 func (s *serviceState) followRelease(latest *release.Release, now time.Time) {
 	switch {
 	case latest.Phase == release.PhaseFinished:
@@ -57,7 +62,7 @@
 	if s.canary != nil && backend.Version == s.canary.release.Target && s.canary.inService() {
 		return canaryArm
 	}
-	if s.stableBuild == "" { // asked for a request: by now the backends have been heard of
+	if s.stableBuild == "" { // there is a request to send, so by now the backends have been reported
 		s.stableBuild = s.mostCommonBuild()
 	}
 	if s.buildRetired(backend) {
@@ -66,8 +71,8 @@
 	return stableArm
 }
 
-// buildRetired reports whether a backend's build is known to be out of service. It does not settle which build is the
-// stable one, as it is called while backends are heard of one by one.
+// buildRetired reports whether a backend's build is known to be out of service. It does not determine the stable build,
+// since it is called while backends are still being reported one by one.
 func (s *serviceState) buildRetired(backend *Backend) bool {
 	if s.canary != nil && backend.Version == s.canary.release.Target {
 		return !s.canary.inService()
@@ -75,8 +80,8 @@
 	return s.stableBuild != "" && backend.Version != s.stableBuild && s.hasReadyBackend(s.stableBuild)
 }
 
-// mostCommonBuild returns the build of most backends other than the canary: the stable one, where no release has told.
-// Of several the first in order of name is taken.
+// mostCommonBuild returns the build of most backends other than the canary, and of several the first by name. It is the
+// stable build where no release says which one is.
 func (s *serviceState) mostCommonBuild() (build string) {
 	counts := map[string]int{}
 	for _, backend := range s.backends {
@@ -93,27 +98,26 @@
 	return build
 }
 
-// hasReadyBackend reports whether any backend of a build serves.
+// hasReadyBackend reports whether any backend of a build is ready.
 func (s *serviceState) hasReadyBackend(build string) bool {
 	for _, backend := range s.backends {
-		ready := backend.Phase == replication.PhaseReady || backend.Phase == replication.PhaseTimedOut
-		if backend.Version == build && ready {
+		if backend.Version == build && backend.isReady() {
 			return true
 		}
 	}
 	return false
 }
 
-// underLoad reports whether the canary is in its load phase. Under a cap of a tenth of the traffic its backends are
-// idle, and a build that fails only under load would pass; so for a part of the time its requests all go to the first
-// of its backends by ID.
+// underLoad reports whether the canary is in its load phase. The cap leaves the canary's backends nearly idle, so
+// that a build that fails only under load would pass. In the load phase all its requests therefore go to a single
+// backend, the first by ID.
 func (c *canaryRelease) underLoad(now time.Time) bool {
 	duration := float64(c.release.DurationMs) * float64(time.Millisecond)
 	elapsed := float64(now.Sub(c.startedAt))
 	return elapsed > loadPhaseStart*duration && elapsed < loadPhaseEnd*duration
 }
 
-// chooseArm returns the build that a request goes to; fixed says that the other must not serve it instead.
+// chooseArm returns the build that a request goes to. fixed means that the other build must not serve it instead.
 func (b *Balancer) chooseArm(svc *serviceState, request *Request) (arm int, fixed bool) {
 	canary := svc.canary
 	if canary == nil || !canary.inService() {
@@ -146,8 +150,8 @@
 	return true
 }
 
-// recordOutcome counts the outcome of an attempt. It pays off if it was answered within the route's latency target.
-// What the proxy broke off, the backend rejected, or is the client's own fault says nothing of the build.
+// recordOutcome counts the outcome of an attempt. Its payoff is 1 if it succeeded within the route's latency target,
+// and 0 otherwise.
 func (c *canaryRelease) recordOutcome(request *Request, outcome Outcome, now time.Time) {
 	if !outcome.reflectsBuild() {
 		return
@@ -172,7 +176,9 @@
 	}
 }
 
-// reflectsBuild reports whether the outcome says anything of the backend's build.
+// reflectsBuild reports whether the outcome says anything about the backend's build. An attempt that the proxy
+// cancelled for its client, that never reached the backend, that the backend rejected, or that was the client's own
+// error does not.
 func (o *Outcome) reflectsBuild() bool {
 	if o.Cancelled && !o.TimedOut || !o.Connected {
 		return false
--- a/internal/proxy/balancer/canaryvote.go
+++ b/internal/proxy/balancer/canaryvote.go
@@ -10,24 +10,33 @@
 )
 
 const (
-	errorProbability    = 0.1  // δ: a wrong vote costs about as much as ten needless seconds of a trial
-	meanMargin          = 0.03 // added to the canary's mean before it counts as behind: docs/design.md
-	toleratedRegression = 0.15 // by which the canary may be worse without being seen, when it is let finish
-	promotionCutoff     = 0.94 // of the release's duration, after which no vote to finish is cast: finishing takes time
-	minCanaryOutcomes   = 50   // outcomes of the canary, over all proxies, for a vote to finish
-	minLoadedOutcomes   = 20   // of these, the ones of the load phase
-	maxTallies          = 4096 // of other proxies that are kept
+	// errorProbability (δ) bounds the probability of a wrong vote. At this value a wrong vote costs about as much as
+	// ten needless seconds of a release.
+	errorProbability = 0.1
+	// meanMargin is added to the canary's mean before the canary counts as behind: docs/design.md.
+	meanMargin = 0.03
+	// toleratedRegression is by how much a canary that is voted to finish may be worse than the stable build.
+	toleratedRegression = 0.15
+	// promotionCutoff is the fraction of the release's duration after which no vote to finish is cast, since finishing
+	// takes time too.
+	promotionCutoff = 0.94
+	// minCanaryOutcomes is the number of outcomes of the canary, over all proxies, that a vote to finish needs, and
+	// minLoadedOutcomes how many of them must be of the load phase.
+	minCanaryOutcomes = 50
+	minLoadedOutcomes = 20
+	// maxTallies bounds the tallies of other proxies that are kept.
+	maxTallies = 4096
 )
 
-// UpdateTally takes what another proxy has counted of a release, by the key of its item.
+// UpdateTally stores another proxy's counts of a release, by the key of their item.
 func (b *Balancer) UpdateTally(key string, tally *replication.ReleaseTally) {
 	if len(b.tallies) < maxTallies {
 		b.tallies[key] = tally
 	}
 }
 
-// Tallies returns this proxy's own counts of the releases under way, by service, with its vote as it stands. The counts
-// of other proxies on releases that have ended are dropped.
+// Tallies returns this proxy's own counts of the releases under way, by service, with its current vote. It drops the
+// counts of other proxies on releases that have ended.
 func (b *Balancer) Tallies(incarnation string, now time.Time) map[string]*replication.ReleaseTally {
 	tallies := map[string]*replication.ReleaseTally{}
 	for name, svc := range b.services {
@@ -55,13 +64,13 @@
 	}
 }
 
-// isTallyOf reports whether the key of a tally's item is of a service: it is "SERVICE/REPORTER".
+// isTallyOf reports whether the key of a tally's item, "SERVICE/REPORTER", belongs to a service.
 func isTallyOf(key, serviceName string) bool { return strings.HasPrefix(key, serviceName+"/") }
 
 // releaseCounts are the counts of all proxies on a release.
 type releaseCounts struct {
 	payoffs   [2]bestarm.Arm // by arm; the reward is a response within the latency target
-	successes [2]bestarm.Arm // by arm; the reward is a response that is no failure
+	successes [2]bestarm.Arm // by arm; the reward is a response that is not a failure
 	loaded    bestarm.Arm    // the canary's payoffs in its load phase
 }
 
@@ -111,23 +120,23 @@
 	return ""
 }
 
-// isBehind reports whether the canary is worse than the stable build by more than the margin, as far as the threshold
-// asks for.
+// isBehind reports whether the canary is worse than the stable build by more than the margin, with a likelihood ratio
+// above the threshold.
 func isBehind(arms [2]bestarm.Arm, threshold float64) bool {
 	stable, canary := arms[stableArm], arms[canaryArm]
 	return canary.Mean()+meanMargin < stable.Mean() &&
 		bestarm.LikelihoodRatio(stable, canary, meanMargin) > threshold
 }
 
-// isNoWorse reports whether the canary is ahead of a stable build that did worse by the tolerated regression, as far as
-// the threshold asks for.
+// isNoWorse reports whether the canary is better than the stable build less the tolerated regression, with a likelihood
+// ratio of at least the threshold.
 func isNoWorse(arms [2]bestarm.Arm, threshold float64) bool {
 	stable, canary := arms[stableArm], arms[canaryArm]
 	return canary.Mean() >= stable.Mean()-toleratedRegression &&
 		bestarm.LikelihoodRatio(canary, stable, -toleratedRegression) >= threshold
 }
 
-// mayFinish reports whether it is the time for a vote to finish: after the load phase, and before the cut-off.
+// mayFinish reports whether a vote to finish may be cast now: after the load phase, and before the cut-off.
 func (c *canaryRelease) mayFinish(now time.Time) bool {
 	duration := time.Duration(c.release.DurationMs) * time.Millisecond
 	elapsed := now.Sub(c.startedAt)
@@ -135,7 +144,7 @@
 		elapsed <= time.Duration(promotionCutoff*float64(duration))
 }
 
-// enoughToFinish reports whether the canary has been seen often enough, also under load, and bore the load.
+// enoughToFinish reports whether the canary has enough outcomes, overall and in the load phase, and did well in that.
 func (c *releaseCounts) enoughToFinish() bool {
 	return c.payoffs[canaryArm].Observations >= minCanaryOutcomes &&
 		c.loaded.Observations >= minLoadedOutcomes &&
--- a/internal/proxy/balancer/draining.go
+++ b/internal/proxy/balancer/draining.go
@@ -3,11 +3,10 @@
 import (
 	"time"
 
-	"sagelever/internal/control/replication"
 	"sagelever/internal/proxy/draining"
 )
 
-// reviewDrains takes up for which reasons each backend of a service gets no new requests, as they stand.
+// reviewDrains brings the reasons for which each backend of a service gets no new requests up to date.
 func (b *Balancer) reviewDrains(svc *serviceState, now time.Time) {
 	displaced := 0 // requests in flight at backends that begin to drain: later ones will go elsewhere
 	for _, backend := range svc.backends {
@@ -20,7 +19,7 @@
 }
 
 func (b *Balancer) drainReasons(svc *serviceState, backend *Backend) (reasons draining.Reasons) {
-	if backend.Phase != replication.PhaseReady && backend.Phase != replication.PhaseTimedOut {
+	if !backend.isReady() {
 		reasons |= draining.SelfReported
 	}
 	if b.table != nil && b.table.Evacuated[backend.Zone] {
@@ -38,8 +37,7 @@
 // RenewLease records that a healthy controller has answered what was asked at requestedAt.
 func (b *Balancer) RenewLease(requestedAt time.Time) { b.lease.Renew(requestedAt) }
 
-// LeaseValid reports whether the controllers' confirmation covers what is sent now. Otherwise backends are asked
-// themselves.
+// LeaseValid reports whether the send lease is valid. Without it only backends that confirm themselves get requests.
 func (b *Balancer) LeaseValid(now time.Time) bool { return b.lease.Valid(now) }
 
 // MayWrite reports whether a request that was assigned to a backend may still be written to it: the backend may have
--- a/internal/proxy/balancer/healthcheck.go
+++ b/internal/proxy/balancer/healthcheck.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// healthCheckInterval is the pause before a backend that has not said that it serves is asked again.
+// healthCheckInterval is the minimum time between two health checks of a backend.
 const healthCheckInterval = 500 * time.Millisecond
 
-// HealthCheck asks a backend itself whether it serves, as no controller can say.
+// HealthCheck asks a backend whether it serves, because no controller has confirmed that lately.
 type HealthCheck struct{ BackendID, Address, Path string }
 
 // HealthCheckResult is the outcome of a health check.
@@ -17,7 +17,7 @@
 	WarmUpLeft   time.Duration // for how long it still warms up
 }
 
-// requestHealthCheck has a backend asked, unless it has just been. Each request that lacks a backend asks one at most.
+// requestHealthCheck schedules a health check of a backend, unless there has just been one.
 func (b *Balancer) requestHealthCheck(backend *Backend, now time.Time) {
 	config := b.serviceConfig(backend.Service)
 	if config == nil || now.Sub(backend.healthCheckedAt) < healthCheckInterval {
@@ -35,7 +35,7 @@
 	return checks
 }
 
-// HealthCheckDone takes the outcome of a health check. One of a backend that is no longer known changes nothing.
+// HealthCheckDone records the result of a health check. It is ignored where the backend is no longer known.
 func (b *Balancer) HealthCheckDone(id string, result HealthCheckResult, now time.Time) {
 	backend := b.backends[id]
 	switch {
--- a/internal/proxy/balancer/inflight.go
+++ b/internal/proxy/balancer/inflight.go
@@ -13,8 +13,8 @@
 // negligibleRate is the rate, in requests a second, below which traffic counts as ended: one request a minute.
 const negligibleRate = 1.0 / 60
 
-// InFlightReport returns what operators are shown of a drain: this proxy's requests in flight at backends that drain,
-// the load that it carries, and the version of each zone's list of drains that it applies.
+// InFlightReport returns what this proxy contributes to the in-flight survey of a drain: its requests in flight at
+// draining backends, the load that it carries, and the version of each zone's list of drains that it applies.
 func (b *Balancer) InFlightReport(
 	now time.Time,
 ) (rows []replication.BackendInFlight, loads []drain.ServiceLoad, drainVersions map[string]uint64) {
--- a/internal/proxy/balancer/outcome.go
+++ b/internal/proxy/balancer/outcome.go
@@ -18,14 +18,14 @@
 type Outcome struct {
 	Execution        retry.Execution
 	Status           int  // of the backend's response, 0 where there is none
-	Succeeded        bool // a success with the backend's seal and its whole body
-	Connected        bool // there was a connection
-	Cancelled        bool // the proxy broke it off: its client is gone, or its time is over
-	TimedOut         bool // its time was over before it was answered
+	Succeeded        bool // a success, with the backend's seal and a complete body
+	Connected        bool // there was a connection to the backend
+	Cancelled        bool // by the proxy: the client is gone, or the deadline has passed
+	TimedOut         bool // the deadline passed before the response
 	Latency          time.Duration
 	ClosesConnection bool // the response closes its connection
-	// Withheld says that nothing was written, as the backend began to drain while the connection came up. The backend
-	// is not to blame.
+	// Withheld means that nothing was written because the backend began to drain while the connection came up. It does
+	// not count against the backend.
 	Withheld bool
 }
 
@@ -34,7 +34,8 @@
 	return o.Status >= http.StatusBadRequest && o.Status < http.StatusInternalServerError
 }
 
-// ReportOutcome takes the outcome of an attempt that Pick assigned to a backend. It must be called once for each.
+// ReportOutcome records the outcome of an attempt that Pick assigned to a backend. It must be called exactly once for
+// each attempt. A place that comes free is granted to queued requests.
 func (b *Balancer) ReportOutcome(request *Request, backend *Backend, outcome Outcome, now time.Time) {
 	backend.Drain.RequestFinished(!request.Route.Idempotent)
 	if backend.Drain.InFlight() == 0 {
@@ -65,7 +66,8 @@
 	b.DispatchQueue(request.Service, now)
 }
 
-// observeLatency records how long a successful response took, for the service and relative to it for the backend.
+// observeLatency records the latency of a successful response: for the service, and for the backend relative to the
+// service's mean.
 func (s *serviceState) observeLatency(backend *Backend, latency time.Duration, now time.Time) {
 	seconds := latency.Seconds()
 	typical := s.latency.Estimate(sinceOrigin(now), statsHalfLife, seconds, 1)
@@ -88,7 +90,7 @@
 	}
 }
 
-// TypicalLatency returns how long a response of a service has taken of late; 0 where nothing is known.
+// TypicalLatency returns the recent mean latency of a service's responses, and 0 where there were none.
 func (b *Balancer) TypicalLatency(name string, now time.Time) time.Duration {
 	seconds := b.service(name).latency.Estimate(sinceOrigin(now), statsHalfLife, 0, typicalLatencyPriorWeight)
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/proxy/balancer/pick.go
+++ b/internal/proxy/balancer/pick.go
@@ -31,7 +31,7 @@
 func (b *Balancer) bestBackend(svc *serviceState, request *Request, arm int, now time.Time) *Backend {
 	var best, unconfirmed *Backend
 	var lowestCost, lowestUnconfirmedCost float64
-	// Under the load phase of a canary the first backend by ID gets everything, so that all proxies choose the same
+	// In the load phase of a canary the first backend by ID gets all its requests, so that all proxies load the same
 	// one.
 	takeFirst := arm == canaryArm && svc.canary.underLoad(now)
 	for _, backend := range svc.backends {
@@ -57,8 +57,8 @@
 	return best
 }
 
-// eligible reports whether a backend may have a request now, as far as the backend, the request and the build go; the
-// send lease is not considered.
+// eligible reports whether a backend may get a request now. It considers the backend, the request and the build, but
+// not the send lease.
 func (b *Balancer) eligible(svc *serviceState, request *Request, backend *Backend, arm int, now time.Time) bool {
 	if backend.Drain.State() != draining.Serving || svc.armOf(backend) != arm {
 		return false
@@ -90,8 +90,10 @@
 // inFlightLimit returns how many requests of this proxy may be in flight at a backend. What the backend can't queue
 // it may never answer, and holds until its client's deadline. The proxies of a zone share its backends, each with an
 // equal part and one request more for chance. Proxies of other zones send one request each, when their own backends
-// are full. (Fewer proxies to each remote backend, drawn by hash: 0.946 to 0.855 on btsamabay-edge, as zones with one
-// backend of a service need many others for a moment.)
+// are full.
+//
+// Letting fewer proxies use each remote backend, chosen by hash, was tried and scored worse (0.855 instead of 0.946 on
+// btsamabay-edge): a zone with a single backend of a service needs many remote ones for a moment.
 func (b *Balancer) inFlightLimit(backend *Backend) int {
 	if backend.Distance != SameZone {
 		return remoteInFlightLimit
@@ -101,21 +103,25 @@
 	return (limit+proxies-1)/proxies + 1
 }
 
-// The cost of a request, in multiples of the time that a backend works on it.
+// The parts of a request's cost, in multiples of the time for which a backend works on a request.
+const (
+	loadWeight       = 0.2  // for each unit of load; load beyond the capacity costs 1 for each unit besides
+	sharedRemoteCost = 0.2  // for a backend in another region that has a request in flight: spreads remote requests
+	timedOutCost     = 3    // for a backend whose heartbeats have stopped
+	costJitter       = 0.05 // the largest random part, so that proxies choose differently
+)
+
+// A backend's relative latency is drawn towards 1 as if that had been observed four times.
 const (
-	loadWeight       = 0.2  // of the load below capacity; what exceeds it counts in full
-	sharedRemoteCost = 0.2  // of a backend in another region that has a request in flight: remote load is spread
-	timedOutCost     = 3    // of a backend whose heartbeats have stopped
-	costJitter       = 0.05 // of the random number, so that proxies differ
-	// Of the relative latency: it is drawn towards 1 as if that had been observed so often.
 	relativeLatencyPrior       = 1
 	relativeLatencyPriorWeight = 4
 )
 
-// distanceCost is the cost of the way to a backend, by its distance.
+// distanceCost is the cost of the network path to a backend, by its distance.
 var distanceCost = [...]float64{SameZone: 0, SameRegion: 0.7, OtherRegion: 1.6}
 
-// cost returns what one more request at a backend costs: what it waits there, and how far it goes.
+// cost returns what one more request at a backend costs: the wait there, and the distance. Each call draws one random
+// number.
 func (b *Balancer) cost(backend *Backend, now time.Time) float64 {
 	share := float64(backend.Capacity)
 	if backend.Distance == SameZone {
--- a/internal/proxy/balancer/preconnect.go
+++ b/internal/proxy/balancer/preconnect.go
@@ -10,11 +10,11 @@
 // PreconnectTarget is a backend to which a connection is best opened before it is needed.
 type PreconnectTarget struct {
 	Address string
-	InUse   int // requests in flight: as many connections are in use
+	InUse   int // connections in use: one for each request in flight
 }
 
-// planPreconnects makes up for backends that begin to drain: where the displaced requests will go next, connections are
-// to be opened, one for each. Backends that warm up are left out, as they are fed at their own pace.
+// planPreconnects plans connections for requests that are displaced by draining backends: one for each request, to the
+// backends that will get them by cost. Backends that warm up are left out, since they get requests at a limited rate.
 func (b *Balancer) planPreconnects(svc *serviceState, displaced int, now time.Time) {
 	if displaced == 0 || b.table == nil {
 		return
--- a/internal/proxy/balancer/queue.go
+++ b/internal/proxy/balancer/queue.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Enqueue has a request wait for a backend; it gets one through its Granted channel.
+// Enqueue queues a request that Pick has no backend for. DispatchQueue sends it one through its Granted channel.
 func (b *Balancer) Enqueue(request *Request) {
 	svc := b.service(request.Service)
 	request.queued = true
 	svc.queue = append(svc.queue, request)
 }
 
-// Dequeue takes a request out of the queue. It returns false where a backend was granted before.
+// Dequeue removes a request from the queue. It returns false if a backend has already been granted.
 func (b *Balancer) Dequeue(request *Request) bool {
 	if !request.queued {
 		return false
--- a/internal/proxy/balancer/request.go
+++ b/internal/proxy/balancer/request.go
@@ -17,14 +17,14 @@
 	Delivered int             // attempts that reached their backend, or may have
 	Execution retry.Execution // over all attempts; NotExecuted while there is none
 	SentTo    Destination     // of the attempt in flight
-	Granted   chan *Backend   // gets the backend when one is free for a queued request; it must have room for one
+	Granted   chan *Backend   // gets the backend of a queued request; its buffer must hold one
 
 	tried    []string // the backends of all attempts
 	toCanary bool     // the attempt in flight goes to the build on trial
 	queued   bool
 }
 
-// Destination is where an attempt goes. It stays as it was while updates of the backend come in.
+// Destination is where an attempt goes. Later updates of the backend do not change it.
 type Destination struct {
 	ID, Address string
 	Distance    Distance
--- a/internal/proxy/balancer/warmup.go
+++ b/internal/proxy/balancer/warmup.go
@@ -6,11 +6,11 @@
 	"sagelever/internal/control/replication"
 )
 
-// A backend that warms up (slow start) gets requests from the proxies of its own zone alone, at the service's warm-up
-// rate, which these share.
+// Slow start: a backend that warms up gets requests only from the proxies of its own zone, which share the service's
+// warm-up rate.
 
-// updateWarmUp takes up when the backend says that it is warm. A heartbeat that says that it is warm already counts
-// only if it is newer than what made this proxy doubt it.
+// updateWarmUp applies the end of the warm-up that the backend reports. A report that it is already warm counts only if
+// it is newer than the last refused connection, after which the backend may have restarted.
 func (b *Backend) updateWarmUp(update *replication.Backend, now time.Time) {
 	warmAt := time.UnixMilli(update.WarmAtMs).Add(maxClockSkew)
 	if update.WarmAtMs != 0 && warmAt.After(now) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// extendWarmUp has the backend warm up until then at least.
+// extendWarmUp has the backend warm up at least until the given time.
 func (b *Backend) extendWarmUp(until, now time.Time) {
 	if !until.After(b.warmingUntil) {
 		return
@@ -36,8 +36,8 @@
 
 func (b *Backend) warmingUp(now time.Time) bool { return b.warmingUntil.After(now) }
 
-// assumeWarmUp guards against a backend that went cold while nothing was sent to it, as its zone was evacuated or an
-// operator drained it: until its heartbeats have had time to say otherwise it counts as warming up.
+// assumeWarmUp guards against a backend that went cold while nothing was sent to it, because its zone was evacuated
+// or an operator drained it. It counts as warming up until its heartbeats have had time to say otherwise.
 func (b *Balancer) assumeWarmUp(backend *Backend, now time.Time) {
 	warmUp := time.Duration(0)
 	if config := b.serviceConfig(backend.Service); config != nil {
