--- a/internal/agent/policy/decide.go
+++ b/internal/agent/policy/decide.go
@@ -1,8 +1,3 @@
-// Package decide holds every decision of one agent, for all deployments. An adapter makes a Balancer with
-// New (seed, and the terms of the deployment as a plain map of names to values), then calls Step with the
-// time since that start and one event, and carries out the actions it gets back, in order. The interface
-// (ids, events, actions) stands in package agent. Nothing here does input or output or shares state.
-// Three tables (state, input, next state, effect) stand first; run reads them.
 package policy
 
 import (
@@ -12,12 +7,7 @@
 	"sagelever/internal/agent/api"
 )
 
-var (
-	transactionTransitions []transition[transactionState, transactionInput, *transaction]
-	healthTransitions      []transition[healthState, healthInput, *backend]
-	voteTransitions        []transition[voteState, voteInput, *vote]
-)
-
+// The transitions of the state machines: state, input, next state, effect. Other inputs are ignored.
 func init() {
 	transactionTransitions = []transition[transactionState, transactionInput, *transaction]{
 		{queued, accepted, queued, (*Balancer).place},
@@ -56,16 +46,16 @@
 
 const heartbeatInterval = 20 * time.Millisecond // a few ticks of the wire, far below any goal time
 
+// heartbeat ejects silent backends (hung, cut off, crashed), adapts the limits and sends what is due.
 func (b *Balancer) heartbeat() {
 	b.schedule(heartbeatInterval, b.heartbeat)
 	for _, backend := range b.ordered {
-		// An appliance that owes answers and has given none for this long is taken for silent, whatever the
-		// cause (hang, cut-off, crash): four times the usual time, but not under 300 ms, rides out pauses.
-		if backend.inFlight > 0 && b.now-max(backend.lastAnswer, backend.owesSince) > max(4*b.usualLatency(), 300*time.Millisecond) {
-			advance(b, healthTransitions, &backend.health, foundUnhealthy, backend)
+		silence := b.now - max(backend.lastAnswer, backend.owesSince)
+		if backend.inFlight > 0 && silence > max(4*b.usualLatency(), 300*time.Millisecond) {
+			b.advanceHealth(backend, foundUnhealthy)
 		}
 		if backend.health == ejected && b.now >= backend.ejectedUntil {
-			advance(b, healthTransitions, &backend.health, ejectionExpired, backend)
+			b.advanceHealth(backend, ejectionExpired)
 		}
 	}
 	for _, f := range b.flows {
@@ -78,13 +68,12 @@
 	b.updateVote()
 }
 
-// reportCounts sends what this agent has counted since it last told to those that judge by it. Twice a second is
-// often against a stage; agents with little traffic tell less often, so that all cost a quarter of a full
-// message a transaction at most. A lost message loses only evidence.
+// reportCounts sends the outcomes counted since the last report to the agents that judge: twice a second,
+// less often with little traffic, so that it costs at most a quarter of a full message for each transaction.
 func (b *Balancer) reportCounts() {
 	judges, size := b.judgeCount(), b.reportSize()
 	minInterval := float64(judges*size) / 256 / 0.25 / b.rate(&b.demand)
-	if !setting(b, "may.tell", false) || size == 0 || (b.now-b.lastReport).Seconds() < max(0.5, minInterval) {
+	if !b.settings.mayMessage || size == 0 || (b.now-b.lastReport).Seconds() < max(0.5, minInterval) {
 		return
 	}
 	data := b.reportMessage()
@@ -92,10 +81,9 @@
 	b.sendToFirst(judges, data)
 }
 
-// adjustLimit adapts how many sends of one flow (a workload of one customer) may be out. Time of answers against
-// goals is held at 0.33: what is slower queues at the servers and is late for all, so fewer are let out; what
-// is faster lets the bound grow, but not far past what is used. What waits everywhere but alone, one workload
-// or customer, so chokes only itself. As many may always be out as answers at a sixth of the goal take.
+// adjustLimit adapts how many attempts of one flow (a workload of one customer) may be in flight. It holds
+// latency at 0.33 of the goal, as what is slower queues at the backends; but the limit grows not far past its
+// use, and never falls below what a latency of a sixth of the goal has in flight.
 func (b *Balancer) adjustLimit(f *flow) {
 	if f.latencyRatio.Estimate(b.now, latencyRatioHalfLife, 0, 1) > 0.33 {
 		f.limit *= 0.97
@@ -105,28 +93,27 @@
 	f.limit = max(f.limit, b.rate(&f.demand)*f.workload.goal.Seconds()/6)
 }
 
-const latencyRatioHalfLife = 400 * time.Millisecond // a few answers long, yet shorter than a burst
+const latencyRatioHalfLife = 400 * time.Millisecond // a few responses long, yet shorter than a burst
 
-// retryQueued tries held transactions again, those with the most payoff for their work first.
+// retryQueued tries to place queued transactions again, those with the most payoff for their work first.
 func (b *Balancer) retryQueued() {
-	queued := b.queue
+	waiting := b.queue
 	b.queue = nil
 	density := func(tx *transaction) float64 {
-		if setting(b, "payoff.by", "") == "work" {
+		if b.settings.payoffBy == payoffByWork {
 			return tx.workload.payoff
 		}
 		return tx.workload.payoff / b.meanLatency(tx.workload).Seconds()
 	}
-	sort.SliceStable(queued, func(i, j int) bool { return density(queued[i]) > density(queued[j]) })
-	for _, tx := range queued {
-		advance(b, transactionTransitions, &tx.state, retryPlacement, tx)
+	sort.SliceStable(waiting, func(i, j int) bool { return density(waiting[i]) > density(waiting[j]) })
+	for _, tx := range waiting {
+		b.advanceTransaction(tx, retryPlacement)
 	}
 }
 
-// updateBackends keeps the list. A drain or a departure holds from the moment it is told, without using the grace.
+// updateBackends takes up a list. A drain or a departure holds at once, without use of the drain's grace.
 func (b *Balancer) updateBackends(update api.BackendUpdate) {
 	if update.Kind == api.UpdateUnavailable {
-		// A failed call to discovery is tried again after a second or two, spread by chance.
 		wait := time.Second + time.Duration(b.randomBelow(1000))*time.Millisecond
 		b.schedule(wait, func() { b.emit(api.WatchBackends{On: true}) })
 		return
@@ -138,19 +125,21 @@
 	b.switchTrialBuild()
 }
 
-// retryWatch asks for changes again until some have come: discovery turns calls away that it has no time for; a
-// watch on sockets then brings nothing. Once in the time after which an agent counts as told.
+// retryWatch repeats the watch until a list has come, as an overloaded discovery rejects calls, unseen on
+// sockets: once in the time after which an agent counts as informed.
 func (b *Balancer) retryWatch() {
 	if b.now >= b.nextWatchAt && !b.listReceived && b.watchUnconfirmed() {
-		b.watchedAt, b.nextWatchAt = b.now, b.now+b.watchTimeout()+time.Duration(b.randomFloat()*float64(b.watchTimeout())/2)
+		jitter := time.Duration(b.randomFloat() * float64(b.settings.watchTimeout) / 2)
+		b.watchedAt, b.nextWatchAt = b.now, b.now+b.settings.watchTimeout+jitter
 		b.emit(api.WatchBackends{On: true})
 	}
 }
 
-// scheduleWatch has it ask within half of that time, by chance, at the start and where machines are gone; not again
-// until as long after its last call or the last list, as all do so at once and discovery is short then.
+// scheduleWatch has the watch repeated within half of that time, at random, at the start and when a backend
+// is unreachable; not again soon after a call or list, as all agents do so at once.
 func (b *Balancer) scheduleWatch() {
-	if half := b.watchTimeout() / 2; b.now-max(b.listReceivedAt, b.watchedAt) >= half && b.nextWatchAt > b.now+half {
+	half := b.settings.watchTimeout / 2
+	if b.now-max(b.listReceivedAt, b.watchedAt) >= half && b.nextWatchAt > b.now+half {
 		b.listReceived, b.nextWatchAt = false, b.now+time.Duration(b.randomFloat()*float64(half))
 	}
 }
--- a/internal/agent/policy/health.go
+++ b/internal/agent/policy/health.go
@@ -2,27 +2,23 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"sagelever/internal/agent/api"
 )
 
-// How the appliances are: health, rest, warmth, and what others are told of the sick.
-
-// capacityShare is the least share of its capacity that an appliance has by its age.
+// capacityShare is the least share of its full capacity that a backend has at its age.
 func (b *Balancer) capacityShare(backend *backend) float64 {
-	total := setting(b, "cold.time", time.Duration(0))
-	if age := b.now - backend.Started; age < total {
-		from := setting(b, "cold.from", 1.0)
+	age, total, from := b.now-backend.Started, b.settings.slowStart, b.settings.slowStartFrom
+	if age < total {
 		return from + (1-from)*max(0, float64(age)/float64(total))
 	}
 	return 1
 }
 
-// withinPace tells whether one more send keeps an appliance below times this agent's even share. Its credit starts
-// anywhere below one send, so that shares far below one add up, over hundreds of agents, to the whole and no
-// more. A quarter of a second may be saved up.
+// withinPace tells whether one more attempt keeps a backend below a multiple of this agent's even share.
+// Credit starts at random, so that over hundreds of agents small shares add up to the whole; a quarter second
+// is saved.
 func (b *Balancer) withinPace(backend *backend, multiple float64) bool {
 	share := multiple * b.rate(&b.demand) / float64(max(b.listedCount, 1)) // a second
 	backend.paceCredit = min(backend.paceCredit+share*(b.now-backend.paceCreditAt).Seconds(), max(1, share/4))
@@ -30,39 +26,37 @@
 	return backend.paceCredit >= 1
 }
 
-// slowStartAllows keeps a cold appliance from being pushed over by all agents together, none asking another: warm
-// ones bear the even share, so even shares times the warmth add up to less than it can do. 1.4 as fleets run
-// below 0.7 of their capacity if they can; never more than 0.7 of the multiple at which it falls.
+// slowStartAllows keeps agents, none of which asks another, from overloading a backend together: warm ones
+// bear the even share, so even shares times its capacity are less than it can do. 1.4, as fleets run below
+// 0.7.
 func (b *Balancer) slowStartAllows(backend *backend) bool {
-	warm := b.capacityShare(backend)
-	return warm >= 1 || b.withinPace(backend, min(1.4, 0.7*setting(b, "fall.multiple", 2.0))*warm)
+	capacity := b.capacityShare(backend)
+	return capacity >= 1 || b.withinPace(backend, min(1.4, 0.7*b.settings.overloadFactor)*capacity)
 }
 
-// available tells whether an appliance should be used while others are there too.
+// available tells whether a backend should be used while others are there too.
 func (backend *backend) available() bool {
 	return backend.health == healthy || backend.health == probing && backend.inFlight == 0
 }
 
-// observe learns from one outcome: times, health, load and the evidence for an arm.
+// observe learns from one outcome: latency, health, load, and the evidence on the backend's build.
 func (b *Balancer) observe(tx *transaction, attempt *attempt, event api.AttemptEnded) {
-	backend, workload := attempt.backend, tx.workload
+	backend := attempt.backend
 	if event.Load != nil {
 		backend.backlog, backend.loadReportedAt = event.Load["queue"]+event.Load["inflight"], b.now
 	}
 	if backendResponded(event.Outcome) {
 		backend.lastAnswer, backend.failureStreak = b.now, 0
 	}
-	full := min(event.Elapsed.Seconds()/workload.goal.Seconds(), 2)
+	ratio := min(event.Elapsed.Seconds()/tx.workload.goal.Seconds(), 2)
 	switch event.Outcome {
 	case api.Succeeded:
-		tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, full)
+		tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, ratio)
 		backend.faultRate *= 0.8
-		backend.slowness.Add(b.now, max(3*time.Second, b.attemptInterval()), event.Elapsed.Seconds()/b.meanLatency(workload).Seconds())
-		workload.latency.Add(b.now, latencyHalfLife, event.Elapsed.Seconds())
-		b.latency.Add(b.now, latencyHalfLife, event.Elapsed.Seconds())
-		advance(b, healthTransitions, &backend.health, foundHealthy, backend)
+		b.recordLatency(tx.workload, backend, event.Elapsed)
+		b.advanceHealth(backend, foundHealthy)
 	case api.ErrorResponse, api.Rejected, api.MalformedResponse:
-		if event.Outcome == api.Rejected { // a full machine is as bad as an answer at the goal time
+		if event.Outcome == api.Rejected { // a full backend is as bad as a response at the goal time
 			tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, 1)
 		}
 		backend.faultRate = 0.8*backend.faultRate + 0.2
@@ -70,88 +64,87 @@
 		if event.Outcome == api.Unreachable {
 			b.scheduleWatch()
 		}
-		if backend.failureStreak++; event.Outcome == api.TimedOut && backend.health == healthy {
-			tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, full)
+		backend.failureStreak++
+		if event.Outcome == api.TimedOut && backend.health == healthy {
+			tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, ratio)
 		}
 	}
 	if backend.failing() {
 		b.discardCounts(backend)
 	}
-	if backend.failing() || backend.failureStreak >= 3 || backend.health == probing && backend.failureStreak > 0 {
-		advance(b, healthTransitions, &backend.health, foundUnhealthy, backend)
+	streak := backend.failureStreak
+	if backend.failing() || streak >= 3 || backend.health == probing && streak > 0 {
+		b.advanceHealth(backend, foundUnhealthy)
 	}
 	b.weighOutcome(tx, attempt, event)
 }
 
-// learnFromPeer takes what another tells of a machine: seen seldom, it shows no five faults in a row in time.
+// learnFromPeer takes outcomes that another agent reports: its own may be too few to show a bad backend.
 func (b *Balancer) learnFromPeer(backend *backend, counts arm) {
 	old := math.Pow(0.8, counts.outcomes) // as much as the same outcomes would leave, had they been its own
-	if backend.faultRate = old*backend.faultRate + (1-old)*counts.faults/counts.outcomes; backend.failing() {
+	backend.faultRate = old*backend.faultRate + (1-old)*counts.faults/counts.outcomes
+	if backend.failing() {
 		b.discardCounts(backend)
-		advance(b, healthTransitions, &backend.health, foundUnhealthy, backend)
+		b.advanceHealth(backend, foundUnhealthy)
 		return
 	}
 	b.creditOutcome(backend, counts)
 }
 
-// eject is half a second, or half a visit up to five, doubled thrice at most: short against any trouble.
+// eject lasts half a second, or half the time between attempts up to five, doubled thrice at most.
 func (b *Balancer) eject(backend *backend) {
-	backend.ejectedUntil = b.now + min(max(500*time.Millisecond, b.attemptInterval()/2), 5*time.Second)<<min(backend.ejections, 3)
+	period := min(max(500*time.Millisecond, b.attemptInterval()/2), 5*time.Second)
+	backend.ejectedUntil = b.now + period<<min(backend.ejections, 3)
 	backend.ejections, backend.failureStreak = backend.ejections+1, 0
-	if !b.recentlyBroadcast(backend) { // else all know
-		b.healthReports[0] = append(b.healthReports[0], backend.ID)
+	if !b.recentlyBroadcast(backend) { // else all agents know
+		b.healthReports[reportUnhealthy] = append(b.healthReports[reportUnhealthy], backend.ID)
 	}
 	b.noteUnhealthyReport(backend, b.peerNumber())
 }
 
-const healthReportWindow = 500 * time.Millisecond // some slow answers long: whoever finds a machine sick does so by then
+const healthReportWindow = 500 * time.Millisecond // within it all who use an unhealthy backend find out
 
-// reportHealth tells which machines this agent has found sick (0), to the first six agents, and which it has found
-// well (1) or heard of from three (2), to all: else each agent finds out by a lost send of its own.
+// reportHealth reports backends found unhealthy to the first six agents, and those found healthy or confirmed
+// unhealthy to all, else each agent would find out by a lost attempt of its own.
 func (b *Balancer) reportHealth() {
 	for kind, ids := range b.healthReports {
 		b.healthReports[kind] = nil
 		switch {
-		case len(ids) == 0 || !setting(b, "may.tell", false):
-		case kind != 0:
-			b.emit(api.SendMessage{All: true, Data: healthMessage(kind, ids)})
+		case len(ids) == 0 || !b.settings.mayMessage:
+		case healthReportKind(kind) != reportUnhealthy:
+			b.emit(api.SendMessage{All: true, Data: healthMessage(healthReportKind(kind), ids)})
 		default:
-			b.sendToFirst(min(6, int(setting(b, "agents", 1.0))), healthMessage(kind, ids))
+			b.sendToFirst(min(6, int(b.settings.agents)), healthMessage(reportUnhealthy, ids))
 		}
 	}
 }
 
-// noteUnhealthyReport takes one agent's word that a machine is sick. A slow answer passes for silence now and then, over a
-// fleet many times a second; so within half a second as many must say it as half of the sends that all make
-// there in that time, and three at least. The first to hear tells all.
+// noteUnhealthyReport takes one agent's report. Slow responses often pass for silence in a fleet, so it takes
+// half as many agents as attempts there in the window, and three at least. The first to see them tells all.
 func (b *Balancer) noteUnhealthyReport(backend *backend, from api.PeerNumber) {
-	backend.unhealthyReports = slices.DeleteFunc(backend.unhealthyReports, func(c unhealthyReport) bool { return c.from == from || b.now-c.at > healthReportWindow })
-	sends := b.rate(&b.demand) * setting(b, "agents", 1.0) / float64(max(b.listedCount, 1)) * healthReportWindow.Seconds()
-	if backend.unhealthyReports = append(backend.unhealthyReports, unhealthyReport{from, b.now}); float64(len(backend.unhealthyReports)) >= max(3, sends/2) {
-		b.schedule(time.Duration(b.peerNumber())*heartbeatInterval, func() {
-			if !b.recentlyBroadcast(backend) {
-				b.healthReports[2] = append(b.healthReports[2], backend.ID)
-				b.ejectOnReports(backend)
-			}
-		})
+	reports := backend.addUnhealthyReport(from, b.now)
+	rate := b.rate(&b.demand) * b.settings.agents / float64(max(b.listedCount, 1))
+	if float64(reports) < max(3, rate*healthReportWindow.Seconds()/2) {
+		return
 	}
+	b.schedule(time.Duration(b.peerNumber())*heartbeatInterval, func() {
+		if !b.recentlyBroadcast(backend) {
+			b.healthReports[reportConfirmed] = append(b.healthReports[reportConfirmed], backend.ID)
+			b.ejectOnReports(backend)
+		}
+	})
 }
 
-// ejectOnReports rests a machine on others' word, unless it has just answered here, or half of all would rest.
+// ejectOnReports ejects a backend on others' reports, if it has not just answered and few others are ejected.
 func (b *Balancer) ejectOnReports(backend *backend) {
 	backend.broadcastAt = b.now
 	if b.now-backend.lastAnswer > 150*time.Millisecond && 2*b.ejectedCount() < b.listedCount {
-		advance(b, healthTransitions, &backend.health, peersFoundUnhealthy, backend)
-		backend.ejectedUntil = b.now + time.Second + time.Duration(b.randomBelow(1000))*time.Millisecond // who found it tries first
+		b.advanceHealth(backend, peersFoundUnhealthy)
+		jitter := time.Duration(b.randomBelow(1000)) * time.Millisecond
+		backend.ejectedUntil = b.now + time.Second + jitter // those who found it try it first
 	}
 }
 
-// failing tells whether most of the last few answers were faults; five in a row will do. Bad builds fail a
-// third or one workload: a machine that fails most is sick itself, and does not count for its build.
+// failing tells whether most of the last responses were errors; five in a row will do. A bad build fails a
+// third or one workload: a backend that fails most is itself unhealthy, and does not count for its build.
 func (backend *backend) failing() bool { return backend.faultRate >= 0.6 }
-
-func (b *Balancer) recovered(backend *backend) {
-	if backend.ejections, backend.faultRate = 0, 0; backend.broadcastAt > 0 { // all were told that it is sick
-		backend.broadcastAt, b.healthReports[1] = 0, append(b.healthReports[1], backend.ID)
-	}
-}
--- a/internal/agent/policy/route.go
+++ b/internal/agent/policy/route.go
@@ -7,53 +7,36 @@
 	"sagelever/internal/agent/api"
 )
 
-// The course of a transaction: taken, placed, sent, sent again, given up.
-
+// eligible tells whether the rules allow an attempt of a transaction at a backend.
 func (b *Balancer) eligible(tx *transaction, backend *backend) bool {
-	if !backend.listed || !b.rolloutKnown || backend.Build < b.boundBuild(tx.Key) || !b.exposureAllows(tx, backend) {
+	if !backend.listed || !b.rolloutKnown ||
+		backend.Build < b.boundBuild(tx.Key) || !b.exposureAllows(tx, backend) {
 		return false
 	}
-	if tx.mayHaveRunAt >= 0 && tx.workload.effect == "receipted" {
-		same := tx.workload.group == "all" || tx.workload.group == "zone" && backend.Zone == tx.mayHaveRunOn.Zone ||
-			tx.workload.group == "cell" && backend.Cell == tx.mayHaveRunOn.Cell
-		if !same || b.now-tx.mayHaveRunAt >= tx.workload.memory-setting(b, "tick", heartbeatInterval) {
-			return false
-		}
+	if tx.mayHaveRunAt >= 0 && tx.workload.effect == effectReceipted && (!tx.repeatKnownAt(backend) ||
+		b.now-tx.mayHaveRunAt >= tx.workload.memory-b.settings.tick) {
+		return false
 	}
 	return b.slowStartAllows(backend)
 }
 
-const latencyHalfLife = 5 * time.Second
-
-func (b *Balancer) acceptTransaction(event api.TransactionAccepted) {
-	workload := b.workloadOf(event.Workload)
-	tx := &transaction{TransactionAccepted: event, workload: workload, flow: b.flowOf(workload, event.Customer), acceptedAt: b.now, mayHaveRunAt: -1}
-	b.recordAccepted(tx)
-	b.boundShare.Add(b.now, demandHalfLife, float64(min(b.boundBuild(event.Key), 1)))
-	// The trial gets three quarters of its cap, but no more than its machines' share and a third, else they look
-	// slow from load; from agents that see too little to spread their sends by load the share alone, in a fleet
-	// of such agents a fifth less; but the others never bear more than a seventh above theirs.
-	_, share := b.exposureCap(b.trialBuild)
+// earnTrialQuota adds to the first attempts that the trial may get: three quarters of its cap, not so far
+// over its share of capacity that load slows it, nor so little that the baseline is a seventh above its own.
+func (b *Balancer) earnTrialQuota() {
+	_, limit := b.exposureCap(b.trialBuild)
 	part, spread := b.trialCapacityShare(), 1.3
 	if b.small() {
 		spread = 1
 	} else if b.sparse() {
 		spread = 0.8
 	}
-	b.trialQuota = min(b.trialQuota+max(min(0.75*share, spread*part), 1-1.15*(1-part)), 1.5)
-	b.retries.earned.Add(b.now, retryHalfLife, b.retryShare())
-	// The answer timer runs out a tick before the client's time does, so that the answer is never late.
-	b.schedule(event.Timeout-setting(b, "tick", heartbeatInterval), func() {
-		tx.reason = api.ReasonDeadline
-		advance(b, transactionTransitions, &tx.state, deadlineNear, tx)
-	})
-	advance(b, transactionTransitions, &tx.state, accepted, tx)
+	b.trialQuota = min(b.trialQuota+max(min(0.75*limit, spread*part), 1-1.15*(1-part)), 1.5)
 }
 
-const retryHalfLife = 10 * time.Second
+const latencyHalfLife, retryHalfLife = 5 * time.Second, 10 * time.Second
 
-// retryShare is how many further sends each transaction taken earns: it follows how many of the recent
-// ones succeeded, from 0.05 (to keep learning) to 0.3 (a retry storm must not double the load).
+// retryShare is how many retries a transaction earns. It rises as recent ones succeed, from 0.05 (to keep
+// learning) to 0.3 (a retry storm must not double the load).
 func (b *Balancer) retryShare() float64 {
 	tried := b.retries.tried.Value(b.now, retryHalfLife) + 4
 	return 0.05 + 0.25*(b.retries.won.Value(b.now, retryHalfLife)+2)/tried
@@ -61,34 +44,37 @@
 
 func (b *Balancer) mayRetry(tx *transaction) bool {
 	spare := b.retries.earned.Value(b.now, retryHalfLife) + 3 - b.retries.tried.Value(b.now, retryHalfLife)
-	return spare > 0 && float64(len(tx.attempts)) < setting(b, "sends.most", 1.0)
+	return spare > 0 && float64(len(tx.attempts)) < b.settings.maxAttempts
 }
 
+// safeToRepeat tells whether the transaction cannot take effect twice, whoever repeats it.
 func (tx *transaction) safeToRepeat() bool {
-	return tx.mayHaveRunAt < 0 || tx.workload.effect == "pure" || tx.workload.effect == "receipted" && tx.workload.group == "all"
+	w := tx.workload
+	return tx.mayHaveRunAt < 0 || w.effect == effectPure || w.effect == effectReceipted && w.group == groupAll
 }
 
-// retry follows a send that failed: another where the workload and the budget allow it, else the answer.
+// retry follows the failure of all attempts by another, if workload and budget allow it, or by an answer.
 func (b *Balancer) retry(tx *transaction) {
 	tx.reason = api.ReasonNoRetry
-	if tx.mayHaveRunAt >= 0 && tx.workload.effect == "effectful" {
+	if tx.mayHaveRunAt >= 0 && tx.workload.effect == effectEffectful {
 		tx.reason = api.ReasonMayHaveRun
 	}
 	if tx.reason == api.ReasonMayHaveRun || !b.mayRetry(tx) {
-		advance(b, transactionTransitions, &tx.state, deadlineNear, tx)
+		b.advanceTransaction(tx, deadlineNear)
 	} else {
 		b.place(tx)
 	}
 }
 
-// hedge sends a second copy of what takes longer than most do. Where no two may be out, the first is called
-// off instead, if its appliance has answered nothing since: a busy one will answer.
+// hedge adds an attempt to one that takes longer than most. If two may not be in flight it cancels the first,
+// where its backend has answered nothing since: a busy one will answer.
 func (b *Balancer) hedge(tx *transaction) {
-	if !b.mayRetry(tx) || len(b.queue) > 0 || b.now-tx.acceptedAt > tx.workload.goal-b.meanLatency(tx.workload)/2 {
+	if !b.mayRetry(tx) || len(b.queue) > 0 ||
+		b.now-tx.acceptedAt > tx.workload.goal-b.meanLatency(tx.workload)/2 {
 		return
 	}
-	if first := tx.attempts[0]; !setting(b, "may.copy", false) {
-		if first.backend.lastAnswer < first.startedAt && setting(b, "may.calloff", false) {
+	if first := tx.attempts[0]; !b.settings.mayHedge {
+		if first.backend.lastAnswer < first.startedAt && b.settings.mayCancel {
 			b.emit(api.CancelAttempt{Transaction: tx.ID})
 		}
 		return
@@ -98,7 +84,7 @@
 	}
 }
 
-// place sends a held transaction, or keeps it while it could still be satisfied in time.
+// place starts an attempt of a queued transaction, or keeps it queued while it could still succeed in time.
 func (b *Balancer) place(tx *transaction) {
 	tx.reason = api.ReasonConcurrencyLimit
 	if float64(tx.flow.inFlight) < tx.flow.limit {
@@ -108,80 +94,98 @@
 			return
 		}
 	}
-	// A quarter of the goal is kept for waiting here at most: what starts later is late, and answered now.
+	// It waits here for a quarter of its goal at most: what starts later is late, and is answered now.
 	if b.now-tx.acceptedAt > min(tx.workload.goal/4, tx.workload.goal-b.meanLatency(tx.workload)) {
-		advance(b, transactionTransitions, &tx.state, deadlineNear, tx)
+		b.advanceTransaction(tx, deadlineNear)
 		return
 	}
 	b.queue = append(b.queue, tx)
 }
 
-// chooseBackend picks the arm by D-Tracking and the server by two random choices.
+// chooseBackend picks the arm by D-Tracking and the backend by two random choices; nil if none is eligible.
 func (b *Balancer) chooseBackend(tx *transaction) *backend {
-	var ready, spare [2][]*backend
+	ready, spare := b.candidates(tx)
+	arm := b.chooseArm()
+	if b.avoidsTrial(tx) || len(tx.attempts) > 0 && len(ready[baselineArm]) > 0 { // retries: the known build
+		arm = baselineArm
+	}
+	for _, group := range [][]*backend{ready[arm], ready[arm.other()], spare[baselineArm], spare[trialArm]} {
+		if len(group) > 0 {
+			return b.lessLoadedOfTwo(group)
+		}
+	}
+	return nil
+}
+
+// candidates gives the eligible backends by arm: those ready for more, and the others. A trial backend with
+// much more load than the baseline's is not ready, as it would be judged for that.
+func (b *Balancer) candidates(tx *transaction) (ready, spare [2][]*backend) {
 	mean := b.meanLoad()
 	for _, backend := range b.ordered {
 		if tx.triedOn(backend) || !b.eligible(tx, backend) {
 			continue
 		}
-		// Few machines carry the trial at first: holding more than the others do, one would be slow from
-		// load alone and be judged for it. A seventh more, so that the cap is still used.
-		i := b.armOf(backend)
-		if backend.available() && (i == 0 || mean <= 0 || backend.inFlight == 0 || b.load(backend) <= 1.15*mean) {
-			ready[i] = append(ready[i], backend)
+		arm := b.armOf(backend)
+		if backend.available() &&
+			(arm == baselineArm || mean <= 0 || backend.inFlight == 0 || b.load(backend) <= 1.15*mean) {
+			ready[arm] = append(ready[arm], backend)
 		} else {
-			spare[i] = append(spare[i], backend)
+			spare[arm] = append(spare[arm], backend)
 		}
 	}
-	pick := b.chooseArm()
-	trial, share := b.exposureCap(b.trialBuild)
-	unbound := tx.Key != "" && setting(b, "trial.oneway", false) && b.boundBuild(tx.Key) == 0
-	// Half of the cap is kept for keys that the trial has answered; further sends go to the build that is known.
-	if trial && (b.trialQuota < 1 && b.loose() || unbound && b.boundShare.Estimate(b.now, demandHalfLife, 0, 0) > share/2) ||
-		b.trialPaused || len(tx.attempts) > 0 && len(ready[0]) > 0 {
-		pick = 0
-	}
-	for _, group := range [][]*backend{ready[pick], ready[1-pick], spare[0], spare[1]} {
-		if len(group) == 0 {
-			continue
-		}
-		i := b.randomBelow(len(group))
-		if len(group) > 1 { // two different ones, the less burdened goes
-			if j := (i + 1 + b.randomBelow(len(group)-1)) % len(group); b.load(group[j]) < b.load(group[i]) {
-				i = j
-			}
+	return ready, spare
+}
+
+// avoidsTrial tells whether a transaction avoids the trial: it is paused or over its quota, or the key is
+// unbound and half of the cap is used by bound ones.
+func (b *Balancer) avoidsTrial(tx *transaction) bool {
+	trial, limit := b.exposureCap(b.trialBuild)
+	unbound := tx.Key != "" && b.settings.trialOneWay && b.boundBuild(tx.Key) == 0
+	return trial && (b.trialQuota < 1 && b.loose() ||
+		unbound && b.boundShare.Estimate(b.now, demandHalfLife, 0, 0) > limit/2) || b.trialPaused
+}
+
+// lessLoadedOfTwo draws two different backends of a group and takes the one with less load.
+func (b *Balancer) lessLoadedOfTwo(group []*backend) *backend {
+	first := b.randomBelow(len(group))
+	if len(group) > 1 {
+		second := (first + 1 + b.randomBelow(len(group)-1)) % len(group)
+		if b.load(group[second]) < b.load(group[first]) {
+			return group[second]
 		}
-		return group[i]
 	}
-	return nil
+	return group[first]
 }
 
-// load is about how long one more send would take there, in the workload's usual times.
+// load is about how long one more attempt would take at a backend, in usual latencies of its workload.
 func (b *Balancer) load(backend *backend) float64 {
-	// A report's worth halves every half second: it is refreshed about as often.
+	// The weight of a load report halves every half second: reports are refreshed about as often.
 	stale := math.Exp2(-float64(b.now-backend.loadReportedAt) / float64(500*time.Millisecond))
-	slow := backend.slowness.Estimate(b.now, max(3*time.Second, b.attemptInterval()), 1, 1) / b.capacityShare(backend)
-	return (1 + float64(backend.inFlight) + 0.5*backend.backlog*stale) * slow
+	slowness := backend.slowness.Estimate(b.now, b.slownessHalfLife(), 1, 1)
+	return (1 + float64(backend.inFlight) + 0.5*backend.backlog*stale) * (slowness / b.capacityShare(backend))
 }
 
-const minCountedAge = 3 * time.Second // the design's: what younger machines do is not counted
+func (b *Balancer) slownessHalfLife() time.Duration { return max(3*time.Second, b.attemptInterval()) }
+
+const minCountedAge = 3 * time.Second // the design's: outcomes of younger backends are not counted
 
 func (b *Balancer) startAttempt(tx *transaction, backend *backend) {
 	b.recordAttempt(tx, backend)
 	b.emit(api.StartAttempt{Transaction: tx.ID, Backend: backend.ID})
-	if tx.workload.effect != "effectful" && len(tx.attempts) == 1 {
-		b.schedule(max(3*b.meanLatency(tx.workload), 50*time.Millisecond), func() { advance(b, transactionTransitions, &tx.state, hedgeDue, tx) })
+	if tx.workload.effect != effectEffectful && len(tx.attempts) == 1 {
+		delay := max(3*b.meanLatency(tx.workload), 50*time.Millisecond)
+		b.schedule(delay, func() { b.advanceTransaction(tx, hedgeDue) })
 	}
-	advance(b, transactionTransitions, &tx.state, attemptStarted, tx)
+	b.advanceTransaction(tx, attemptStarted)
 }
 
-// giveUp answers at once: deferred where that is harmless, else broken off.
+// giveUp answers at once: the transaction is deferred if repeating it is safe, else it fails.
 func (b *Balancer) giveUp(tx *transaction) {
-	tx.noteMayHaveRun()
+	tx.markUnfinished()
 	if tx.safeToRepeat() {
 		var wait time.Duration
-		if setting(b, "may.advise", false) {
-			wait = min(b.usualLatency(), setting(b, "return.most", time.Duration(0)))
+		if b.settings.mayAdvise {
+			wait = min(b.usualLatency(), b.settings.maxReturn)
 		}
 		b.emit(api.DeferTransaction{Transaction: tx.ID, RetryAfter: wait, Reason: tx.reason})
 	} else {
@@ -196,24 +200,27 @@
 		return
 	}
 	b.observe(tx, attempt, event)
-	if mayHaveRun(event.Outcome) && (tx.mayHaveRunAt < 0 || attempt.startedAt < tx.mayHaveRunAt) {
-		tx.mayHaveRunAt, tx.mayHaveRunOn = attempt.startedAt, attempt.backend
-	}
-	binds := event.Outcome == api.Succeeded || b.countsUnseen() && mayHaveAnswered(event.Outcome)
-	if tx.Key != "" && setting(b, "trial.oneway", false) && binds && attempt.backend.Build >= b.oldestBuild() {
-		b.keyBuilds[tx.Key] = max(b.keyBuilds[tx.Key], attempt.backend.Build)
-	}
-	switch satisfied := event.Outcome == api.Succeeded; {
-	case satisfied || event.TransactionDone:
-		if satisfied && event.Attempt > 0 && tx.state != finished {
+	tx.noteOutcome(attempt, event.Outcome)
+	b.bindKey(tx, attempt, event.Outcome)
+	switch succeeded := event.Outcome == api.Succeeded; {
+	case succeeded || event.TransactionDone:
+		if succeeded && event.Attempt > 0 && tx.state != finished {
 			b.retries.won.Add(b.now, retryHalfLife, 1)
 		}
-		advance(b, transactionTransitions, &tx.state, transactionClosed, tx)
-	case event.Outcome == api.InvalidRequest: // no appliance can use it: it is not sent again, nor is asking again harmless
+		b.advanceTransaction(tx, transactionClosed)
+	case event.Outcome == api.InvalidRequest: // no backend can use it, and neither retry nor deferral would help
 		b.emit(api.FailTransaction{Transaction: tx.ID, Reason: api.ReasonInvalidRequest})
-		advance(b, transactionTransitions, &tx.state, transactionClosed, tx)
+		b.advanceTransaction(tx, transactionClosed)
 	case tx.inFlight == 0:
-		advance(b, transactionTransitions, &tx.state, attemptsFailed, tx)
+		b.advanceTransaction(tx, attemptsFailed)
 	}
 	b.retryQueued()
 }
+
+// bindKey binds a key to the build that answered it or, where unseen answers count, may have answered it.
+func (b *Balancer) bindKey(tx *transaction, attempt *attempt, outcome api.Outcome) {
+	binds := outcome == api.Succeeded || b.countsUnseen() && mayHaveAnswered(outcome)
+	if tx.Key != "" && b.settings.trialOneWay && binds && attempt.backend.Build >= b.oldestBuild() {
+		b.keyBuilds[tx.Key] = max(b.keyBuilds[tx.Key], attempt.backend.Build)
+	}
+}
--- /dev/null
+++ b/internal/agent/policy/workloads.go
@@ -0,0 +1,117 @@
+package policy
+
+import (
+	"math"
+	"time"
+
+	"sagelever/internal/agent/api"
+	"sagelever/internal/stats/decay"
+)
+
+// workload is one workload of the deployment, with what the agent has seen of it.
+type workload struct {
+	name             api.Workload
+	effect           string // effectPure, effectReceipted or effectEffectful
+	group            string // backends that recognize each other's receipts: groupAll, groupZone or groupCell
+	goal             time.Duration
+	memory           time.Duration // how long a receipt is remembered
+	payoff           float64       // of one transaction that succeeds within the goal
+	accepted         decay.SlidingWindow
+	latencyByMachine map[api.MachineType]*decay.Mean // of the earlier build, before the trial
+	latency          decay.Mean
+	baselineLatency  decay.Mean   // by the platform's tallies, before the trial
+	tally            [2]tallySums // the platform's tallies during the trial, by arm
+}
+
+// tallySums are sums over the platform's tallies.
+type tallySums struct {
+	attempts   float64
+	succeeded  float64
+	latencySum float64 // of those that succeeded, in seconds
+}
+
+func (s *tallySums) add(attempts, succeeded, meanLatency float64) {
+	s.attempts += attempts
+	s.succeeded += succeeded
+	s.latencySum += succeeded * meanLatency
+}
+
+// workloadOf gives a workload by its name. One that the settings do not name is effectful, with a goal of a second.
+func (b *Balancer) workloadOf(name api.Workload) *workload {
+	w := b.workloads[name]
+	if w != nil {
+		return w
+	}
+	byName, prefix := b.settings.byName, "workload."+string(name)+"."
+	w = &workload{
+		name:             name,
+		effect:           lookUp(byName, prefix+"effect", effectEffectful),
+		group:            lookUp(byName, prefix+"group", ""),
+		goal:             lookUp(byName, prefix+"goal", time.Second),
+		memory:           lookUp(byName, prefix+"memory", time.Duration(0)),
+		payoff:           lookUp(byName, prefix+"payoff", 1.0),
+		latencyByMachine: map[api.MachineType]*decay.Mean{},
+	}
+	b.workloads[name] = w
+	return w
+}
+
+// latencyOn is the latency of the earlier build on one type of machine, before the trial.
+func (w *workload) latencyOn(machine api.MachineType) *decay.Mean {
+	if w.latencyByMachine[machine] == nil {
+		w.latencyByMachine[machine] = &decay.Mean{}
+	}
+	return w.latencyByMachine[machine]
+}
+
+// meanLatency is the mean latency of a workload lately. Until there are responses it is taken for a quarter of the
+// goal, as goals are set to a few times the usual latency.
+func (b *Balancer) meanLatency(w *workload) time.Duration {
+	prior := w.goal.Seconds() / 4
+	return time.Duration(w.latency.Estimate(b.now, latencyHalfLife, prior, 2) * float64(time.Second))
+}
+
+// usualLatency is the mean latency of recent responses; a tenth of a second until there are some.
+func (b *Balancer) usualLatency() time.Duration {
+	return time.Duration(b.latency.Estimate(b.now, latencyHalfLife, 0.1, 1) * float64(time.Second))
+}
+
+// recordLatency takes up the latency of a successful response.
+func (b *Balancer) recordLatency(w *workload, backend *backend, elapsed time.Duration) {
+	latency := elapsed.Seconds()
+	backend.slowness.Add(b.now, b.slownessHalfLife(), latency/b.meanLatency(w).Seconds())
+	w.latency.Add(b.now, latencyHalfLife, latency)
+	b.latency.Add(b.now, latencyHalfLife, latency)
+}
+
+// flow is what one customer asks of one workload; each has a limit of its own on attempts in flight.
+type flow struct {
+	workload     *workload
+	demand       decay.Sum
+	inFlight     int
+	limit        float64    // of attempts in flight
+	latencyRatio decay.Mean // of latency to the workload's goal
+}
+
+type flowKey struct {
+	workload api.Workload
+	customer api.Customer
+}
+
+// flowOf gives the flow of a workload and a customer. The limit of a new one comes down from above.
+func (b *Balancer) flowOf(w *workload, customer api.Customer) *flow {
+	key := flowKey{w.name, customer}
+	f := b.flows[key]
+	if f == nil {
+		f = &flow{workload: w, limit: math.Inf(1)}
+		b.flows[key] = f
+	}
+	return f
+}
+
+// ratePerSecond gives the rate of a sum that decays with demandHalfLife, a time after it began. The sum of a constant
+// rate r tends to r x halfLife / ln 2; by now it has reached the share 1 - 2^(-now/halfLife) of that.
+func ratePerSecond(sum float64, now time.Duration) float64 {
+	seen := float64(demandHalfLife) / math.Ln2 * (1 - math.Exp2(-float64(now)/float64(demandHalfLife)))
+	return sum / max(seen, float64(time.Second)) * float64(time.Second)
+}
