--- a/internal/agent/connpool/pool.go
+++ b/internal/agent/connpool/pool.go
@@ -98,8 +98,9 @@
 	DialTimeout     time.Duration // a dial takes no longer; it is then told as failed by whoever dials
 }
 
-// DefaultConfig are bounds for appliances of one site: two connections, so that one that breaks leaves another; 64 sends, as many
-// as an appliance of some cores holds in work and queue; half a second is several times what answers take.
+// DefaultConfig are bounds for appliances of one site: two connections, so that one that breaks leaves another; 64
+// sends, as many as an appliance of some cores holds in work and queue; half a second is several times what answers
+// take.
 var DefaultConfig = Config{MaxPerBackend: 2, MaxTotal: 1 << 16, BusyThreshold: 64, ResponseTimeout: 500 * time.Millisecond, PingTimeout: 500 * time.Millisecond, IdleTimeout: 30 * time.Second,
 	Backoff: 100 * time.Millisecond, DialTimeout: 2 * time.Second}
 
@@ -161,7 +162,8 @@
 	return actions
 }
 
-// AddBackend says that an appliance may get sends. One that was retired, or is another machine under an old id, starts anew.
+// AddBackend says that an appliance may get sends. One that was retired, or is another machine under an old id, starts
+// anew.
 func (p *Pool) AddBackend(now time.Duration, id api.BackendID) []Action {
 	p.now = now
 	if target := p.backends[id]; target == nil || !target.available {
@@ -170,8 +172,8 @@
 	return p.takeActions()
 }
 
-// DrainBackend says that an appliance gets no new send: it drains, has left, or another machine has its id. Connections on
-// which nothing is out are closed at once, the others when they are empty or silent.
+// DrainBackend says that an appliance gets no new send: it drains, has left, or another machine has its id. Connections
+// on which nothing is out are closed at once, the others when they are empty or silent.
 func (p *Pool) DrainBackend(now time.Duration, id api.BackendID) []Action {
 	p.now = now
 	if target := p.backends[id]; target != nil {
@@ -218,7 +220,8 @@
 	return Reject, 0, p.takeActions()
 }
 
-// leastLoaded is the link with the fewest sends out, one that has just been asked for a sign of life only if there is no other.
+// leastLoaded is the link with the fewest sends out, one that has just been asked for a sign of life only if there is
+// no other.
 func (p *Pool) leastLoaded(target *backend) (best *conn, dialInProgress bool) {
 	for _, c := range target.conns {
 		switch {
--- a/internal/agent/connpool/pool_test.go
+++ b/internal/agent/connpool/pool_test.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// Descriptors that are scarce are taken from the connection that has rested longest, never from one that carries a send.
+// Descriptors that are scarce are taken from the connection that has rested longest, never from one that carries a
+// send.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
 	p := New(small, 1)
 	first := connectTo(p, 0, 1)
--- a/internal/agent/policy/decide_test.go
+++ b/internal/agent/policy/decide_test.go
@@ -821,7 +821,8 @@
 	}
 }
 
-// A machine that most agents' sends fail at is sick, though this agent has seen none of them: it rests and is no evidence.
+// A machine that most agents' sends fail at is sick, though this agent has seen none of them: it rests and is no
+// evidence.
 func TestUnhealthyBackendLearnedFromPeers(t *testing.T) {
 	b := newTestBalancer(0.5, nil)
 	sick, other := b.addBackend(1, 2), b.addBackend(2, 2)
@@ -838,8 +839,8 @@
 	}
 }
 
-// Three agents must find a machine sick within half a second before one tells all; what is told to all is heeded, unless
-// something has just come from there or half of all rest; a word that it is well ends the rest.
+// Three agents must find a machine sick within half a second before one tells all; what is told to all is heeded,
+// unless something has just come from there or half of all rest; a word that it is well ends the rest.
 func TestUnhealthyBackendsReported(t *testing.T) {
 	b := newTestBalancer(0.5, map[string]any{"may.tell": true, "agents": 80.0, "number": 0.0})
 	var all []*backend
@@ -994,8 +995,8 @@
 	}
 }
 
-// Discovery that is short of time turns calls away and the watch stands with nothing on it: agents ask at different moments,
-// and again until a list has come; what was remembered at the start and an empty list are none.
+// Discovery that is short of time turns calls away and the watch stands with nothing on it: agents ask at different
+// moments, and again until a list has come; what was remembered at the start and an empty list are none.
 func TestWatchRetriedUntilListArrives(t *testing.T) {
 	first := map[time.Duration]bool{}
 	for seed := range uint64(20) {
@@ -1030,8 +1031,9 @@
 	}
 }
 
-// A fleet of agents that see little would all spend their whole cap at the trial's few machines in the moment at which these
-// are listed: 80 times what one may send at once. Each follows the machines' share from the first send on, spread by chance.
+// A fleet of agents that see little would all spend their whole cap at the trial's few machines in the moment at which
+// these are listed: 80 times what one may send at once. Each follows the machines' share from the first send on, spread
+// by chance.
 func TestSparseAgentsDoNotRushTrial(t *testing.T) {
 	sent, most := 0, 0
 	for seed := range uint64(80) {
--- a/internal/agent/transaction/transaction.go
+++ b/internal/agent/transaction/transaction.go
@@ -1,68 +1,67 @@
-// Package life is the life of one transaction, whatever front took it: it is handed to the module, its orders to send
-// are carried out, and its client gets one final answer. A front says how a send is carried and how an answer is given;
-// everything else about a transaction stands here, so that no front can treat the rules its own way.
+// Package transaction runs one transaction, whichever protocol brought it: the transaction is handed to the policy, its
+// attempts are carried out, and its client gets one final answer. A Handler says how an attempt is sent and how an
+// answer is given; everything else stands here, so that no protocol can treat the rules in its own way.
 package transaction
 
 import (
 	"context"
 	"errors"
-	"strconv"
-	"strings"
-	"sync"
 	"time"
 
 	"sagelever/internal/agent/api"
 	"sagelever/internal/agent/engine"
 )
 
-// Why a send is given up: the cause of its context's end.
+// Causes of the end of an attempt's context.
 var (
-	ErrCanceled = errors.New("called off")
-	ErrTimedOut = errors.New("timed out")
+	ErrCanceled = errors.New("attempt canceled")
+	ErrTimedOut = errors.New("attempt timed out")
 )
 
-// Response is what an appliance has answered, read whole.
+// Response is what a backend has answered, read whole.
 type Response struct {
-	ContentType string // of its content, "" if not said
+	ContentType string // "" if the backend did not say
 	Body        []byte
 	Release     func() // gives back what the body holds; called once, when the body is not needed any more
 }
 
-// AttemptResult is how one send ended. Its answer, if any, is free to be used until it is freed.
+// AttemptResult is how one attempt ended. Whoever takes it releases its response.
 type AttemptResult struct {
 	Outcome  api.Outcome
-	Load     map[string]float64
-	Response *Response
+	Load     map[string]float64 // the backend's load report, nil if none came
+	Response *Response          // nil if none came
 }
 
 // State is which final answer a transaction gets.
 type State int
 
+// The final answers.
 const (
 	Succeeded        State = iota
-	Deferred               // asking again is harmless
+	Deferred               // the client may safely repeat the transaction
 	Failed                 // nothing is promised
-	DeadlineExceeded       // the module gave no answer before the client's time was up; broken off
-	ClientGone             // the client left first: nothing may look like an answer
+	DeadlineExceeded       // the policy gave no answer before the client's time was up; nothing is promised
+	ClientGone             // the client left first, and must not be sent anything that looks like an answer
 )
 
-func (s State) String() string {
-	return [...]string{"satisfied", "deferred", "broken_off", "overdue", "left"}[s]
-}
+var stateNames = [...]string{"satisfied", "deferred", "broken_off", "overdue", "left"}
+
+// String is the name of a state in the log, which docs/oncall.md describes.
+func (s State) String() string { return stateNames[s] }
 
 // Result is the one final answer.
 type Result struct {
 	State      State
-	RetryAfter time.Duration // Deferred: when to return, 0 if that is not said
-	Reason     api.Reason    // Deferred, Failed: the module's reason
-	Response   *Response     // Satisfied
+	RetryAfter time.Duration // Deferred: when the client should return, 0 if that is not said
+	Reason     api.Reason    // Deferred, Failed: the policy's reason
+	Response   *Response     // Succeeded
 }
 
-// Handler is what one front does for one transaction.
+// Handler is what one protocol does for one transaction.
 type Handler struct {
-	// Send carries out an order to send. It ends soon after off does, whose cause says why. It may be called for
-	// several sends at once, also after the final answer was given.
-	Send func(off context.Context, order api.StartAttempt) AttemptResult
+	// Send carries out an attempt. It returns soon after ctx ends, whose cause says why. It may be called for several
+	// attempts at once, also after the final answer was given.
+	Send func(ctx context.Context, action api.StartAttempt) AttemptResult
 	// Respond gives the client the final answer. It is called exactly once, unless Run returns an error.
 	Respond func(Result)
 	// ClientGone is closed when the client leaves.
@@ -71,160 +70,127 @@
 	AnswerGrace time.Duration
 }
 
-// WriteGuard stands before what is written for one send. Once its transaction has its final answer nothing passes.
-type WriteGuard struct {
-	mu     sync.Mutex
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-}
-
-// Do writes by f, unless the send has been given up.
-func (g *WriteGuard) Do(write func()) bool {
-	if g == nil { // for no transaction
-		write()
-		return true
-	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.ctx.Err() != nil {
-		return false
-	}
-	write()
-	return true
-}
-
-// close calls the send off and waits for a write that is under way, which that ends: none follows.
-func (g *WriteGuard) close() {
-	g.cancel(ErrCanceled)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-}
-
-type writeGuardKey struct{}
-
-// WriteGuardFrom is the gate of the send that a context was made for; of a context made for none, one that its end shuts.
-func WriteGuardFrom(ctx context.Context) *WriteGuard {
-	if g, ok := ctx.Value(writeGuardKey{}).(*WriteGuard); ok {
-		return g
-	}
-	return &WriteGuard{ctx: ctx}
-}
-
-// succeededAttempt is a send that has ended well, for whoever gives the answer.
+// succeededAttempt is an attempt that has succeeded, for whoever gives the answer.
 type succeededAttempt struct {
 	api.AttemptEnded
 	response *Response
 }
 
-// Run is a transaction's life, from being taken to its one final answer. An error tells that it was not taken.
+// runner runs one transaction. Its fields belong to the goroutine of Run, except for successes.
+type runner struct {
+	transaction *engine.Transaction
+	handler     Handler
+	guards      []*WriteGuard // of all attempts so far
+	successes   chan succeededAttempt
+}
+
+// Run runs a transaction from its acceptance to its one final answer. An error says that the engine did not take it.
 func Run(e *engine.Engine, accepted api.TransactionAccepted, handler Handler) error {
 	t, err := e.Begin(accepted)
 	if err != nil {
 		return err
 	}
 	defer t.Close()
-	successes := make(chan succeededAttempt)
-	// The module answers before the client's time is up. This is for when it cannot: half of what the rule allows after.
+	r := &runner{transaction: t, handler: handler, successes: make(chan succeededAttempt)}
+	// The policy answers before the client's time is up. This is for when it cannot: half of the grace after.
 	overdue := time.NewTimer(accepted.Timeout + handler.AnswerGrace/2)
 	defer overdue.Stop()
-	// Nothing more is sent once the final answer is given. The module calls off what is still out, but its word comes
-	// after the answer: a second copy that has just been ordered, or whose connection is just coming up, would go out
-	// in between. So all that is out is called off here before the answer is given.
-	// What is being written at this moment is waited for.
-	var guards []*WriteGuard
-	respond := func(result Result) {
-		for _, guard := range guards {
-			guard.close()
-		}
-		handler.Respond(result)
-	}
 	for {
 		select {
 		case <-t.Ready():
-			actions := t.Actions()
-			for i, action := range actions {
-				switch action := action.(type) {
-				case api.StartAttempt:
-					// What the module calls off, or what runs out of time, ends by this context's cause.
-					ctx, cancel := context.WithCancelCause(context.Background())
-					guard := &WriteGuard{ctx: ctx, cancel: cancel}
-					guards = append(guards, guard)
-					ctx = context.WithValue(ctx, writeGuardKey{}, guard)
-					number := t.BeginAttempt(func() { cancel(ErrCanceled) })
-					go func() {
-						defer cancel(nil)
-						runAttempt(ctx, t, number, action, handler.Send, successes)
-					}()
-				case api.DeferTransaction:
-					respond(Result{State: Deferred, RetryAfter: action.RetryAfter, Reason: action.Reason})
-					return reportUnsent(t, actions[i+1:])
-				case api.FailTransaction:
-					respond(Result{State: Failed, Reason: action.Reason})
-					return reportUnsent(t, actions[i+1:])
-				}
+			if r.carryOut(t.Actions()) {
+				return nil
 			}
-		case success := <-successes:
-			respond(Result{State: Succeeded, Response: success.response})
+		case success := <-r.successes:
+			r.respond(Result{State: Succeeded, Response: success.response})
 			success.response.Release()
 			success.TransactionDone = true
 			t.EndAttempt(success.AttemptEnded)
 			return nil
 		case <-overdue.C:
-			respond(Result{State: DeadlineExceeded})
+			r.respond(Result{State: DeadlineExceeded})
 			return nil
 		case <-handler.ClientGone:
-			respond(Result{State: ClientGone})
+			r.respond(Result{State: ClientGone})
 			return nil
 		}
 	}
 }
 
-// reportUnsent reports sends that were ordered behind the final answer: nothing more is sent then.
-func reportUnsent(t *engine.Transaction, actions []api.Action) error {
-	for _, action := range actions {
-		if action, ok := action.(api.StartAttempt); ok {
-			t.EndAttempt(api.AttemptEnded{Backend: action.Backend, Attempt: t.BeginAttempt(func() {}), Outcome: api.NotSent})
+// carryOut carries out the policy's actions, and tells whether one of them was the final answer.
+func (r *runner) carryOut(actions []api.Action) (answered bool) {
+	for i, action := range actions {
+		switch a := action.(type) {
+		case api.StartAttempt:
+			r.startAttempt(a)
+			continue
+		case api.DeferTransaction:
+			r.respond(Result{State: Deferred, RetryAfter: a.RetryAfter, Reason: a.Reason})
+		case api.FailTransaction:
+			r.respond(Result{State: Failed, Reason: a.Reason})
+		default:
+			continue
 		}
+		r.reportUnsent(actions[i+1:])
+		return true
+	}
+	return false
+}
+
+// respond gives the final answer. Nothing may be sent after that. The policy cancels what is in flight, but only once
+// it has heard of the answer, and an attempt that has just been ordered, or whose connection is just coming up, would
+// be sent in between. So all attempts are canceled here first, and what is being written at this moment is waited for.
+func (r *runner) respond(result Result) {
+	for _, guard := range r.guards {
+		guard.close()
 	}
-	return nil
+	r.handler.Respond(result)
 }
 
-// runAttempt carries one send out and reports how it ended: a good answer to whoever gives it, if there still is anybody.
-func runAttempt(ctx context.Context, t *engine.Transaction, number api.AttemptNumber, action api.StartAttempt,
-	attempt func(context.Context, api.StartAttempt) AttemptResult, successes chan<- succeededAttempt) {
+// startAttempt sends an attempt by a goroutine of its own, which ends soon after its context does. The policy's order
+// to cancel ends that context, and so does the final answer.
+func (r *runner) startAttempt(action api.StartAttempt) {
+	ctx, cancel := context.WithCancelCause(context.Background())
+	guard := &WriteGuard{ctx: ctx, cancel: cancel}
+	r.guards = append(r.guards, guard)
+	ctx = context.WithValue(ctx, writeGuardKey{}, guard)
+	number := r.transaction.BeginAttempt(func() { cancel(ErrCanceled) })
+	go func() {
+		defer cancel(nil)
+		r.runAttempt(ctx, number, action)
+	}()
+}
+
+// runAttempt sends an attempt and reports how it ended. A success goes to Run, if that still waits for one.
+func (r *runner) runAttempt(ctx context.Context, number api.AttemptNumber, action api.StartAttempt) {
 	startedAt := time.Now()
-	result := attempt(ctx, action)
-	e := api.AttemptEnded{Backend: action.Backend, Attempt: number, Outcome: result.Outcome, Elapsed: time.Since(startedAt), Load: result.Load}
+	result := r.handler.Send(ctx, action)
+	ended := api.AttemptEnded{
+		Backend: action.Backend,
+		Attempt: number,
+		Outcome: result.Outcome,
+		Elapsed: time.Since(startedAt),
+		Load:    result.Load,
+	}
 	if result.Outcome == api.Succeeded {
 		select {
-		case successes <- succeededAttempt{e, result.Response}:
+		case r.successes <- succeededAttempt{ended, result.Response}:
 			return
-		case <-t.Done():
+		case <-r.transaction.Done():
 		}
 	}
 	if result.Response != nil {
 		result.Response.Release()
 	}
-	t.EndAttempt(e)
+	r.transaction.EndAttempt(ended)
 }
 
-// maxLoadValue is beyond any figure that an appliance has reason to report.
-const maxLoadValue = 1e10
-
-// ParseLoadReport reads a load report, name=value parts set apart by commas. One with a part that cannot be read, or with a
-// figure that no machine has, is no report.
-func ParseLoadReport(text string) map[string]float64 {
-	if text == "" {
-		return nil
-	}
-	load := map[string]float64{}
-	for _, part := range strings.Split(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !(v >= 0 && v < maxLoadValue) {
-			return nil
+// reportUnsent ends the attempts that were ordered behind the final answer: nothing is sent then.
+func (r *runner) reportUnsent(actions []api.Action) {
+	for _, action := range actions {
+		if start, ok := action.(api.StartAttempt); ok {
+			number := r.transaction.BeginAttempt(func() {})
+			r.transaction.EndAttempt(api.AttemptEnded{Backend: start.Backend, Attempt: number, Outcome: api.NotSent})
 		}
-		load[name] = v
 	}
-	return load
 }
--- a/internal/agent/ws/backends.go
+++ b/internal/agent/ws/backends.go
@@ -46,10 +46,12 @@
 	subscriptions map[uint64]*Subscription
 }
 
-// fragmentSize is how much of a message is written at a time: between two a send can still be cut so that it never runs.
+// fragmentSize is how much of a message is written at a time: between two a send can still be cut so that it never
+// runs.
 const fragmentSize = 4 << 10
 
-// fragmentTimeout is how long one fragment may take to be written. An appliance that does not read holds up all its sends.
+// fragmentTimeout is how long one fragment may take to be written. An appliance that does not read holds up all its
+// sends.
 const fragmentTimeout = time.Second
 
 // NewBackendPool makes connections to appliances at a path, which end with ctx. Their pool keeps to bounds.
@@ -263,8 +265,8 @@
 	return api.ConnectionLost
 }
 
-// Subscription is what an appliance pushes after it has answered. It counts as a send that is out, so that its connection
-// is neither taken for one at rest nor believed to live without a sign of it.
+// Subscription is what an appliance pushes after it has answered. It counts as a send that is out, so that its
+// connection is neither taken for one at rest nor believed to live without a sign of it.
 type Subscription struct {
 	Done     <-chan struct{} // closed when the connection has ended
 	Draining <-chan struct{} // closed when the appliance gets nothing new: it should be asked of another
@@ -287,7 +289,8 @@
 	})
 }
 
-// Send carries one message to an appliance and waits for its answer. It is given up when off ends, whose cause says why.
+// Send carries one message to an appliance and waits for its answer. It is given up when off ends, whose cause says
+// why.
 func (p *BackendPool) Send(ctx context.Context, to api.BackendID, request BackendRequest) (BackendResponse, error) {
 	done, _, err := p.send(ctx, to, request, nil)
 	return done, err
@@ -379,8 +382,8 @@
 	}
 }
 
-// write writes a message by fragments. Until the last one has been handed on it can be cut, when it is called off or its
-// appliance gets nothing new; it then never runs, and the connection goes on carrying the others.
+// write writes a message by fragments. Until the last one has been handed on it can be cut, when it is called off or
+// its appliance gets nothing new; it then never runs, and the connection goes on carrying the others.
 func (p *BackendPool) write(ctx context.Context, c *backendConn, draining <-chan struct{}, request BackendRequest) error {
 	interrupted := func() error {
 		select {
--- a/internal/agent/ws/backends_test.go
+++ b/internal/agent/ws/backends_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Sends that wait for their turn on a connection whose appliance begins to drain are let go at once and never run, and so
-// is one that is called off while it waits.
+// Sends that wait for their turn on a connection whose appliance begins to drain are let go at once and never run, and
+// so is one that is called off while it waits.
 func TestDrainWithManyQueued(t *testing.T) {
 	var ran atomic.Int64
 	at := startBackend(t, websocket.AcceptOptions{}, answerAll(&ran))
@@ -192,8 +192,8 @@
 	}
 }
 
-// A message that is half sent when its appliance begins to drain is cut before its last fragment: it never runs, and what
-// else the connection carries gets its answer.
+// A message that is half sent when its appliance begins to drain is cut before its last fragment: it never runs, and
+// what else the connection carries gets its answer.
 func TestPartialWriteAtDrain(t *testing.T) {
 	began, goOn := make(chan struct{}), make(chan struct{})
 	var whole, short atomic.Int64
--- a/internal/agent/ws/protocol.go
+++ b/internal/agent/ws/protocol.go
@@ -18,9 +18,9 @@
 	BackendProtocol = "sagelever.appliance.v1"
 )
 
-// A message is a head, which is one JSON object on one line, and after the line's end a body, which passes unchanged. The
-// head says how many bytes the body has: a connection that ends in the midst of a message in fragments hands on what had
-// come as if that were all, and a part must pass neither for what was asked nor for an answer.
+// A message is a head, which is one JSON object on one line, and after the line's end a body, which passes unchanged.
+// The head says how many bytes the body has: a connection that ends in the midst of a message in fragments hands on
+// what had come as if that were all, and a part must pass neither for what was asked nor for an answer.
 const (
 	maxHeadSize = 4 << 10
 	MaxBodySize = 64 << 10 // as for HTTP
@@ -59,8 +59,8 @@
 	Body        []byte  `json:"-"`
 }
 
-// BackendRequest is what an appliance gets. It runs a message only if its body has Size bytes: one that was cut short before its
-// last byte never runs.
+// BackendRequest is what an appliance gets. It runs a message only if its body has Size bytes: one that was cut short
+// before its last byte never runs.
 type BackendRequest struct {
 	Type        string              `json:"type"` // run, cancel
 	Send        uint64              `json:"send"` // names this send on this connection
@@ -172,7 +172,8 @@
 	return response, nil
 }
 
-// ParseBackendRequest reads what an agent sends to an appliance. whole is false where the body was cut short: it must not run.
+// ParseBackendRequest reads what an agent sends to an appliance. whole is false where the body was cut short: it must
+// not run.
 func ParseBackendRequest(message []byte) (request BackendRequest, complete bool, err error) {
 	if request.Body, err = decodeMessage(message, &request); err != nil {
 		return request, false, err
--- a/internal/agent/ws/server.go
+++ b/internal/agent/ws/server.go
@@ -89,8 +89,8 @@
 	return int64(len(s.clients)), s.openTransactions.Load()
 }
 
-// clientConn is one client's connection. One that says nothing costs the goroutine that reads it and a timer: ten thousand of
-// them wait for pushes. A writer runs only while there is something to write.
+// clientConn is one client's connection. One that says nothing costs the goroutine that reads it and a timer: ten
+// thousand of them wait for pushes. A writer runs only while there is something to write.
 type clientConn struct {
 	server    *Server
 	ws        *websocket.Conn
@@ -127,7 +127,8 @@
 	go s.serveConn(ws, r.RemoteAddr, s.host.TrackUpgraded(r))
 }
 
-// smallBufferWriter takes a connection over with small buffers: most connections wait, and net/http's buffers are 8 KiB.
+// smallBufferWriter takes a connection over with small buffers: most connections wait, and net/http's buffers are 8
+// KiB.
 type smallBufferWriter struct{ http.ResponseWriter }
 
 const smallBufferSize = 1 << 10 // some messages of the usual size; larger ones pass through it
--- a/internal/agent/ws/server_test.go
+++ b/internal/agent/ws/server_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// A client that disappears with fifty transactions open leaves nothing behind; one that asks for too many at once is told
-// to come back, without their being taken.
+// A client that disappears with fifty transactions open leaves nothing behind; one that asks for too many at once is
+// told to come back, without their being taken.
 func TestClientDisconnects(t *testing.T) {
 	events := make(chan api.Event, 200)
 	limits := DefaultLimits
@@ -299,7 +299,8 @@
 		}
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
 		first, err := in.ReadByte()
-		// What had come of a message without an end is handed on as if it were all: it gets an error, and the connection ends.
+		// What had come of a message without an end is handed on as if it were all: it gets an error, and the connection
+		// ends.
 		if err == nil && first != 0x88 && !(first == 0x82 && name == "a message without end") {
 			t.Errorf("%s: the answer begins with %#x, no close", name, first)
 		}
--- a/internal/agent/ws/subscriptions.go
+++ b/internal/agent/ws/subscriptions.go
@@ -11,9 +11,9 @@
 	"sagelever/internal/agent/transaction"
 )
 
-// A subscription is a transaction with one final answer. What is pushed after it reaches the client in order and at most
-// once; what is missing is told as a gap. When the appliance behind it drains or dies, it is asked of another, from the
-// last number that the client has been told, and the client hears that it moved.
+// A subscription is a transaction with one final answer. What is pushed after it reaches the client in order and at
+// most once; what is missing is told as a gap. When the appliance behind it drains or dies, it is asked of another,
+// from the last number that the client has been told, and the client hears that it moved.
 
 // clientSubscription is one client's subscription.
 type clientSubscription struct {
@@ -44,8 +44,8 @@
 	return true, seq - last - 1
 }
 
-// receivePush takes what one appliance pushes. What comes from another than the present one waits, or is let go: whoever comes
-// next is asked for all after the last number told.
+// receivePush takes what one appliance pushes. What comes from another than the present one waits, or is let go:
+// whoever comes next is asked for all after the last number told.
 func (s *clientSubscription) receivePush(from *backendSubscription, response BackendResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/ws/subscriptions_test.go
+++ b/internal/agent/ws/subscriptions_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// A subscription gets one final answer and then every push once and in order, also when the appliance behind it drains or
-// dies; what is missing is told as a gap; cancelling it ends it at the appliance.
+// A subscription gets one final answer and then every push once and in order, also when the appliance behind it drains
+// or dies; what is missing is told as a gap; cancelling it ends it at the appliance.
 func TestSubscription(t *testing.T) {
 	x := &testTopic{more: make(chan struct{})}
 	afters, cancels, third := make(chan uint64, 9), make(chan uint64, 9), make(chan uint64, 9)
