--- a/httpagent/agent_test.go
+++ b/httpagent/agent_test.go
@@ -612,8 +612,8 @@
 	}
 }
 
-// A request that was read from a connection closed meanwhile, by the doors or at the end of the server, is not taken: its
-// client asks again under the same id, and both would be sent on. A held one is not closed for want of room.
+// A request that was read from a connection closed meanwhile, by the doors or at the end of the server, is not taken:
+// its client asks again under the same id, and both would be sent on. A held one is not closed for want of room.
 func TestConnectionClosedWhileReading(t *testing.T) {
 	d := clientConns{softLimit: 1, hardLimit: 1}
 	request := func(c net.Conn) *http.Request {
--- a/httpagent/backends_test.go
+++ b/httpagent/backends_test.go
@@ -351,8 +351,8 @@
 	}
 }
 
-// A send that is given up between the moment at which it had its connection and its write writes nothing: the transaction
-// has its final answer by then.
+// A send that is given up between the moment at which it had its connection and its write writes nothing: the
+// transaction has its final answer by then.
 func TestNoWriteAfterCancel(t *testing.T) {
 	came := make(chan int, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/httpagent/clientconns.go
+++ b/httpagent/clientconns.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// clientConns are the connections of clients. Clients that ask once and stay, or say nothing, must leave room for those who
-// have something to ask: where there are more than enough, those that have long been without a transaction are closed
-// when one comes, their clients open others when they need one. Where there are as many as may be, even one that has
-// just come goes, and where all hold transactions, the one that comes does.
+// clientConns are the connections of clients. Clients that ask once and stay, or say nothing, must leave room for those
+// that have something to ask. Above the soft limit, a new connection closes those that have been without a transaction
+// for minIdleAge: their clients open others when they need one. At the hard limit it closes even one that has just
+// come, and is closed itself if all connections are in use.
 type clientConns struct {
 	mu        sync.Mutex
 	softLimit int
@@ -20,108 +20,123 @@
 	conns     map[net.Conn]*clientConnState
 }
 
-// minIdleAge is how long a connection is without a transaction before it is one that has nothing to ask now: whoever
-// has just come, or has just been answered, asks sooner.
+// minIdleAge is how long a connection is without a transaction until its client counts as having nothing to ask: one
+// that has just come, or has just been answered, asks sooner.
 const minIdleAge = 250 * time.Millisecond
 
+// clientConnState is what is known of one connection.
 type clientConnState struct {
 	state http.ConnState
 	since time.Time
-	inUse bool // a transaction is held on it, or it is no HTTP connection any more
+	inUse bool // it carries a transaction, or is no HTTP connection any more
 }
 
-// connStateChanged follows the state of a connection.
-func (d *clientConns) connStateChanged(conn net.Conn, state http.ConnState) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// connStateChanged follows the state of a connection; it is http.Server's ConnState.
+func (c *clientConns) connStateChanged(conn net.Conn, state http.ConnState) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if d.conns == nil {
-			d.conns = map[net.Conn]*clientConnState{}
+		if c.conns == nil {
+			c.conns = map[net.Conn]*clientConnState{}
 		}
-		for len(d.conns) >= d.softLimit && d.closeIdlest(minIdleAge) { // all of them, so that a burst of clients leaves nothing behind
-		}
-		if len(d.conns) >= d.hardLimit && !d.closeIdlest(0) {
-			conn.Close() // every one is in use
+		c.closeIdle()
+		if len(c.conns) >= c.hardLimit && !c.closeIdlest(0) {
+			conn.Close() // all others are in use
 			return
 		}
-		d.conns[conn] = &clientConnState{state: state, since: time.Now()}
+		c.conns[conn] = &clientConnState{state: state, since: time.Now()}
 	case http.StateIdle, http.StateActive:
-		if entry := d.conns[conn]; entry != nil {
+		if entry := c.conns[conn]; entry != nil {
 			*entry = clientConnState{state: state, since: time.Now()}
 		}
 	case http.StateHijacked:
-		if entry := d.conns[conn]; entry != nil { // it has a descriptor still, until whoever has it lets it go
+		if entry := c.conns[conn]; entry != nil { // it has a descriptor until whoever took it over closes it
 			*entry = clientConnState{state: state, since: time.Now(), inUse: true}
 		}
 	default:
-		delete(d.conns, conn)
+		delete(c.conns, conn)
 	}
 }
 
-// remove tells that a connection that was taken over is closed.
-func (d *clientConns) remove(conn net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.conns, conn)
+// remove forgets a connection that was taken over and is closed.
+func (c *clientConns) remove(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.conns, conn)
+}
+
+// closeIdle closes all idle connections above the soft limit, so that a burst of clients leaves nothing behind. The
+// lock is held.
+func (c *clientConns) closeIdle() {
+	for len(c.conns) >= c.softLimit {
+		if !c.closeIdlest(minIdleAge) {
+			return
+		}
+	}
 }
 
-// closeIdlest closes the connection that has been longest without a transaction, if for some time.
-func (d *clientConns) closeIdlest(minAge time.Duration) bool {
+// closeIdlest closes the connection that has been without a transaction for longest, if that is minAge or more, and
+// tells whether there was one. The lock is held.
+func (c *clientConns) closeIdlest(minAge time.Duration) bool {
 	var idlest net.Conn
-	for conn, entry := range d.conns {
-		if !entry.inUse && (idlest == nil || entry.since.Before(d.conns[idlest].since)) {
+	for conn, entry := range c.conns {
+		if !entry.inUse && (idlest == nil || entry.since.Before(c.conns[idlest].since)) {
 			idlest = conn
 		}
 	}
-	if idlest == nil || time.Since(d.conns[idlest].since) < minAge {
+	if idlest == nil || time.Since(c.conns[idlest].since) < minAge {
 		return false
 	}
 	idlest.Close()
-	delete(d.conns, idlest)
+	delete(c.conns, idlest)
 	return true
 }
 
-// clientConnKey finds the connection in a request's context.
+// clientConnKey is the key of a connection in the context of its requests.
 type clientConnKey struct{}
 
-func (d *clientConns) connContext(ctx context.Context, conn net.Conn) context.Context {
+// connContext puts a connection into the context of its requests; it is http.Server's ConnContext.
+func (c *clientConns) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// claim tells that a request is to become a transaction, until its connection is idle again. It must not where its
-// connection was closed while it was being read: its client has seen a close without an answer and asks again, here or
-// elsewhere, under the same id, and both would be sent on.
-func (d *clientConns) claim(r *http.Request) bool {
+// claim notes that a request is to become a transaction, until its connection is idle again. It refuses if the
+// connection was closed while the request was being read: the client has seen a close without an answer and asks again,
+// here or elsewhere, under the same id, and both requests would be forwarded.
+func (c *clientConns) claim(r *http.Request) bool {
 	conn, _ := r.Context().Value(clientConnKey{}).(net.Conn)
 	if conn == nil {
-		return true // an embedder's server, which keeps no doors
+		return true // the server is an embedder's, which does not track connections
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	x := d.conns[conn]
-	if closable, ok := conn.(*closeTrackingConn); x == nil || ok && closable.closed.Load() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state := c.conns[conn]
+	tracked, ok := conn.(*closeTrackingConn)
+	if state == nil || ok && tracked.closed.Load() {
 		return false
 	}
-	x.inUse = true
+	state.inUse = true
 	return true
 }
 
-// closeTrackingConn is a client's connection that knows that it is closed: net/http closes idle ones at its end by itself, also one
-// from which a request has just been read.
+// closeTrackingConn is a client's connection that knows whether it is closed: when it shuts down, net/http closes idle
+// ones by itself, also one from which a request has just been read.
 type closeTrackingConn struct {
 	net.Conn
 	closed atomic.Bool
 }
 
-func (e *closeTrackingConn) Close() error {
-	e.closed.Store(true)
-	return e.Conn.Close()
+// Close notes that the connection is closed and closes it.
+func (c *closeTrackingConn) Close() error {
+	c.closed.Store(true)
+	return c.Conn.Close()
 }
 
-// closeTrackingListener is a listener whose connections are such.
+// closeTrackingListener is a listener whose connections are closeTrackingConns.
 type closeTrackingListener struct{ net.Listener }
 
+// Accept waits for the next connection.
 func (l closeTrackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -130,14 +145,14 @@
 	return &closeTrackingConn{Conn: conn}, nil
 }
 
-// closeUnused closes those that have never carried anything; the server closes the idle ones itself.
-func (d *clientConns) closeUnused() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for conn, entry := range d.conns {
+// closeUnused closes connections that have never carried a request; http.Server closes the idle ones itself.
+func (c *clientConns) closeUnused() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for conn, entry := range c.conns {
 		if entry.state == http.StateNew && !entry.inUse {
 			conn.Close()
-			delete(d.conns, conn)
+			delete(c.conns, conn)
 		}
 	}
 }
--- a/httpagent/counters.go
+++ b/httpagent/counters.go
@@ -9,14 +9,22 @@
 	"sagelever/internal/agent/transaction"
 )
 
-// outcomeCounters counts how transactions and sends ended, for a line in the log from time to time: over a fleet these lines,
-// added up, tell what each agent alone does not show.
+// outcomeCounters counts how transactions and attempts ended, for a line in the log every countersLogInterval. Added up
+// over a fleet, these lines tell what no agent shows alone; tools/account does it.
 type outcomeCounters struct {
 	results  [transaction.ClientGone + 1]atomic.Int64
-	reasons  [api.ReasonCount]atomic.Int64
+	reasons  [api.ReasonCount]atomic.Int64 // of transactions that were deferred or failed
 	attempts [api.InvalidRequest + 1]atomic.Int64
 }
 
+// countersLogInterval is rare enough that the log costs little, and often enough for the time line of an incident.
+const countersLogInterval = 5 * time.Second
+
+// attemptNames are the names of outcomes in the log, which docs/oncall.md describes.
+var attemptNames = [api.InvalidRequest + 1]string{
+	"ok", "fault", "rejected", "timed_out", "unreachable", "cut", "called_off", "not_sent", "spoilt", "unfit",
+}
+
 func (c *outcomeCounters) countResult(result transaction.Result) {
 	c.results[result.State].Add(1)
 	if result.State == transaction.Deferred || result.State == transaction.Failed {
@@ -24,12 +32,9 @@
 	}
 }
 
-func (c *outcomeCounters) countAttempt(o api.Outcome) { c.attempts[o].Add(1) }
+func (c *outcomeCounters) countAttempt(outcome api.Outcome) { c.attempts[outcome].Add(1) }
 
-var attemptNames = [api.InvalidRequest + 1]string{"ok", "fault", "rejected", "timed_out", "unreachable", "cut", "called_off", "not_sent",
-	"spoilt", "unfit"}
-
-// takeFields gives what has been counted since the last call, without what is 0.
+// takeFields gives what has been counted since the last call as fields of a line in the log, without those that are 0.
 func (c *outcomeCounters) takeFields(backends *backendClients) (fields []any) {
 	put := func(name string, counter *atomic.Int64) {
 		if n := counter.Swap(0); n > 0 {
@@ -50,14 +55,11 @@
 	return fields
 }
 
-// countersLogInterval is seldom against what the log costs, and often against an incident.
-const countersLogInterval = 5 * time.Second
-
-// logCounters leaves a line on what was counted, where anything was.
+// logCounters logs what was counted, where anything was, until the context ends.
 func (a *Agent) logCounters(ctx context.Context) {
 	for sleep(ctx, countersLogInterval) {
-		if line := a.counters.takeFields(a.backends); line != nil {
-			a.log.Info("account", append(line, "open_links", a.backends.openConns.Load())...)
+		if fields := a.counters.takeFields(a.backends); fields != nil {
+			a.log.Info("account", append(fields, "open_links", a.backends.openConns.Load())...)
 		}
 	}
 }
--- a/httpagent/endpoints.go
+++ b/httpagent/endpoints.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// controlEndpoints is where discovery and the platform are now; both may move while the agent runs.
+// controlEndpoints are the present addresses of discovery and the platform; both may change while the agent runs.
 type controlEndpoints struct {
 	mu                          sync.Mutex
 	current                     endpointAddresses
-	watchChanged, streamChanged chan struct{} // the word that they have moved
+	watchChanged, streamChanged chan struct{} // signal that an address has changed
 }
 
 type endpointAddresses struct{ discovery, platform string }
@@ -21,22 +21,13 @@
 func (m *controlEndpoints) platform() string  { return m.load().platform }
 
 // Reload takes up the addresses of discovery and the platform from a station that has been checked. The watch and the
-// stream are opened at the new ones at once, beside the old until they speak; votes go there from now on. What was
-// taken and what was told stays. All else in the station holds from the next start on.
+// stream are opened at the new addresses at once, beside the old ones until they have received something; votes go to
+// the new address from now on. All else in the station takes effect at the next start.
 func (a *Agent) Reload(station *Station) {
 	a.endpoints.mu.Lock()
 	a.endpoints.current = endpointAddresses{station.Discovery, station.Platform.Address}
 	a.endpoints.mu.Unlock()
-	for _, signal := range []chan struct{}{a.endpoints.watchChanged, a.endpoints.streamChanged} {
-		notify(signal)
-	}
+	notify(a.endpoints.watchChanged)
+	notify(a.endpoints.streamChanged)
 	a.log.Info("reloaded", "discovery", station.Discovery, "platform", station.Platform.Address)
 }
-
-// notify leaves word on a channel that holds one; one that has not been heeded yet will do.
-func notify(signal chan<- struct{}) {
-	select {
-	case signal <- struct{}{}:
-	default:
-	}
-}
--- a/httpagent/frontend.go
+++ b/httpagent/frontend.go
@@ -10,16 +10,17 @@
 	"sagelever/match"
 )
 
-// What another front of the same agent needs: its requests by path, the list, the engine, and the account of connections.
+// This file has what another protocol on the same agent needs, such as package ws: requests by path, the list of
+// backends, the engine, and the account of connections.
 
-// BackendEndpoint is where an appliance is.
+// BackendEndpoint is where a backend is.
 type BackendEndpoint struct {
 	ID        api.BackendID
 	Address   string
-	Available bool // it may get sends
+	Available bool // it may get attempts
 }
 
-// Mount hands requests for a path to another front. Call it before Run.
+// Mount hands the requests for a path to a handler. It is called before Run.
 func (a *Agent) Mount(path string, h http.Handler) {
 	if a.mounts == nil {
 		a.mounts = map[string]http.Handler{}
@@ -27,18 +28,19 @@
 	a.mounts[path] = h
 }
 
-// OnBackends has each list told as it comes, before the module hears of it. Call it before Run; f returns at once.
+// OnBackends has f called with each change of the list, before the policy hears of it. It is called before Run; f
+// returns at once.
 func (a *Agent) OnBackends(f func([]BackendEndpoint)) { a.onBackends = f }
 
-// announceBackends tells other fronts of a list: the lines that it names, and what a whole list has left out. What runs anew, or
-// another build under an old id, is told as gone first: it is another machine.
-func (a *Agent) announceBackends(l *backendList) {
+// announceBackends announces the entries of a list, and those that a snapshot has left out as gone. A backend that has
+// restarted, or has another build under an old id, is another one and is announced as gone first.
+func (a *Agent) announceBackends(list *backendList) {
 	if a.onBackends == nil {
 		return
 	}
 	var changes []BackendEndpoint
 	named := map[api.BackendID]bool{}
-	for _, entry := range l.update.Backends {
+	for _, entry := range list.update.Backends {
 		named[entry.ID] = true
 		old, known := a.announced[entry.ID]
 		if known && (entry.State != api.StateUp || old.Build != entry.Build || old.Started != entry.Started) {
@@ -46,14 +48,16 @@
 			delete(a.announced, entry.ID)
 		}
 		if entry.State == api.StateUp {
-			changes = append(changes, BackendEndpoint{entry.ID, l.addresses[entry.ID], true})
+			changes = append(changes, BackendEndpoint{entry.ID, list.addresses[entry.ID], true})
 			a.announced[entry.ID] = entry
 		}
 	}
-	for id := range a.announced {
-		if l.update.Kind != api.UpdateIncremental && !named[id] {
-			changes = append(changes, BackendEndpoint{ID: id})
-			delete(a.announced, id)
+	if list.update.Kind != api.UpdateIncremental {
+		for id := range a.announced {
+			if !named[id] {
+				changes = append(changes, BackendEndpoint{ID: id})
+				delete(a.announced, id)
+			}
 		}
 	}
 	a.onBackends(changes)
@@ -70,10 +74,10 @@
 	return nil
 }
 
-// Deployment is what rules have to fit.
+// Deployment is what the operator's rules have to fit.
 func (a *Agent) Deployment() match.Deployment { return a.deployment }
 
-// Timeouts is when a workload's clients give up, and the longest that anybody waits here.
+// Timeouts gives how long a workload's clients wait, and the longest that any client may.
 func (a *Agent) Timeouts(workload string) (timeout, maximum time.Duration) {
 	return setting(a.station, "workload."+workload+".abandon", time.Second), a.longestTimeout()
 }
@@ -83,8 +87,8 @@
 	return setting(a.station, "answer.slack", time.Duration(0))
 }
 
-// TrackUpgraded counts a connection that has been taken over until it is released: among the clients' connections, and
-// among what the agent's end waits for.
+// TrackUpgraded counts the connection of a request, which has been taken over, until it is released: among the clients'
+// connections, and among what Run waits for in the end.
 func (a *Agent) TrackUpgraded(r *http.Request) (release func()) {
 	conn, _ := r.Context().Value(clientConnKey{}).(net.Conn)
 	a.upgraded.Add(1)
--- a/httpagent/peers.go
+++ b/httpagent/peers.go
@@ -10,9 +10,13 @@
 	"sagelever/internal/agent/api"
 )
 
-const maxMessageSize = 256 // bytes that a message between agents may have
+const (
+	maxMessageSize   = 256 // bytes of a message between agents
+	peerQueueSize    = 64  // messages that wait to be sent
+	receiveBufferLen = 2 * maxMessageSize
+)
 
-// peerSocket is the datagram side of an agent.
+// peerSocket exchanges datagrams with the other agents. Like any datagram a message may be lost.
 type peerSocket struct {
 	socket   *net.UDPConn
 	numbers  map[netip.AddrPort]api.PeerNumber
@@ -27,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peerSocket{numbers: map[netip.AddrPort]api.PeerNumber{}, outgoing: make(chan api.SendMessage, 64), log: log}
+	p := &peerSocket{numbers: map[netip.AddrPort]api.PeerNumber{}, outgoing: make(chan api.SendMessage, peerQueueSize), log: log}
 	for i, address := range station.Peers {
 		other, err := netip.ParseAddrPort(address)
 		if err != nil {
@@ -45,7 +49,7 @@
 	return p, err
 }
 
-// enqueue queues a message; like any datagram it may be lost, so a full queue drops it.
+// enqueue queues a message to be sent. If the queue is full the message is dropped.
 func (p *peerSocket) enqueue(message api.SendMessage) {
 	select {
 	case p.outgoing <- message:
@@ -53,31 +57,40 @@
 	}
 }
 
-// sendLoop writes what is queued.
+// sendLoop sends what is queued until the context ends.
 func (p *peerSocket) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case message := <-p.outgoing:
-			if message.All && !p.all.IsValid() { // there is no address for all: one after the other
-				for _, other := range p.others {
-					p.write(message.Data, other)
-				}
-				continue
-			}
-			to := p.all
-			if !message.All {
-				if int(message.To) < 0 || int(message.To) >= len(p.others) {
-					continue
-				}
-				to = p.others[message.To]
+			for _, to := range p.receivers(message) {
+				p.write(message.Data, to)
 			}
-			p.write(message.Data, to)
 		}
 	}
 }
 
+// receivers are the addresses that a message goes to. Without an address for all, a message to all goes to one after
+// the other.
+func (p *peerSocket) receivers(message api.SendMessage) []netip.AddrPort {
+	to := int(message.To)
+	switch {
+	case message.All && p.all.IsValid():
+		return []netip.AddrPort{p.all}
+	case message.All:
+		return p.others
+	case to < 0 || to >= len(p.others):
+		return nil
+	}
+	return p.others[to : to+1]
+}
+
+// close ends receiveLoop.
+func (p *peerSocket) close() {
+	_ = p.socket.Close() // nothing is to be sent any more
+}
+
 func (p *peerSocket) write(data []byte, to netip.AddrPort) {
 	if len(data) > maxMessageSize {
 		p.log.Warn("message_dropped", "bytes", len(data), "to", to)
@@ -88,9 +101,9 @@
 	}
 }
 
-// receiveLoop reads messages until the socket is closed. One that is too long or from nobody known is dropped.
+// receiveLoop delivers messages until the socket is closed. One that is too long, or from nobody known, is dropped.
 func (p *peerSocket) receiveLoop(deliver func(api.Event)) {
-	buffer := make([]byte, 2*maxMessageSize)
+	buffer := make([]byte, receiveBufferLen)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
--- a/httpagent/ratelimit.go
+++ b/httpagent/ratelimit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// rateLimitedLog lets a kind of line into the log once a second and counts the others, so that a flood of what causes it
-// costs little.
+// rateLimitedLog logs one line a second of a kind and counts the others, so that a flood of what causes it costs
+// little.
 type rateLimitedLog struct {
 	logger     *slog.Logger
 	mu         sync.Mutex
 	lastLine   time.Time
-	suppressed int // over since the last line
+	suppressed int // lines since the last one that was logged
 }
 
 func (r *rateLimitedLog) warn(event string, fields ...any) {
--- a/httpagent/rules.go
+++ b/httpagent/rules.go
@@ -18,6 +18,7 @@
 	effect string // of the workload that the path names, "" if it names none
 }
 
+// Text is the method, the path as it was written, or the client's address.
 func (r ruleSubject) Text(name string) string {
 	switch name {
 	case "method":
@@ -31,17 +32,19 @@
 	return ""
 }
 
+// Segments are the segments of the path as it was written.
 func (r ruleSubject) Segments() []string {
 	return strings.Split(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 }
 
+// Table is the headers, the query or the cookies.
 func (r ruleSubject) Table(name string) match.Table {
 	switch name {
 	case "header":
 		return match.Table{Of: r.Header, Fold: true}
 	case "query":
 		values, err := url.ParseQuery(r.URL.RawQuery)
-		if err != nil { // what cannot be read whole might be read otherwise by an appliance
+		if err != nil { // a backend might read it otherwise
 			return match.Table{}
 		}
 		return match.Table{Of: values}
@@ -55,15 +58,18 @@
 	return match.Table{}
 }
 
-func (r ruleSubject) Size() int64         { return r.ContentLength }
+// Size is the length of the body in bytes.
+func (r ruleSubject) Size() int64 { return r.ContentLength }
+
+// Hint is the client's estimate of the work, 0 if it gave none.
 func (r ruleSubject) Hint() time.Duration { return r.hint }
 
-// Sent is how repeatable a request is as it was sent.
+// Sent is how repeatable the request is as it was sent.
 func (r ruleSubject) Sent() match.Repeatable {
 	return match.SentAs(r.Method, r.ContentLength != 0, r.Header.Get("Idempotency-Key") != "", r.effect)
 }
 
-// Deployment is what rules for this station have to fit.
+// Deployment is what the operator's rules for this station have to fit.
 func (s *Station) Deployment() match.Deployment {
 	d := match.Deployment{Effects: map[string]string{}, Customers: setting(s, "customers", []string(nil))}
 	for _, w := range setting(s, "workloads", []string(nil)) {
@@ -72,14 +78,13 @@
 	return d
 }
 
-// Subject is a request as the rules of this station's agent see it.
+// Subject is a request as the operator's rules see it.
 func (s *Station) Subject(r *http.Request) match.Subject {
-	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	hint, _ := parseWorkHint(r.Header.Get("Work-Hint"))
-	return ruleSubject{r, hint, setting(s, "workload."+name+".effect", "")}
+	return ruleSubject{r, hint, setting(s, "workload."+pathWorkload(r)+".effect", "")}
 }
 
-// SetRules takes up other rules, nil for none. What was taken goes on as it was judged.
+// SetRules takes up other rules, nil for none. Transactions that were accepted before go on as they were judged.
 func (a *Agent) SetRules(rules match.Judge) {
 	a.setRules(rules)
 	a.log.Info("rules", "on", rules != nil)
@@ -93,8 +98,8 @@
 	}
 }
 
-// applyRules lets the operator's rules say what a request is, and gives its workload: that of the path where no rule says
-// another.
+// applyRules lets the operator's rules judge a request, whose path names a workload with an effect. It returns the
+// workload that they decide on, else that of the path.
 func (a *Agent) applyRules(r *http.Request, request *clientRequest, byPath, effect string) (workload string, err error) {
 	rules := a.rules.Load()
 	if rules == nil {
--- a/httpagent/rules_test.go
+++ b/httpagent/rules_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Rules decide what the module is told of a request; where none matches the protocol's own words hold. What they refuse,
-// or what does not fit the workload that they name, never becomes a transaction.
+// Rules decide what the module is told of a request; where none matches the protocol's own words hold. What they
+// refuse, or what does not fit the workload that they name, never becomes a transaction.
 func TestRules(t *testing.T) {
 	s := newTestStation(t, listBody(1, true))
 	s.Rules = compileRules(t, s,
--- a/httpagent/server.go
+++ b/httpagent/server.go
@@ -9,22 +9,24 @@
 	"time"
 )
 
-// drainDelay is how long clients may still come after the word to stop: the front needs some tenths of a second
-// to learn of it.
-const drainDelay = 700 * time.Millisecond
-
-// A client that says nothing, or never ends its head, is gone after headerReadTimeout: no client that has something to ask
-// takes as long. One between two requests is let go after clientIdleTimeout, as some ask once and keep their connection for good.
 const (
+	// drainDelay is how long clients may still come once the agent has been told to stop: whoever sends them here needs
+	// some tenths of a second to learn of it.
+	drainDelay = 700 * time.Millisecond
+
+	// headerReadTimeout ends a client that says nothing, or never ends its headers: no client that has something to ask
+	// takes as long.
 	headerReadTimeout = 2 * time.Second
+
+	// clientIdleTimeout ends a connection between two requests, as some clients ask once and keep it for good.
 	clientIdleTimeout = 2 * time.Second
-)
 
-// maxHeaderSize is some times what the protocol's heads need; net/http allows for as much again.
-const maxHeaderSize = 4 << 10
+	// maxHeaderSize is some times what the protocol's headers need; net/http allows for as much again.
+	maxHeaderSize = 4 << 10
+)
 
-// serve answers clients until the context ends, goes on for the lingering time with answers that close their
-// connections, and then finishes what it holds.
+// serve answers clients until the context ends, goes on for drainDelay with answers that close their connections, and
+// then waits until what is open is finished.
 func (a *Agent) serve(ctx context.Context, listener net.Listener) error {
 	server := a.newServer()
 	failed := make(chan error, 1)
@@ -38,44 +40,64 @@
 	close(a.stopped)
 	a.log.Info("leaving", "held", a.openTransactions.Load())
 	time.Sleep(drainDelay)
-	drainCtx, cancel := context.WithTimeout(context.Background(), a.longestTimeout())
-	defer cancel()
 	listener.Close()
 	a.clientConns.closeUnused()
-	err := server.Shutdown(drainCtx)
+	err := a.waitUntilDrained(server)
+	a.log.Info("left", "held", a.openTransactions.Load(), "unfinished", err != nil)
+	return nil
+}
+
+// waitUntilDrained shuts the server down and waits for its requests and for connections that other protocols have taken
+// over, for as long as the longest transaction may take.
+func (a *Agent) waitUntilDrained(server *http.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), a.longestTimeout())
+	defer cancel()
+	err := server.Shutdown(ctx)
 	upgradedDone := make(chan struct{})
-	go func() { a.upgraded.Wait(); close(upgradedDone) }()
+	go func() {
+		defer close(upgradedDone)
+		a.upgraded.Wait()
+	}()
 	select {
 	case <-upgradedDone:
-	case <-drainCtx.Done():
-		err = drainCtx.Err()
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
 	}
-	a.log.Info("left", "held", a.openTransactions.Load(), "unfinished", err != nil)
-	return nil
 }
 
-// newServer is net/http's, bounded against clients that send what is no request. It has no ReadTimeout: that counts from
-// the last answer or the connection's start, and where it runs out under a transaction it passes for a client that
-// has left. Its own answer to OPTIONS * would pass for one of ours.
+// newServer bounds net/http's server against clients that send what is no request. It sets no ReadTimeout: that counts
+// from the last response or the connection's start, and a client would seem to have left where it ran out during a
+// transaction. net/http's own answer to OPTIONS * would pass for one of the agent's.
 func (a *Agent) newServer() *http.Server {
-	return &http.Server{Handler: a, ReadHeaderTimeout: headerReadTimeout, WriteTimeout: headerReadTimeout + a.longestTimeout(), IdleTimeout: clientIdleTimeout,
-		MaxHeaderBytes: maxHeaderSize, DisableGeneralOptionsHandler: true, ConnState: a.clientConns.connStateChanged, ConnContext: a.clientConns.connContext,
-		ErrorLog: log.New(serverErrorLog{&a.badRequestLog}, "", 0)}
+	return &http.Server{
+		Handler:                      a,
+		ReadHeaderTimeout:            headerReadTimeout,
+		WriteTimeout:                 headerReadTimeout + a.longestTimeout(),
+		IdleTimeout:                  clientIdleTimeout,
+		MaxHeaderBytes:               maxHeaderSize,
+		DisableGeneralOptionsHandler: true,
+		ConnState:                    a.clientConns.connStateChanged,
+		ConnContext:                  a.clientConns.connContext,
+		ErrorLog:                     log.New(serverErrorLog{&a.badRequestLog}, "", 0),
+	}
 }
 
-// serverErrorLog is net/http's way into the log.
-type serverErrorLog struct{ *rateLimitedLog }
+// serverErrorLog takes the lines that net/http logs.
+type serverErrorLog struct{ log *rateLimitedLog }
 
-func (r serverErrorLog) Write(line []byte) (int, error) {
-	r.warn("http", "text", string(bytes.TrimSpace(line)))
+// Write logs one line.
+func (l serverErrorLog) Write(line []byte) (int, error) {
+	l.log.warn("http", "text", string(bytes.TrimSpace(line)))
 	return len(line), nil
 }
 
-// longestTimeout is the longest that anything held can take: the longest abandon time.
+// longestTimeout is the longest that any transaction can take: the longest time-out of a workload, and a second at
+// least.
 func (a *Agent) longestTimeout() time.Duration {
 	longest := time.Second
-	for _, w := range setting(a.station, "workloads", []string(nil)) {
-		longest = max(longest, setting(a.station, "workload."+w+".abandon", time.Duration(0)))
+	for _, workload := range setting(a.station, "workloads", []string(nil)) {
+		longest = max(longest, setting(a.station, "workload."+workload+".abandon", time.Duration(0)))
 	}
 	return longest
 }
