--- /dev/null
+++ b/internal/agent/ws/backendconn.go
@@ -0,0 +1,122 @@
+package ws
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/coder/websocket"
+
+	"sagelever/internal/agent/connpool"
+)
+
+// pingLimit is beyond the time after which the manager gives a connection up that does not answer a ping.
+const pingLimit = 10 * time.Second
+
+var errWrongProtocol = errors.New("the backend does not speak " + BackendProtocol)
+
+// backendConn is one connection to a backend.
+type backendConn struct {
+	id        connpool.ConnID
+	socket    *websocket.Conn // nil until it has come up
+	writeTurn chan struct{}   // holds a value while a message is being written
+	cancel    context.CancelFunc
+	closed    chan struct{} // closed when the connection is of no use any more
+
+	mu            sync.Mutex // guards the following
+	lastSend      uint64
+	waiting       map[uint64]chan BackendResponse // for the response to each request
+	subscriptions map[uint64]*Subscription
+}
+
+func newBackendConn(id connpool.ConnID, cancel context.CancelFunc) *backendConn {
+	return &backendConn{
+		id:            id,
+		cancel:        cancel,
+		writeTurn:     make(chan struct{}, 1),
+		closed:        make(chan struct{}),
+		waiting:       map[uint64]chan BackendResponse{},
+		subscriptions: map[uint64]*Subscription{},
+	}
+}
+
+// serveConn opens a connection and reads it until it ends.
+func (p *BackendPool) serveConn(ctx context.Context, c *backendConn, address string) {
+	defer c.cancel()
+	defer close(c.closed)
+	defer p.signalChange()
+	socket, err := p.dial(ctx, address)
+	if err != nil {
+		p.connFailed(c)
+		return
+	}
+	defer closeNow(socket)
+	socket.SetReadLimit(maxHeadSize + maxResponseSize)
+	p.mu.Lock()
+	c.socket = socket
+	p.execute(p.manager.Opened(p.now(), c.id))
+	p.mu.Unlock()
+	p.signalChange()
+	for {
+		_, message, err := socket.Read(ctx)
+		if err != nil {
+			p.connFailed(c)
+			return
+		}
+		p.notifyManager(c, (*connpool.Pool).Received)
+		response, err := parseBackendResponse(message)
+		if err != nil { // it belongs to no request: all of them may have run
+			p.log.Warn("spoilt_message", "address", address, "error", err)
+			p.connFailed(c)
+			return
+		}
+		c.deliver(response)
+	}
+}
+
+// dial opens a connection to a backend that speaks the protocol.
+func (p *BackendPool) dial(ctx context.Context, address string) (*websocket.Conn, error) {
+	ctx, stop := context.WithTimeout(ctx, p.dialTimeout)
+	defer stop()
+	socket, _, err := websocket.Dial(ctx, "ws://"+address+p.path, &websocket.DialOptions{
+		Subprotocols:    []string{BackendProtocol},
+		CompressionMode: websocket.CompressionDisabled,
+		HTTPClient:      &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+	})
+	if err != nil {
+		return nil, err
+	}
+	if socket.Subprotocol() != BackendProtocol {
+		closeNow(socket)
+		return nil, errWrongProtocol
+	}
+	return socket, nil
+}
+
+// deliver hands a response or a push to whoever waits for it.
+func (c *backendConn) deliver(response BackendResponse) {
+	c.mu.Lock()
+	waiting := c.waiting[response.Send]
+	subscription := c.subscriptions[response.Send]
+	if response.Type == typeDone {
+		delete(c.waiting, response.Send)
+	}
+	c.mu.Unlock()
+	switch {
+	case response.Type == typePush && subscription != nil:
+		subscription.push(response)
+	case response.Type == typeDone && waiting != nil:
+		waiting <- response
+	}
+}
+
+// ping pings a backend and tells the manager if it answers.
+func (p *BackendPool) ping(c *backendConn) {
+	ctx, cancel := context.WithTimeout(p.ctx, pingLimit)
+	defer cancel()
+	if c.socket.Ping(ctx) == nil {
+		p.notifyManager(c, (*connpool.Pool).Received)
+	}
+}
--- a/internal/agent/ws/subscriptions.go
+++ b/internal/agent/ws/subscriptions.go
@@ -12,136 +12,210 @@
 )
 
 // A subscription is a transaction with one final answer. What is pushed after it reaches the client in order and at
-// most once; what is missing is told as a gap. When the appliance behind it drains or dies, it is asked of another,
-// from the last number that the client has been told, and the client hears that it moved.
+// most once; what is missing is told as a gap. When the backend behind it drains or dies, another one is asked, from
+// the last number that the client has received, and the client is told that the subscription has moved.
+
+const (
+	// maxBuffered bounds the pushes kept until the final answer has been sent; what is beyond it becomes a gap.
+	maxBuffered = 64
+
+	// maxMoves bounds how often in a row another backend is asked until the client is told that its subscription has
+	// ended; it may subscribe again when it likes.
+	maxMoves = 5
+
+	// moveDelay bounds the random delay before a first move; it doubles with each further one. All subscriptions of a
+	// backend move at once.
+	moveDelay = 50 * time.Millisecond
+
+	// endedRetryMS is when a client whose subscription has ended should return.
+	endedRetryMS = 1000
+)
 
 // clientSubscription is one client's subscription.
 type clientSubscription struct {
 	conn    *clientConn
 	request ClientRequest
-	mu      sync.Mutex
-	lastSeq uint64               // the number that the client was told last
-	current *backendSubscription // whose pushes go out, nil while none do
+
+	mu      sync.Mutex           // guards the following
+	lastSeq uint64               // the last number that the client was sent
+	current *backendSubscription // whose pushes are forwarded, nil if there is none
 }
 
-// backendSubscription is one appliance's side of a feed: what it pushes before the client has its final answer is kept.
+// backendSubscription is the side of a subscription at one backend. What is pushed before the client has its final
+// answer is buffered.
 type backendSubscription struct {
 	subscription *Subscription
 	buffered     []BackendResponse
 }
 
-// maxBuffered bounds what is kept until the final answer has gone out; what is beyond it becomes a gap.
-const maxBuffered = 64
-
-// sequenceStep is what to do with a push: nothing, pass it on, or tell a gap first.
-func sequenceStep(last, seq uint64) (pass bool, gap uint64) {
+// sequenceStep tells whether a push is to be forwarded, and how many are missing before it.
+func sequenceStep(last, seq uint64) (forward bool, missing uint64) {
 	switch {
-	case seq <= last:
-		return false, 0 // had already, from the appliance before
-	case last == 0:
-		return true, 0 // the first, where the client had none
+	case seq <= last: // the backend before has pushed it already
+		return false, 0
+	case last == 0: // the first one, of a client that had none
+		return true, 0
 	}
 	return true, seq - last - 1
 }
 
-// receivePush takes what one appliance pushes. What comes from another than the present one waits, or is let go:
-// whoever comes next is asked for all after the last number told.
-func (s *clientSubscription) receivePush(from *backendSubscription, response BackendResponse) {
+// receivePush takes what one backend pushes. What comes from another than the present one is buffered, or dropped: the
+// next backend is asked for all that follows the last number sent.
+func (s *clientSubscription) receivePush(from *backendSubscription, push BackendResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current == from {
-		s.forward(response)
+		s.forward(push)
 	} else if len(from.buffered) < maxBuffered {
-		from.buffered = append(from.buffered, response)
+		from.buffered = append(from.buffered, push)
 	}
 }
 
-// forward tells a client of a push, after what is missing before it. The lock is held.
-func (s *clientSubscription) forward(response BackendResponse) {
-	pass, gap := sequenceStep(s.lastSeq, response.Seq)
-	if !pass {
+// forward sends a push to the client, after a message on what is missing before it. The lock is held.
+func (s *clientSubscription) forward(push BackendResponse) {
+	forward, missing := sequenceStep(s.lastSeq, push.Seq)
+	if !forward {
 		return
 	}
-	if gap > 0 {
-		s.conn.enqueue(ClientMessage{Type: "gap", ID: s.request.ID, Topic: s.request.Topic, Seq: s.lastSeq + 1, Last: response.Seq - 1})
+	if missing > 0 {
+		s.send(ClientMessage{Type: typeGap, Seq: s.lastSeq + 1, Last: push.Seq - 1})
 	}
-	s.lastSeq = response.Seq
-	s.conn.enqueue(ClientMessage{Type: "push", ID: s.request.ID, Topic: s.request.Topic, Seq: response.Seq, ContentType: response.ContentType, Body: response.Body})
+	s.lastSeq = push.Seq
+	s.send(ClientMessage{Type: typePush, Seq: push.Seq, ContentType: push.ContentType, Body: push.Body})
 }
 
-// open asks an appliance for the subscription, as a transaction, and gives its final answer.
-func (s *clientSubscription) open(clientGone context.Context, accepted api.TransactionAccepted, respond func(transaction.Result)) (*Subscription, error) {
-	server := s.conn.server
-	s.mu.Lock()
-	s.current = nil
-	after := s.lastSeq
-	s.mu.Unlock()
-	var mu sync.Mutex
-	from := map[*transaction.Response]*backendSubscription{}
-	var chosen *backendSubscription
-	deadline := time.Now().Add(accepted.Timeout)
-	runAttempt := func(ctx context.Context, action api.StartAttempt) transaction.AttemptResult {
-		remaining := time.Until(deadline)
-		ctx, cancel := context.WithTimeoutCause(ctx, remaining, transaction.ErrTimedOut)
-		defer cancel()
-		src := &backendSubscription{}
-		response, subscription, err := server.backends.Subscribe(ctx, action.Backend, BackendRequest{ID: string(accepted.ID), Method: s.request.Method, Path: s.request.Path,
-			Key: s.request.Key, Header: s.request.Header, LeftUS: max(remaining.Microseconds(), 1), Topic: s.request.Topic, After: after},
-			func(push BackendResponse) { s.receivePush(src, push) })
-		result := transaction.AttemptResult{Outcome: OutcomeOf(response, err)}
-		if err != nil {
-			return result
-		}
-		if result.Load = transaction.ParseLoadReport(response.Load); result.Outcome != api.Succeeded {
-			subscription.Close()
-			return result
-		}
-		src.subscription = subscription
-		result.Response = &transaction.Response{ContentType: response.ContentType, Body: response.Body, Release: func() {
-			mu.Lock()
-			defer mu.Unlock()
-			if chosen != src { // a second copy, or nobody waits any more
-				subscription.Close()
-			}
-		}}
-		mu.Lock()
-		from[result.Response] = src
-		mu.Unlock()
-		return result
+// send sends a message on the subscription to the client.
+func (s *clientSubscription) send(message ClientMessage) {
+	message.ID = s.request.ID
+	message.Topic = s.request.Topic
+	s.conn.enqueue(message)
+}
+
+// opening is one transaction that asks for a subscription.
+type opening struct {
+	subscription *clientSubscription
+	accepted     api.TransactionAccepted
+	after        uint64 // the last number that the client was sent
+	deadline     time.Time
+
+	mu         sync.Mutex // guards the following
+	byResponse map[*transaction.Response]*backendSubscription
+	chosen     *backendSubscription // whose response is the final answer, nil if there is none
+}
+
+// open asks backends for the subscription, as a transaction, and gives its final answer to respond. It returns nil if
+// no backend has agreed.
+func (s *clientSubscription) open(
+	ctx context.Context, accepted api.TransactionAccepted, respond func(transaction.Result),
+) (*Subscription, error) {
+	host := s.conn.server.host
+	o := &opening{
+		subscription: s,
+		accepted:     accepted,
+		after:        s.pause(),
+		deadline:     time.Now().Add(accepted.Timeout),
+		byResponse:   map[*transaction.Response]*backendSubscription{},
 	}
-	err := transaction.Run(server.host.Engine(), accepted, transaction.Handler{Send: runAttempt, ClientGone: clientGone.Done(), AnswerGrace: server.host.AnswerGrace(),
-		Respond: func(final transaction.Result) {
-			if final.State == transaction.Succeeded {
-				mu.Lock()
-				chosen = from[final.Response]
-				mu.Unlock()
-			}
-			respond(final)
-		}})
-	if err != nil || chosen == nil {
+	err := transaction.Run(host.Engine(), accepted, transaction.Handler{
+		Send:        o.runAttempt,
+		ClientGone:  ctx.Done(),
+		AnswerGrace: host.AnswerGrace(),
+		Respond: func(result transaction.Result) {
+			o.choose(result)
+			respond(result)
+		},
+	})
+	if err != nil || o.chosen == nil {
 		return nil, err
 	}
+	s.resume(o.chosen)
+	return o.chosen.subscription, nil
+}
+
+// pause ends the forwarding of pushes, and gives the last number that the client was sent.
+func (s *clientSubscription) pause() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.current = chosen
-	for _, push := range chosen.buffered {
+	s.current = nil
+	return s.lastSeq
+}
+
+// resume forwards the pushes of a backend, first the buffered ones.
+func (s *clientSubscription) resume(from *backendSubscription) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.current = from
+	for _, push := range from.buffered {
 		s.forward(push)
 	}
-	chosen.buffered = nil
-	return chosen.subscription, nil
+	from.buffered = nil
 }
 
-// maxMoves bounds how often in a row a subscription is asked of another appliance before its client is told that it has
-// ended; the client then asks again when it likes.
-const maxMoves = 5
+// runAttempt asks one backend.
+func (o *opening) runAttempt(ctx context.Context, action api.StartAttempt) transaction.AttemptResult {
+	remaining := time.Until(o.deadline)
+	ctx, cancel := context.WithTimeoutCause(ctx, remaining, transaction.ErrTimedOut)
+	defer cancel()
+	source := &backendSubscription{}
+	request := o.subscription.request
+	response, subscription, err := o.subscription.conn.server.backends.Subscribe(ctx, action.Backend, BackendRequest{
+		ID:     string(o.accepted.ID),
+		Method: request.Method,
+		Path:   request.Path,
+		Key:    request.Key,
+		Header: request.Header,
+		LeftUS: max(remaining.Microseconds(), 1),
+		Topic:  request.Topic,
+		After:  o.after,
+	}, func(push BackendResponse) { o.subscription.receivePush(source, push) })
+	result := transaction.AttemptResult{Outcome: OutcomeOf(response, err)}
+	if err != nil {
+		return result
+	}
+	result.Load = transaction.ParseLoadReport(response.Load)
+	if result.Outcome != api.Succeeded {
+		subscription.Close()
+		return result
+	}
+	source.subscription = subscription
+	result.Response = &transaction.Response{
+		ContentType: response.ContentType,
+		Body:        response.Body,
+		Release:     func() { o.release(source) },
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.byResponse[result.Response] = source
+	return result
+}
+
+// choose notes which backend's response is the final answer.
+func (o *opening) choose(result transaction.Result) {
+	if result.State != transaction.Succeeded {
+		return
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.chosen = o.byResponse[result.Response]
+}
 
-// subscribe is a subscription's life: its transaction, and then its pushes and moves until the client ends it or the
-// agent leaves.
+// release ends the subscription at a backend that is not the chosen one: a hedged attempt, or one that nobody waited
+// for.
+func (o *opening) release(source *backendSubscription) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.chosen != source {
+		source.subscription.Close()
+	}
+}
+
+// subscribe runs a subscription: its transaction, and then its pushes and moves, until the client ends it or the agent
+// stops.
 func (c *clientConn) subscribe(ctx context.Context, request ClientRequest, accepted api.TransactionAccepted) {
 	subscription := &clientSubscription{conn: c, request: request, lastSeq: request.After}
 	source, err := subscription.open(ctx, accepted, func(result transaction.Result) { c.respond(request, result) })
 	if err != nil {
-		c.enqueue(ClientMessage{Type: "error", ID: request.ID, Error: err.Error()})
+		c.reject(request, err.Error())
 	}
 	if source == nil {
 		return
@@ -159,22 +233,38 @@
 			source.Close()
 		}
 		if moves >= maxMoves {
-			c.enqueue(ClientMessage{Type: "ended", ID: request.ID, Topic: request.Topic, Seq: subscription.lastSeq, Error: "no appliance takes it", RetryMS: 1000})
+			subscription.end("no appliance takes it")
 			return
 		}
-		select { // spread, as all that an appliance had move at once
+		select {
 		case <-ctx.Done():
 			return
 		case <-stopping:
 			return
-		case <-time.After(rand.N(50 * time.Millisecond << moves)):
+		case <-time.After(rand.N(moveDelay << moves)):
 		}
-		again := accepted
-		again.ID = api.TransactionID(fmt.Sprintf("%s~%d", request.ID, rand.Uint64())) // a transaction of its own
-		source, _ = subscription.open(ctx, again, func(result transaction.Result) {
-			if result.State == transaction.Succeeded {
-				c.enqueue(ClientMessage{Type: "moved", ID: request.ID, Topic: request.Topic})
-			}
-		})
+		source = subscription.move(ctx, accepted)
+	}
+}
+
+// move asks another backend, by a transaction of its own. It returns nil if none has agreed.
+func (s *clientSubscription) move(ctx context.Context, accepted api.TransactionAccepted) *Subscription {
+	accepted.ID = api.TransactionID(fmt.Sprintf("%s~%d", s.request.ID, rand.Uint64()))
+	source, err := s.open(ctx, accepted, func(result transaction.Result) {
+		if result.State == transaction.Succeeded {
+			s.send(ClientMessage{Type: typeMoved})
+		}
+	})
+	if err != nil { // the engine has stopped; the caller finds that the agent stops, or tries again
+		return nil
 	}
+	return source
+}
+
+// end tells the client that the subscription has ended, and why.
+func (s *clientSubscription) end(reason string) {
+	s.mu.Lock()
+	last := s.lastSeq
+	s.mu.Unlock()
+	s.send(ClientMessage{Type: typeEnded, Seq: last, Error: reason, RetryMS: endedRetryMS})
 }
