--- a/match/match.go
+++ b/match/match.go
@@ -1,6 +1,6 @@
-// Package match is how fronts and the operator's rules speak with each other: what may be asked of a message, and what
-// is said of it. Rules themselves, with the language that they are written in, stand in package match/rules; a program
-// that has none does not carry them.
+// Package match is the interface between a protocol and the operator's rules: what rules may ask of a message, and what
+// they say of it. The rules themselves, with their language, are in package match/rules, which a program without rules
+// does not link.
 package match
 
 import (
@@ -8,25 +8,35 @@
 	"time"
 )
 
-// Repeatable tells how harmless it is to run again what a client has sent.
+// Repeatable is how safe it is to run again what a client has sent. A higher value is safer.
 type Repeatable int
 
+// Kinds of messages.
 const (
 	Effectful Repeatable = iota // must never run twice
-	Receipted                   // carries a mark by which a repeat is known
+	Receipted                   // carries an idempotency key, by which a repeat is recognized
 	Pure                        // may run again
 )
 
-// RepeatableBy reads a workload's effect as the terms name it; what they do not name is effectful.
+// RepeatableBy is how repeatable a workload is by the name of its effect in the settings; an unknown effect is
+// effectful.
 func RepeatableBy(effect string) Repeatable {
-	return map[string]Repeatable{"pure": Pure, "receipted": Receipted}[effect]
+	switch effect {
+	case "pure":
+		return Pure
+	case "receipted":
+		return Receipted
+	}
+	return Effectful
 }
 
-func (r Repeatable) String() string { return [...]string{"effectful", "receipted", "pure"}[r] }
+var repeatableNames = [...]string{"effectful", "receipted", "pure"}
+
+func (r Repeatable) String() string { return repeatableNames[r] }
 
-// SentAs is how repeatable a message is by the protocols' own words: a GET without a body is pure, what carries a mark
-// against repeats receipted, all else effectful; and it is no more repeatable than the workload that its path names, whose
-// effect is "" if it names none.
+// SentAs is how repeatable a message is by its protocol alone: a GET without a body is pure, what carries an
+// idempotency key (marked) is receipted, all else is effectful. A message is no more repeatable than the workload that
+// its path names, whose effect is "" if it names none.
 func SentAs(method string, body, marked bool, effect string) Repeatable {
 	sent := Effectful
 	switch {
@@ -41,8 +51,7 @@
 	return sent
 }
 
-// Subject is what rules may ask of one message, whatever brought it: an HTTP request, a WebSocket message, a row. It
-// does not change while it is judged.
+// Subject is what rules may ask of one message, whichever protocol brought it. It does not change while it is judged.
 type Subject interface {
 	Text(name string) string // method, path or peer
 	Segments() []string      // of the path, as written
@@ -52,58 +61,59 @@
 	Sent() Repeatable        // by the protocol's own words
 }
 
-// Table is what has names, with all values of each.
+// Table is a part of a message with names, and all values of each.
 type Table struct {
 	Of   map[string][]string
-	Fold bool // the protocol does not tell upper from lower case in its names
+	Fold bool // names are the same in upper and lower case
 }
 
-// Values looks a name up, without a copy and whatever its case.
+// Values gives the values of a name, without copying them.
 func (t Table) Values(name string) []string {
-	v, ok := t.Of[name]
+	values, ok := t.Of[name]
 	if ok || !t.Fold {
-		return v
+		return values
 	}
-	for k, v := range t.Of {
-		if len(k) == len(name) && strings.EqualFold(k, name) {
-			return v
+	for other, values := range t.Of {
+		if len(other) == len(name) && strings.EqualFold(other, name) {
+			return values
 		}
 	}
 	return nil
 }
 
-// All is the table to walk over: names whose case says nothing are in lower case, and put together.
+// All gives the whole table. Where upper and lower case are the same, its names are in lower case and their values
+// joined.
 func (t Table) All() map[string][]string {
 	if !t.Fold {
 		return t.Of
 	}
-	low := make(map[string][]string, len(t.Of))
-	for k, v := range t.Of {
-		k = strings.ToLower(k)
-		low[k] = append(low[k], v...)
+	folded := make(map[string][]string, len(t.Of))
+	for name, values := range t.Of {
+		name = strings.ToLower(name)
+		folded[name] = append(folded[name], values...)
 	}
-	return low
+	return folded
 }
 
-// Deployment is what a set has to fit: the workloads, by name, with their effects (pure, receipted, effectful), and the
-// customers that are known.
+// Deployment is what rules have to fit: the workloads, by name, with their effects (pure, receipted, effectful), and
+// the customers.
 type Deployment struct {
 	Effects   map[string]string
 	Customers []string
 }
 
-// Judge says what a message is. It may be asked by many at once, and answers within a bounded time.
+// Judge judges messages. It may be called by several goroutines at once, and answers within a bounded time.
 type Judge interface {
 	Judge(Subject) Judgement
 }
 
-// Judgement is what a set says of one message. A matter that no rule decided is left as the protocol has it.
+// Judgement is what rules say of one message. What no rule has decided is left to the protocol.
 type Judgement struct {
 	Rule     string // the rule that matched, "" if none did
 	Workload string
 	Key      string
 	Customer string
 	Cost     time.Duration // 0 if not decided
-	Refused  error         // not to be taken, and why
+	Refused  error         // why the message is to be rejected, nil if it is not
 	Trouble  error         // the first error of a rule that was tried, whether or not it mattered
 }
--- a/match/rules/cost.go
+++ b/match/rules/cost.go
@@ -13,44 +13,49 @@
 )
 
 // The bound on an expression's time is units x unitTime + rounds x roundTime + evalTime. Units are CEL's own count of
-// cost, which charges a tenth for a letter and one for a step; rounds are those of loops, whose steps are dearer than it
-// thinks. The constants are fixed, so that a verdict is the same on every machine. They rest on BenchmarkUnits, on one
-// shared core of 2 to 3 GHz (docs/matching.md has the figures): no kind of operation took more than 0.95 of its bound.
+// cost, which charges a tenth for a letter and one for a step; rounds are those of loops, whose steps take longer than
+// CEL assumes. The constants are fixed, so that a set of rules is accepted on every machine or on none. They rest on
+// BenchmarkUnits, on one shared core of 2 to 3 GHz (docs/matching.md has the figures): no kind of operation took more
+// than 0.95 of its bound.
 const (
 	unitTime         = 100 * time.Nanosecond  // steps and letters took 3 to 60 ns a unit
 	evalTime         = time.Microsecond       // one evaluation by itself took 0.3 to 0.8 us: variables, look-ups and result
 	roundTime        = 2 * time.Microsecond   // one round, counted against the limit as it runs, took 0.7 to 1.8 us
 	patternStepUnits = 0.16                   // of a pattern: an instruction at a letter took 1.5 to 10 ns
-	lookupTime       = 1500 * time.Nanosecond // finding the rules by one attribute: a hash, and a search over 10,000 texts
+	lookupTime       = 1500 * time.Nanosecond // finding the rules of one attribute: a hash, and a search among 10,000 texts
 )
 
+// unbounded is a cost without a limit.
 const unbounded = math.MaxUint64
 
 // timeBound is the longest that one evaluation can take.
 func (f *expression) timeBound() time.Duration {
 	const maximum = uint64(time.Hour) // far past any budget, and no sum of some thousands overflows
-	total := cost.SafeAdd(cost.SafeMultiply(f.maxCost, uint64(unitTime)), cost.SafeMultiply(f.maxRounds, uint64(roundTime)), uint64(evalTime))
+	units := cost.SafeMultiply(f.maxCost, uint64(unitTime))
+	rounds := cost.SafeMultiply(f.maxRounds, uint64(roundTime))
+	total := cost.SafeAdd(units, rounds, uint64(evalTime))
 	return time.Duration(min(total, maximum))
 }
 
-// costEstimator tells the checker how large the variables can be, and what a pattern costs.
+// costEstimator tells CEL's checker how large the variables can be, and what a pattern costs.
 type costEstimator struct{}
 
+// EstimateSize bounds the size of a variable, or of a part of one.
 func (costEstimator) EstimateSize(n cost.AstNode) *cost.SizeEstimate {
 	path := n.Path()
 	if len(path) == 0 {
 		return nil
 	}
-	maximum := uint64(MostText)
+	maximum := uint64(MaxTextLength)
 	switch last := path[len(path)-1]; {
 	case last == "@keys":
-		maximum = MostName
+		maximum = MaxNameLength
 	case path[0] == "segments" && len(path) == 1:
-		maximum = MostSegments
+		maximum = MaxSegments
 	case isMultiTable(path[0]) && len(path) == 2: // the values of one name
-		maximum = MostValues
+		maximum = MaxValues
 	case len(path) == 1 && (isMultiTable(path[0]) || isSingleTable(path[0])):
-		maximum = MostNames
+		maximum = MaxNames
 	}
 	return &cost.SizeEstimate{Min: 0, Max: maximum}
 }
@@ -59,9 +64,9 @@
 func isMultiTable(name string) bool  { return tableIndex("", name) >= 0 }
 
 // tableIndex finds a table by one of its two variables.
-func tableIndex(single, whole string) int {
+func tableIndex(single, multi string) int {
 	for i, t := range tables {
-		if t.single == single || t.whole == whole {
+		if t.single == single || t.multi == multi {
 			return i
 		}
 	}
@@ -69,7 +74,7 @@
 }
 
 // EstimateCallCost charges a pattern by its program: every instruction may be tried at every letter, as Go's matcher
-// never goes back. CEL's own figure goes by the pattern's length, which says nothing of "{1,1000}".
+// never goes back. CEL's own estimate goes by the pattern's length, which says nothing of "{1,1000}".
 func (costEstimator) EstimateCallCost(function, _ string, target *cost.AstNode, args []cost.AstNode) *cost.CallEstimate {
 	if function != "matches" || len(args) == 0 {
 		return nil
@@ -86,12 +91,13 @@
 	return &cost.CallEstimate{CostEstimate: cost.Estimate{Min: 0, Max: patternCostOf(text).cost(letters)}}
 }
 
-// patternCost is what a pattern's cost rests on.
+// patternCost is what the cost of a pattern depends on.
 type patternCost struct {
-	instructions uint64 // instructions of its program
-	maxLength    uint64 // the most that it looks at: one tied to the text's beginning stops at its longest match
+	instructions uint64 // of its program
+	maxLength    uint64 // bytes that it looks at: one that is anchored at the beginning stops at its longest match
 }
 
+// patternCostOf compiles a pattern. One that cannot be compiled has no limit.
 func patternCostOf(pattern string) patternCost {
 	tree, err := syntax.Parse(pattern, syntax.Perl)
 	if err != nil {
@@ -109,14 +115,17 @@
 	return result
 }
 
+// cost is the cost, in units, of matching a text of a length.
 func (s patternCost) cost(length uint64) uint64 {
 	scanned := cost.SafeAdd(min(length, s.maxLength), 1)
 	return cost.SafeAdd(1, cost.SafeMultiplyByFactor(cost.SafeMultiply(scanned, s.instructions), patternStepUnits))
 }
 
-// patternCosts counts what patterns cost as a loop runs, by the same rule as their bound; all else CEL counts.
+// patternCosts counts what patterns cost while a loop runs, by the same rule as the estimate. CEL counts everything
+// else.
 type patternCosts map[string]patternCost
 
+// CallCost is the cost of a call of matches, nil for other calls.
 func (s patternCosts) CallCost(function, _ string, args []ref.Val, _ ref.Val) *uint64 {
 	if function != "matches" || len(args) != 2 {
 		return nil
@@ -131,7 +140,7 @@
 	return &units
 }
 
-// maxMatchLength is how many bytes a match can have at most.
+// maxMatchLength is how many bytes a match can have.
 func maxMatchLength(r *syntax.Regexp) uint64 {
 	const maxRuneSize = 4 // bytes of the longest rune
 	var length uint64
@@ -159,7 +168,8 @@
 	return length
 }
 
-// maxRounds is the most rounds that the loops of an expression can make, those within others by each of these.
+// maxRounds is the most rounds that the loops of an expression can make. Those of an inner loop count for each round of
+// the outer one.
 func maxRounds(e celast.Expr) (n uint64) {
 	add := func(list ...celast.Expr) {
 		for _, x := range list {
@@ -189,23 +199,23 @@
 	return n
 }
 
-// maxElements is how many a loop can find in an expression.
+// maxElements is the most elements that a loop over an expression can find.
 func maxElements(e celast.Expr) uint64 {
 	switch e.Kind() {
 	case celast.IdentKind:
 		switch name := e.AsIdent(); {
 		case name == "segments":
-			return MostSegments
+			return MaxSegments
 		case isSingleTable(name) || isMultiTable(name):
-			return MostNames
+			return MaxNames
 		}
-		return MostNames // a loop's own variable: a list of ours is no longer, one that is written is counted below
+		return MaxNames // a loop's own variable: no variable has a longer list
 	case celast.ListKind:
 		return uint64(e.AsList().Size())
 	case celast.MapKind:
 		return uint64(e.AsMap().Size())
 	case celast.SelectKind: // headers.name
-		return MostValues
+		return MaxValues
 	case celast.ComprehensionKind: // map and filter give no more than they go over
 		return maxElements(e.AsComprehension().IterRange())
 	case celast.CallKind:
@@ -213,7 +223,7 @@
 		args := call.Args()
 		switch call.FunctionName() {
 		case operators.Index, operators.OptIndex:
-			return MostValues
+			return MaxValues
 		case operators.Conditional:
 			return max(maxElements(args[1]), maxElements(args[2]))
 		case operators.Add:
--- a/match/rules/index.go
+++ b/match/rules/index.go
@@ -1,6 +1,7 @@
 package rules
 
 import (
+	"fmt"
 	"math"
 	"math/bits"
 	"slices"
@@ -13,41 +14,60 @@
 	"cel.dev/cel-go/common/types"
 )
 
-// The index spares the rules that cannot match. Of each rule it holds one literal test on one attribute that must hold
-// for the rule's condition to be true or an error; a rule whose test fails would have given false, and is not run. CEL's
-// logic makes that sound: false && error is false, in either order.
+// The index saves running rules that cannot match. For each rule it has one literal test on one attribute, without
+// which the rule's condition is neither true nor an error. A rule whose test fails would have given false, and is not
+// run. CEL's logic makes that sound: false && error is false, in either order.
 
-// attribute is a text that a subject has, or for some kinds may lack.
+// attribute is a text that a subject has, or that some subjects lack.
 type attribute struct {
-	source, name string // method, path, peer, or a table and a name, or segments and a number
-	segment      int    // which segment
-	optional     bool   // a missing one reads as otherwise; else a missing one is an error of the expression
-	fallback     string
+	source   string // method, path, peer, segments, or the name of a table
+	name     string // in a table
+	segment  int    // the number of a segment
+	optional bool   // a missing one reads as fallback; else it is an error of the expression
+	fallback string
 }
 
+// value reads the attribute of a subject; false says that it is missing.
 func (a attribute) value(v *activationView) (text string, ok bool) {
 	switch a.source {
 	case "method", "path", "peer":
 		return v.text(a.source), true
 	case "segments":
-		if s := v.segments(); a.segment < len(s) {
-			return s[a.segment], true
+		if segments := v.segments(); a.segment < len(segments) {
+			return segments[a.segment], true
 		}
 	default:
-		if x := v.table(tableIndex(a.source, "")).Values(a.name); len(x) == 1 {
-			return x[0], true
+		if values := v.table(tableIndex(a.source, "")).Values(a.name); len(values) == 1 {
+			return values[0], true
 		}
 	}
 	return a.fallback, a.optional
 }
 
-// indexTest holds where the attribute is one of some texts or begins with one of some others.
+// alwaysPresent tells whether every subject has the attribute.
+func (a attribute) alwaysPresent() bool {
+	return a.optional || a.source == "method" || a.source == "path" || a.source == "peer"
+}
+
+// String is the attribute as an expression names it.
+func (a attribute) String() string {
+	switch a.source {
+	case "method", "path", "peer":
+		return a.source
+	case "segments":
+		return fmt.Sprintf("segments[%d]", a.segment)
+	}
+	return fmt.Sprintf("%s[%q]", a.source, a.name)
+}
+
+// indexTest holds if the attribute is one of some texts, or begins with one of some others.
 type indexTest struct {
-	attribute        attribute
-	equals, prefixes []string
+	attribute attribute
+	equals    []string
+	prefixes  []string
 }
 
-// indexTests lists what must hold, each by itself, for an expression to be true or an error.
+// indexTests lists the tests that all must hold for an expression to be true or an error.
 func indexTests(e celast.Expr) []indexTest {
 	if e.Kind() != celast.CallKind {
 		return nil
@@ -57,49 +77,72 @@
 	switch call.FunctionName() {
 	case operators.LogicalAnd:
 		var all []indexTest
-		for _, x := range args {
-			all = append(all, indexTests(x)...)
+		for _, arg := range args {
+			all = append(all, indexTests(arg)...)
 		}
 		return all
 	case operators.LogicalOr:
 		either := indexTests(args[0])
-		for _, x := range args[1:] {
-			either = unionTests(either, indexTests(x))
+		for _, arg := range args[1:] {
+			either = unionTests(either, indexTests(arg))
 		}
 		return either
 	case operators.Equals:
-		for i := range 2 {
-			if on, ok := attributeOf(args[i]); ok {
-				if text, ok := stringLiteral(args[1-i]); ok {
-					return []indexTest{{attribute: on, equals: []string{text}}}
-				}
-			}
-		}
+		return equalsTest(args[0], args[1])
 	case operators.In:
-		on, ok := attributeOf(args[0])
-		if !ok || args[1].Kind() != celast.ListKind {
-			return nil
-		}
-		var texts []string
-		for _, x := range args[1].AsList().Elements() {
-			text, ok := stringLiteral(x)
-			if !ok {
-				return nil
-			}
-			texts = append(texts, text)
-		}
-		return []indexTest{{attribute: on, equals: texts}}
+		return inTest(args[0], args[1])
 	case "startsWith":
-		if on, ok := attributeOf(call.Target()); ok {
-			if text, ok := stringLiteral(args[0]); ok {
-				return []indexTest{{attribute: on, prefixes: []string{text}}}
-			}
+		return prefixTest(call.Target(), args[0])
+	}
+	return nil
+}
+
+// equalsTest is the test of an attribute that equals a literal, on either side.
+func equalsTest(left, right celast.Expr) []indexTest {
+	for _, sides := range [][2]celast.Expr{{left, right}, {right, left}} {
+		attribute, ok := attributeOf(sides[0])
+		if !ok {
+			continue
+		}
+		if text, ok := stringLiteral(sides[1]); ok {
+			return []indexTest{{attribute: attribute, equals: []string{text}}}
 		}
 	}
 	return nil
 }
 
-// unionTests gives what must hold where one of two sides has to: tests that both make of one attribute, put together.
+// inTest is the test of an attribute that is in a list of literals.
+func inTest(element, list celast.Expr) []indexTest {
+	attribute, ok := attributeOf(element)
+	if !ok || list.Kind() != celast.ListKind {
+		return nil
+	}
+	var texts []string
+	for _, x := range list.AsList().Elements() {
+		text, ok := stringLiteral(x)
+		if !ok {
+			return nil
+		}
+		texts = append(texts, text)
+	}
+	return []indexTest{{attribute: attribute, equals: texts}}
+}
+
+// prefixTest is the test of an attribute that starts with a literal.
+func prefixTest(target, prefix celast.Expr) []indexTest {
+	attribute, ok := attributeOf(target)
+	if !ok {
+		return nil
+	}
+	text, ok := stringLiteral(prefix)
+	if !ok {
+		return nil
+	}
+	return []indexTest{{attribute: attribute, prefixes: []string{text}}}
+}
+
+// unionTests lists the tests that hold if one of two expressions is true or an error: those that both make of the same
+// attribute, joined.
 func unionTests(a, b []indexTest) (both []indexTest) {
 	for _, x := range a {
 		for _, y := range b {
@@ -112,7 +155,7 @@
 	return both
 }
 
-// attributeOf tells which attribute an expression reads, if it reads one and does nothing else.
+// attributeOf gives the attribute that an expression reads, if it does nothing else.
 func attributeOf(e celast.Expr) (a attribute, ok bool) {
 	switch e.Kind() {
 	case celast.IdentKind:
@@ -141,10 +184,12 @@
 	return a, false
 }
 
+// isTable tells whether an expression is the variable of a table.
 func isTable(e celast.Expr) bool {
 	return e.Kind() == celast.IdentKind && isSingleTable(e.AsIdent())
 }
 
+// indexedAttribute gives the attribute that a literal key reads from a variable.
 func indexedAttribute(container, key celast.Expr) (attribute, bool) {
 	if container.Kind() != celast.IdentKind || key.Kind() != celast.LiteralKind {
 		return attribute{}, false
@@ -153,7 +198,7 @@
 	case types.String:
 		return attribute{source: container.AsIdent(), name: string(x)}, isTable(container)
 	case types.Int:
-		return attribute{source: "segments", segment: int(x)}, container.AsIdent() == "segments" && x >= 0 && x < MostSegments
+		return attribute{source: "segments", segment: int(x)}, container.AsIdent() == "segments" && x >= 0 && x < MaxSegments
 	}
 	return attribute{}, false
 }
@@ -161,83 +206,95 @@
 // index finds the rules that have to be run for a subject.
 type index struct {
 	ruleCount int
-	always    []uint64 // rules without a test, a bit each
+	always    []uint64 // a bit for each rule without a test
 	columns   []*column
 }
 
-// column holds the rules that are found by one attribute.
+// column has the rules that are found by one attribute.
 type column struct {
 	attribute attribute
-	rules     []int // every rule here: none can be spared where the attribute is missing and that is an error
+	rules     []int // all of them; they have to be run where the attribute is missing, which is an error
 	byValue   map[string][]int
 	prefixes  []prefix // in order of their texts
 }
 
-// prefix is a text that an attribute may begin with, and the next shorter one that this text begins with itself.
+// prefix is a text that an attribute may begin with.
 type prefix struct {
 	text    string
-	shorter int // -1 if none
+	shorter int // the longest other prefix that this text begins with, -1 if there is none
 	rules   []int
 }
 
-// newIndex takes for each rule the test with the fewest rivals, as that spares most.
-func newIndex(testsByRule [][]indexTest) *index {
-	type literalTest struct {
-		on   attribute
-		text string
-		head bool
-	}
-	uses := map[literalTest]int{}
-	each := func(t indexTest, do func(literalTest)) {
-		for _, result := range t.equals {
-			do(literalTest{t.attribute, result, false})
-		}
-		for _, result := range t.prefixes {
-			do(literalTest{t.attribute, result, true})
-		}
+// literal is one text of a test.
+type literal struct {
+	attribute attribute
+	text      string
+	isPrefix  bool
+}
+
+// literals calls do for each text of a test.
+func (t indexTest) literals(do func(literal)) {
+	for _, text := range t.equals {
+		do(literal{t.attribute, text, false})
 	}
-	for _, list := range testsByRule {
-		for _, t := range list {
-			each(t, func(p literalTest) { uses[p]++ })
+	for _, text := range t.prefixes {
+		do(literal{t.attribute, text, true})
+	}
+}
+
+// newIndex finds each rule by the one of its tests whose texts the fewest other rules have, as that saves most.
+func newIndex(testsByRule [][]indexTest) *index {
+	uses := map[literal]int{}
+	for _, tests := range testsByRule {
+		for _, test := range tests {
+			test.literals(func(l literal) { uses[l]++ })
 		}
 	}
-	result := &index{ruleCount: len(testsByRule), always: make([]uint64, (len(testsByRule)+63)/64)}
+	x := &index{ruleCount: len(testsByRule), always: make([]uint64, (len(testsByRule)+63)/64)}
 	columns := map[attribute]*column{}
 	prefixes := map[*column]map[string][]int{}
-	for i, list := range testsByRule {
-		best, least := -1, math.MaxInt
-		for j, t := range list {
-			n := 0
-			each(t, func(p literalTest) { n += uses[p] })
-			if n < least {
-				best, least = j, n
-			}
-		}
-		if best < 0 {
-			result.always[i/64] |= 1 << (i % 64)
+	for rule, tests := range testsByRule {
+		test := rarestTest(tests, uses)
+		if test == nil {
+			x.always[rule/64] |= 1 << (rule % 64)
 			continue
 		}
-		t := list[best]
-		c := columns[t.attribute]
+		c := columns[test.attribute]
 		if c == nil {
-			c = &column{attribute: t.attribute, byValue: map[string][]int{}}
-			columns[t.attribute], prefixes[c] = c, map[string][]int{}
-			result.columns = append(result.columns, c)
+			c = &column{attribute: test.attribute, byValue: map[string][]int{}}
+			columns[test.attribute] = c
+			prefixes[c] = map[string][]int{}
+			x.columns = append(x.columns, c)
 		}
-		c.rules = append(c.rules, i)
-		for _, text := range t.equals {
-			c.byValue[text] = append(c.byValue[text], i)
+		c.rules = append(c.rules, rule)
+		for _, text := range test.equals {
+			c.byValue[text] = append(c.byValue[text], rule)
 		}
-		for _, text := range t.prefixes {
-			prefixes[c][text] = append(prefixes[c][text], i)
+		for _, text := range test.prefixes {
+			prefixes[c][text] = append(prefixes[c][text], rule)
 		}
 	}
-	for _, c := range result.columns {
+	for _, c := range x.columns {
 		c.setPrefixes(prefixes[c])
 	}
-	return result
+	return x
+}
+
+// rarestTest is the first of the tests whose texts are used least, nil if there is no test.
+func rarestTest(tests []indexTest, uses map[literal]int) *indexTest {
+	var rarest *indexTest
+	least := math.MaxInt
+	for i, test := range tests {
+		n := 0
+		test.literals(func(l literal) { n += uses[l] })
+		if n < least {
+			rarest, least = &tests[i], n
+		}
+	}
+	return rarest
 }
 
+// setPrefixes sorts the prefixes and links each to the next shorter one.
 func (c *column) setPrefixes(rulesByPrefix map[string][]int) {
 	for text, rules := range rulesByPrefix {
 		c.prefixes = append(c.prefixes, prefix{text, -1, rules})
@@ -252,8 +309,9 @@
 	}
 }
 
-// longestPrefix is the longest head that a text begins with. All texts between a head and a longer one that begins with it
-// begin with it too, so the last head not after the text leads there by its shorter ones.
+// longestPrefix is the longest prefix that a text begins with, -1 if there is none. All prefixes that sort between a
+// prefix and a longer one that begins with it begin with it too, so the last one that does not sort after the text
+// leads there by its shorter ones.
 func (c *column) longestPrefix(text string) int {
 	i := sort.Search(len(c.prefixes), func(i int) bool { return c.prefixes[i].text > text }) - 1
 	for i >= 0 && !strings.HasPrefix(text, c.prefixes[i].text) {
@@ -289,7 +347,7 @@
 	}
 }
 
-// nextMarked gives the first marked rule from one on, -1 if there is none.
+// nextMarked gives the first marked rule that is not before from, -1 if there is none.
 func nextMarked(marks []uint64, from int) int {
 	for w := from / 64; w < len(marks); w++ {
 		word := marks[w]
@@ -303,8 +361,8 @@
 	return -1
 }
 
-// worstCase is the most time that any one subject can need, where rule i takes cost[i], and the rules that take it: those
-// without a test, and in each column the dearest set that one text can find.
+// worstCase is the longest that any subject can take, where rule i takes cost[i], and the rules that take it: those
+// without a test, and in each column the most expensive set that one text can find.
 func (x *index) worstCase(cost []time.Duration) (total time.Duration, rules []int) {
 	for r := nextMarked(x.always, 0); r >= 0; r = nextMarked(x.always, r+1) {
 		rules = append(rules, r)
@@ -321,7 +379,8 @@
 	return total, rules
 }
 
-// mostExpensive is the text whose rules cost most together, and these; of "" and all rules where one that is missing costs more.
+// mostExpensive is the text whose rules cost most together, and these. It is "" and all rules where a missing attribute
+// costs more.
 func (c *column) mostExpensive(cost []time.Duration) (text string, rules []int) {
 	var highest time.Duration
 	consider := func(of string, list []int) {
@@ -345,7 +404,7 @@
 	for _, h := range c.prefixes {
 		considerText(h.text)
 	}
-	if !c.attribute.optional && c.attribute.source != "method" && c.attribute.source != "path" && c.attribute.source != "peer" {
+	if !c.attribute.alwaysPresent() {
 		consider("", c.rules)
 	}
 	return text, rules
--- a/match/rules/worstcase.go
+++ b/match/rules/worstcase.go
@@ -8,7 +8,7 @@
 	"sagelever/match"
 )
 
-// syntheticSubject is a message made up for timing: as large as the limits allow, but for what a set's literals ask for.
+// syntheticSubject is a message made for timing.
 type syntheticSubject struct {
 	texts    map[string]string
 	segments []string
@@ -24,40 +24,58 @@
 func (p *syntheticSubject) Hint() time.Duration    { return time.Millisecond }
 func (p *syntheticSubject) Sent() match.Repeatable { return match.Pure }
 
-// WorstCaseSubject makes the message that needs most of the set's time by the cost model: each attribute that rules are found by
-// has the text that finds the dearest of them, all else is as large as it may be.
+// WorstCaseSubject makes the message that takes most of the set's time by the cost model: each attribute by which rules
+// are found has the text that finds the most expensive of them, and everything else is as large as it may be.
 func (s *Set) WorstCaseSubject() match.Subject {
-	fill := func(n int) string { return strings.Repeat("a", n) }
-	subject := &syntheticSubject{texts: map[string]string{"method": "GET", "path": "/" + fill(MostText-1), "peer": "127.0.0.1"},
-		tables: map[string]map[string][]string{}}
-	for range MostSegments {
-		subject.segments = append(subject.segments, fill(MostText/MostSegments-1))
-	}
-	cost := make([]time.Duration, len(s.rules))
+	costs := make([]time.Duration, len(s.rules))
 	for i, r := range s.rules {
-		cost[i] = r.bound
+		costs[i] = r.bound
 	}
-	for _, t := range tables {
-		subject.tables[t.single] = map[string][]string{}
-	}
-	for _, column := range s.index.columns {
-		text, _ := column.mostExpensive(cost)
-		if _, longer := column.byValue[text]; !longer {
-			text += fill(MostText - len(text))
-		}
-		switch column.attribute.source {
-		case "method", "path", "peer":
-			subject.texts[column.attribute.source] = text
-		case "segments":
-			subject.segments[column.attribute.segment] = text
-		default:
-			subject.tables[column.attribute.source][column.attribute.name] = []string{text}
+	subject := newLargestSubject()
+	for _, c := range s.index.columns {
+		text, _ := c.mostExpensive(costs)
+		if _, exact := c.byValue[text]; !exact {
+			text += filler(MaxTextLength - len(text))
 		}
+		subject.set(c.attribute, text)
 	}
-	for _, t := range subject.tables {
-		for i := 0; len(t) < MostNames; i++ {
-			t[fmt.Sprint("h", i)] = []string{fill(MostText)}
+	for _, table := range subject.tables {
+		for i := 0; len(table) < MaxNames; i++ {
+			table[fmt.Sprint("h", i)] = []string{filler(MaxTextLength)}
 		}
 	}
 	return subject
 }
+
+func filler(length int) string { return strings.Repeat("a", length) }
+
+// newLargestSubject makes a message with the largest path, and with empty tables.
+func newLargestSubject() *syntheticSubject {
+	subject := &syntheticSubject{
+		texts: map[string]string{
+			"method": "GET",
+			"path":   "/" + filler(MaxTextLength-1),
+			"peer":   "127.0.0.1",
+		},
+		tables: map[string]map[string][]string{},
+	}
+	for range MaxSegments {
+		subject.segments = append(subject.segments, filler(MaxTextLength/MaxSegments-1))
+	}
+	for _, t := range tables {
+		subject.tables[t.single] = map[string][]string{}
+	}
+	return subject
+}
+
+// set gives an attribute a text.
+func (p *syntheticSubject) set(a attribute, text string) {
+	switch a.source {
+	case "method", "path", "peer":
+		p.texts[a.source] = text
+	case "segments":
+		p.segments[a.segment] = text
+	default:
+		p.tables[a.source][a.name] = []string{text}
+	}
+}
