--- a/internal/sim/fleet/fleet_test.go
+++ b/internal/sim/fleet/fleet_test.go
@@ -141,8 +141,8 @@
 }
 
 // Half of the machines is lost and comes back cold under a fleet of 300 agents, of whom seven in ten die and come back
-// at the same moment; a tenth of all answers is lost on the way. No cold machine is pushed over, no step runs twice, and
-// nobody is left without an answer. The checkers are shown to fail below.
+// at the same moment; a tenth of all answers is lost on the way. No cold machine is pushed over, no step runs twice,
+// and nobody is left without an answer. The checkers are shown to fail below.
 func TestSlowStartAndLostResponses(t *testing.T) {
 	s := testScenario(300, 60)
 	s.Duration, s.Load = 12*time.Second, 0.9
