--- a/httpagent/agent.go
+++ b/httpagent/agent.go
@@ -63,7 +63,8 @@
 	reservedDescriptors = 40      // for discovery, the platform, other agents and the log
 	unlimitedSockets    = 1 << 20 // where the station names no limit
 	defaultMemory       = 512 << 20
-	bodyMemoryShare     = 8 // clients' bodies may have an eighth of the memory, as headers and responses take several times that
+	// clients' bodies may have an eighth of the memory, as headers and responses take several times that
+	bodyMemoryShare = 8
 )
 
 // New makes an agent from a station that has been checked.
--- a/httpagent/exchange.go
+++ b/httpagent/exchange.go
@@ -105,7 +105,8 @@
 }
 
 // doOnce sends a request on one connection. stale says that it was a kept one on which nothing could be written.
-func (l *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool, err error) {
+func (l *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool,
+	err error) {
 	// The request's own context outlives ctx, so that a response in transit can be read.
 	requestCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/httpagent/peers.go
+++ b/httpagent/peers.go
@@ -31,7 +31,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peerSocket{numbers: map[netip.AddrPort]api.PeerNumber{}, outgoing: make(chan api.SendMessage, peerQueueSize), log: log}
+	p := &peerSocket{numbers: map[netip.AddrPort]api.PeerNumber{}, outgoing: make(chan api.SendMessage, peerQueueSize),
+		log: log}
 	for i, address := range station.Peers {
 		other, err := netip.ParseAddrPort(address)
 		if err != nil {
--- a/httpagent/rules.go
+++ b/httpagent/rules.go
@@ -100,7 +100,8 @@
 
 // applyRules lets the operator's rules judge a request, whose path names a workload with an effect. It returns the
 // workload that they decide on, else that of the path.
-func (a *Agent) applyRules(r *http.Request, request *clientRequest, byPath, effect string) (workload string, err error) {
+func (a *Agent) applyRules(r *http.Request, request *clientRequest, byPath, effect string) (workload string,
+	err error) {
 	rules := a.rules.Load()
 	if rules == nil {
 		return byPath, nil
--- a/match/rules/cost.go
+++ b/match/rules/cost.go
@@ -18,11 +18,13 @@
 // BenchmarkUnits, on one shared core of 2 to 3 GHz (docs/matching.md has the figures): no kind of operation took more
 // than 0.95 of its bound.
 const (
-	unitTime         = 100 * time.Nanosecond  // steps and letters took 3 to 60 ns a unit
-	evalTime         = time.Microsecond       // one evaluation by itself took 0.3 to 0.8 us: variables, look-ups and result
-	roundTime        = 2 * time.Microsecond   // one round, counted against the limit as it runs, took 0.7 to 1.8 us
-	patternStepUnits = 0.16                   // of a pattern: an instruction at a letter took 1.5 to 10 ns
-	lookupTime       = 1500 * time.Nanosecond // finding the rules of one attribute: a hash, and a search among 10,000 texts
+	unitTime = 100 * time.Nanosecond // steps and letters took 3 to 60 ns a unit
+	// one evaluation by itself took 0.3 to 0.8 us: variables, look-ups and result
+	evalTime         = time.Microsecond
+	roundTime        = 2 * time.Microsecond // one round, counted against the limit as it runs, took 0.7 to 1.8 us
+	patternStepUnits = 0.16                 // of a pattern: an instruction at a letter took 1.5 to 10 ns
+	// finding the rules of one attribute: a hash, and a search among 10,000 texts
+	lookupTime = 1500 * time.Nanosecond
 )
 
 // unbounded is a cost without a limit.
@@ -75,7 +77,8 @@
 
 // EstimateCallCost charges a pattern by its program: every instruction may be tried at every letter, as Go's matcher
 // never goes back. CEL's own estimate goes by the pattern's length, which says nothing of "{1,1000}".
-func (costEstimator) EstimateCallCost(function, _ string, target *cost.AstNode, args []cost.AstNode) *cost.CallEstimate {
+func (costEstimator) EstimateCallCost(function, _ string, target *cost.AstNode,
+	args []cost.AstNode) *cost.CallEstimate {
 	if function != "matches" || len(args) == 0 {
 		return nil
 	}
--- a/match/rules/expression.go
+++ b/match/rules/expression.go
@@ -60,7 +60,8 @@
 		return nil, newExpressionError(err.Error())
 	}
 	if len(text) > maxExpressionSize { // the parser would read all of it
-		return nil, newExpressionError(fmt.Sprintf("the expression has %d bytes, at most %d are taken", len(text), maxExpressionSize))
+		return nil, newExpressionError(fmt.Sprintf("the expression has %d bytes, at most %d are taken", len(text),
+			maxExpressionSize))
 	}
 	ast, issues := env.Compile(text)
 	if issues.Err() != nil {
--- a/match/rules/index.go
+++ b/match/rules/index.go
@@ -147,7 +147,8 @@
 	for _, x := range a {
 		for _, y := range b {
 			if x.attribute == y.attribute {
-				both = append(both, indexTest{x.attribute, slices.Concat(x.equals, y.equals), slices.Concat(x.prefixes, y.prefixes)})
+				both = append(both, indexTest{x.attribute, slices.Concat(x.equals, y.equals), slices.Concat(x.prefixes,
+					y.prefixes)})
 				break
 			}
 		}
--- a/match/rules/set.go
+++ b/match/rules/set.go
@@ -58,7 +58,7 @@
 }
 
 func (e *BudgetError) Error() string {
-	return fmt.Sprintf("one message may take %s, the budget is %s; the dearest rules that it can need together: %s",
+	return fmt.Sprintf("one message may take %s, the budget is %s; the most expensive rules that it can need together: %s",
 		e.Bound, e.Budget, strings.Join(e.Rules[:min(len(e.Rules), 5)], ", "))
 }
 
