--- a/internal/agent/policy/health.go
+++ b/internal/agent/policy/health.go
@@ -16,9 +16,8 @@
 	return 1
 }
 
-// withinPace tells whether one more attempt keeps a backend below a multiple of this agent's even share.
-// Credit starts at random, so that over hundreds of agents small shares add up to the whole; a quarter second
-// is saved.
+// withinPace tells whether one more attempt keeps a backend below a multiple of this agent's even share. The
+// first credit is random, so that the small shares of hundreds of agents add up to the whole.
 func (b *Balancer) withinPace(backend *backend, multiple float64) bool {
 	share := multiple * b.rate(&b.demand) / float64(max(b.listedCount, 1)) // a second
 	backend.paceCredit = min(backend.paceCredit+share*(b.now-backend.paceCreditAt).Seconds(), max(1, share/4))
@@ -26,9 +25,9 @@
 	return backend.paceCredit >= 1
 }
 
-// slowStartAllows keeps agents, none of which asks another, from overloading a backend together: warm ones
-// bear the even share, so even shares times its capacity are less than it can do. 1.4, as fleets run below
-// 0.7.
+// slowStartAllows keeps agents, which do not ask each other, from overloading a backend together. A warm one
+// bears the even share, so even shares times its capacity are less than it can do: 1.4, as fleets run below
+// 0.7 of theirs, and at most 0.7 of the multiple at which a backend fails.
 func (b *Balancer) slowStartAllows(backend *backend) bool {
 	capacity := b.capacityShare(backend)
 	return capacity >= 1 || b.withinPace(backend, min(1.4, 0.7*b.settings.overloadFactor)*capacity)
--- a/internal/agent/policy/route.go
+++ b/internal/agent/policy/route.go
@@ -145,7 +145,7 @@
 		unbound && b.boundShare.Estimate(b.now, demandHalfLife, 0, 0) > limit/2) || b.trialPaused
 }
 
-// lessLoadedOfTwo draws two different backends of a group and takes the one with less load.
+// lessLoadedOfTwo draws two backends and takes the one with less load (Mitzenmacher's power of two choices).
 func (b *Balancer) lessLoadedOfTwo(group []*backend) *backend {
 	first := b.randomBelow(len(group))
 	if len(group) > 1 {
