--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -111,8 +111,8 @@
 
 // limitMemory makes the garbage collector work harder near half of the process's memory limit.
 func limitMemory(resources settings.ResourceLimits) {
-	if resources.RAMMb > 0 {
-		debug.SetMemoryLimit(int64(resources.RAMMb) << 20 / 2)
+	if resources.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(resources.MemoryMB) << 20 / 2)
 	}
 }
 
--- a/internal/control/config/wire.go
+++ b/internal/control/config/wire.go
@@ -16,6 +16,8 @@
 	"github.com/go-faster/errors"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // ChangeRequest is the body of a settings.change call: items to set, and items to delete by kind.
 //
 //easyjson:json
--- a/internal/control/dedup/dedup.go
+++ b/internal/control/dedup/dedup.go
@@ -11,6 +11,8 @@
 	"sagelever/internal/control/quorum"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // MaxClockSkew is by how much the clocks of two controllers may differ. Beyond it a controller may take an order that
 // is resent for a new one; nothing else depends on it.
 const MaxClockSkew = 10 * time.Second
--- a/internal/control/drain/capacity.go
+++ b/internal/control/drain/capacity.go
@@ -8,6 +8,8 @@
 	"strings"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // ServiceLoad is the load that one kind of traffic puts on a service, as one proxy sees it. The loads of several
 // proxies add up.
 //
--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -15,6 +15,8 @@
 	"sagelever/internal/control/quorum"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // ListKeyPrefix begins the key of every register that lists the drains of a zone.
 const ListKeyPrefix = "drain/"
 
--- a/internal/control/drain/progress.go
+++ b/internal/control/drain/progress.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // ProxyReport is what one proxy reports about drains.
 type ProxyReport struct {
 	Proxy         string
--- a/internal/control/membership/configuration.go
+++ b/internal/control/membership/configuration.go
@@ -18,6 +18,8 @@
 	"sagelever/internal/control/quorum"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // RegisterKey is the key of the quorum register that holds the configuration.
 const RegisterKey = "members"
 
--- a/internal/control/message/peer.go
+++ b/internal/control/message/peer.go
@@ -5,6 +5,8 @@
 	"sagelever/internal/control/rangesync"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // PeerRequest is a request of one controller to another. Which fields it uses depends on the path under which it is
 // sent.
 //
--- a/internal/control/message/pull.go
+++ b/internal/control/message/pull.go
@@ -5,6 +5,8 @@
 	"sagelever/internal/control/replication"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // PullRequest asks a controller for the items that the sender lacks. The pull of a proxy also renews its lease; the
 // pull of a controller tells the receiver what it has to know of the sender as a member or candidate.
 //
@@ -52,7 +54,7 @@
 type PullResponse struct {
 	Source          string             `json:"s"` // the answering process, as protocol version 1 names it
 	ProtocolVersion int                `json:"g,omitempty"`
-	Seq             uint64             `json:"q"` // the source's local sequence number, for protocol version 1
+	LocalSequence   uint64             `json:"q"` // the source's local sequence number, for protocol version 1
 	Items           []replication.Item `json:"i"`
 	// Origins are what Item.OriginIndex refers to; the first is the source's own.
 	Origins []string `json:"j,omitempty"`
--- a/internal/control/message/survey.go
+++ b/internal/control/message/survey.go
@@ -5,6 +5,8 @@
 	"sagelever/internal/control/replication"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // InFlightReport is a proxy's answer to an in-flight survey: its unfinished requests at draining backends, and the
 // load it carries.
 //
@@ -14,7 +16,7 @@
 	SurveyID uint64 `json:"k"`
 	// DrainVersions is, by zone, the version of the drains that the proxy acts on.
 	DrainVersions map[string]uint64             `json:"d,omitempty"`
-	Rows          []replication.BackendInFlight `json:"o,omitempty"`
+	Backends      []replication.BackendInFlight `json:"o,omitempty"`
 	Loads         []drain.ServiceLoad           `json:"l,omitempty"`
 }
 
@@ -29,8 +31,8 @@
 // ProgressReports converts the survey into the input of the drain progress computation.
 func (s InFlightSurvey) ProgressReports() (reports []drain.ProxyReport, loads []drain.ServiceLoad) {
 	for _, report := range s.Reports {
-		inFlight := make(map[string][2]int, len(report.Rows))
-		for _, row := range report.Rows {
+		inFlight := make(map[string][2]int, len(report.Backends))
+		for _, row := range report.Backends {
 			inFlight[row.BackendID] = [2]int{row.Idempotent, row.NonIdempotent}
 		}
 		reports = append(reports, drain.ProxyReport{
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/quorum/quorum.go
@@ -23,6 +23,8 @@
 	"slices"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // ProposalNumber identifies and totally orders proposals. The zero value is ordered before all others.
 type ProposalNumber struct {
 	// Epoch is the epoch of the configuration of members that decides the proposal. It is compared first, so that a
--- a/internal/control/rangesync/messages.go
+++ b/internal/control/rangesync/messages.go
@@ -2,6 +2,8 @@
 
 import "github.com/go-faster/errors"
 
+//go:generate go tool easyjson $GOFILE
+
 // Request asks the responder in what some ranges differ.
 //
 //easyjson:json
--- a/internal/control/release/release.go
+++ b/internal/control/release/release.go
@@ -12,6 +12,8 @@
 	"sagelever/internal/control/quorum"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // RegisterKeyPrefix begins the key of every register that holds a release.
 const RegisterKeyPrefix = "release/"
 
--- a/internal/control/replica/config.go
+++ b/internal/control/replica/config.go
@@ -23,9 +23,9 @@
 
 // PersistedState is what a replica finds on its disk at its start.
 type PersistedState struct {
-	Entries  []quorum.Entry
-	Floor    quorum.ProposalNumber // the acceptor's least proposal number
-	Identity Identity              // zero where the disk is empty
+	Entries     []quorum.Entry
+	MinProposal quorum.ProposalNumber // the acceptor's least proposal number
+	Identity    Identity              // zero where the disk is empty
 	// LegacyDisk: the disk was written, and has not been lost since, by a version that had no configurations.
 	LegacyDisk  bool
 	Generations map[string]message.DiskGeneration // last saved DiskGenerations
@@ -36,7 +36,7 @@
 
 // PersistedItem is a replicated item with the place of its first publication.
 type PersistedItem struct {
-	Item   replication.Item
-	Origin string // empty in items that were saved by protocol version 1
-	Number uint64 // its sequence number at the origin
+	Item     replication.Item
+	Origin   string // empty in items that were saved by protocol version 1
+	Sequence uint64 // its sequence number at the origin
 }
--- a/internal/control/replica/identity.go
+++ b/internal/control/replica/identity.go
@@ -14,13 +14,13 @@
 // as the same member. The ID tells apart a new disk from the old one. The generation tells apart a disk from an old
 // copy of it: it is advanced every generationInterval and sent to other controllers, who confirm it after a restart.
 type Identity struct {
-	Disk       string   `json:"Disk"`       // random, drawn when the disk is first used
-	Starts     uint64   `json:"Starts"`     // how many processes have used the disk
-	Generation uint64   `json:"Generation"` // advanced while the disk is confirmed not to be an old copy
-	Fresh      bool     `json:"Fresh"`      // the disk took part in the first start of the whole system
-	Contacts   []string `json:"Contacts"`   // Config.InitialPeers at that time
-	Acting     bool     `json:"Acting"`     // the replica has been active, or took part in the first start
-	Active     uint64   `json:"Active"`     // the last epoch in which it was active
+	DiskID       string   `json:"Disk"`       // random, drawn when the disk is first used
+	Starts       uint64   `json:"Starts"`     // how many processes have used the disk
+	Generation   uint64   `json:"Generation"` // advanced while the disk is confirmed not to be an old copy
+	Bootstrapped bool     `json:"Fresh"`      // the disk took part in the first start of the whole system
+	InitialPeers []string `json:"Contacts"`   // Config.InitialPeers at that time
+	EverActive   bool     `json:"Acting"`     // the replica has been active, or took part in the first start
+	ActiveEpoch  uint64   `json:"Active"`     // the last epoch in which it was active
 }
 
 // newDiskID draws the identity of a disk that is used for the first time.
@@ -40,7 +40,7 @@
 func (l *localMembership) setIdentity(identity Identity) {
 	l.identity = identity
 	l.submittedIdentity = identity
-	l.self.DiskID = identity.Disk
+	l.self.DiskID = identity.DiskID
 }
 
 // saveIdentity saves the identity, and goes on with what has to happen before this replica can be active.
@@ -59,7 +59,7 @@
 func (r *Replica) replaceIdentity(now time.Time) {
 	local := &r.local
 	r.logEvent("stale disk detected, continuing as a candidate", "generation", formatUint(local.identity.Generation))
-	local.setIdentity(Identity{Disk: r.newDiskID(now), Starts: 1, Generation: 1})
+	local.setIdentity(Identity{DiskID: r.newDiskID(now), Starts: 1, Generation: 1})
 	local.identitySaved = false
 	local.diskConfirmed = false
 	local.caughtUp = false
@@ -87,7 +87,7 @@
 	next.Generation++
 	local.submittedIdentity = next
 	r.save(now, Save{Identity: &next}, func(_ time.Time, err error) {
-		if err == nil && r.local.identity.Disk == next.Disk {
+		if err == nil && r.local.identity.DiskID == next.DiskID {
 			r.local.identity.Generation = max(r.local.identity.Generation, next.Generation)
 		}
 	})
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -49,7 +49,7 @@
 		return l.configuration.Contains(l.self)
 	}
 	isSelf := func(peer message.Member) bool { return peer.Addr == l.self.Addr }
-	return l.identity.Fresh && slices.ContainsFunc(l.configuration.Members, isSelf)
+	return l.identity.Bootstrapped && slices.ContainsFunc(l.configuration.Members, isSelf)
 }
 
 // inPrevious reports whether a replica, with its present disk, was a member of the previous configuration.
@@ -72,14 +72,14 @@
 func (r *Replica) loadMembership(now time.Time, persisted PersistedState) {
 	local := &r.local
 	identity := persisted.Identity
-	if identity.Disk == "" {
+	if identity.DiskID == "" {
 		founding := r.config.Bootstrap || persisted.LegacyDisk
 		identity = Identity{
-			Disk:       r.newDiskID(now),
-			Generation: 1,
-			Fresh:      founding,
-			Acting:     founding,
-			Contacts:   r.config.InitialPeers,
+			DiskID:       r.newDiskID(now),
+			Generation:   1,
+			Bootstrapped: founding,
+			EverActive:   founding,
+			InitialPeers: r.config.InitialPeers,
 		}
 	}
 	identity.Starts++
@@ -97,7 +97,7 @@
 // is not in force yet, as far as this replica knows: its predecessor is, which it names.
 func (r *Replica) loadConfiguration() {
 	local := &r.local
-	local.configuration = initialConfiguration(local.identity.Contacts)
+	local.configuration = initialConfiguration(local.identity.InitialPeers)
 	entry := r.acceptor.Get(membership.RegisterKey)
 	configuration, err := membership.ParseConfiguration(entry.Value)
 	if err != nil {
@@ -162,7 +162,7 @@
 		return false
 	}
 	identity := &local.identity
-	return local.identitySaved && identity.Acting && identity.Active == local.configuration.Epoch && local.isMember()
+	return local.identitySaved && identity.EverActive && identity.ActiveEpoch == local.configuration.Epoch && local.isMember()
 }
 
 // activeEpoch returns the epoch in which this replica is active, or 0 where it is not.
@@ -177,7 +177,7 @@
 func (r *Replica) activeInPreviousEpoch() bool {
 	local := &r.local
 	identity := &local.identity
-	return identity.Acting && identity.Active+1 == local.configuration.Epoch && local.inPrevious(local.self)
+	return identity.EverActive && identity.ActiveEpoch+1 == local.configuration.Epoch && local.inPrevious(local.self)
 }
 
 // epochClosed reports whether this replica has accepted the configuration that follows the epoch in which it was last
@@ -187,7 +187,7 @@
 	if r.local.configuration.Epoch == 0 {
 		return true
 	}
-	return r.acceptor.Get(membership.RegisterKey).Value.Version > r.local.identity.Active
+	return r.acceptor.Get(membership.RegisterKey).Value.Version > r.local.identity.ActiveEpoch
 }
 
 // concernsOnlyConfiguration reports whether a request of a round is about the configuration and no other register.
--- a/internal/control/replica/operation.go
+++ b/internal/control/replica/operation.go
@@ -182,7 +182,7 @@
 	switch {
 	case !r.local.isMember():
 		r.finish(op, nil, ErrNotMember)
-	case !r.local.identity.Acting:
+	case !r.local.identity.EverActive:
 		r.finish(op, nil, ErrCatchingUp)
 	default:
 		op.retryAt = now.Add(minRetryDelay/2 + r.jitter(minRetryDelay))
--- a/internal/control/replica/output.go
+++ b/internal/control/replica/output.go
@@ -35,10 +35,10 @@
 
 // Save is a disk write. HandleSaved is to be called with its ID once all of it is on disk, or has failed.
 type Save struct {
-	ID       uint64
-	Entries  []quorum.Entry
-	Floor    *quorum.ProposalNumber
-	Identity *Identity
+	ID          uint64
+	Entries     []quorum.Entry
+	MinProposal *quorum.ProposalNumber
+	Identity    *Identity
 }
 
 // OutgoingResponse answers a call of HandleRequest.
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -37,7 +37,7 @@
 	}
 	if response.ProtocolVersion < message.ProtocolVersion {
 		p.legacySource = response.Source
-		p.legacySequence = response.Seq
+		p.legacySequence = response.LocalSequence
 	}
 }
 
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -39,8 +39,8 @@
 		case expired && !isRegister && saved.Origin != "":
 			r.forget(saved.Item.Key)
 		case isRegister && !r.restoreRegisterBody(&saved.Item):
-			if lowest, known := lost[saved.Origin]; !known || saved.Number < lowest {
-				lost[saved.Origin] = saved.Number
+			if lowest, known := lost[saved.Origin]; !known || saved.Sequence < lowest {
+				lost[saved.Origin] = saved.Sequence
 			}
 		default:
 			r.restoreItem(now, saved)
@@ -71,7 +71,7 @@
 	if saved.Origin == "" { // protocol version 1 didn't save it
 		r.items.Publish(item)
 	} else {
-		r.items.Receive(item, saved.Origin, saved.Number)
+		r.items.Receive(item, saved.Origin, saved.Sequence)
 	}
 	if strings.HasPrefix(item.Key, replication.LeaseKey) {
 		lease, ok := replication.ReadLease(item)
--- a/internal/control/replica/pull_answer.go
+++ b/internal/control/replica/pull_answer.go
@@ -81,7 +81,7 @@
 	response := &message.PullResponse{
 		Source:           r.items.Source,
 		ProtocolVersion:  message.ProtocolVersion,
-		Seq:              r.items.LocalSequence(),
+		LocalSequence:    r.items.LocalSequence(),
 		HasQuorum:        r.HasQuorum(now),
 		KnownIncarnation: pending.knownIncarnation,
 		NowMs:            now.UnixMilli(),
--- a/internal/control/replica/pull_request.go
+++ b/internal/control/replica/pull_request.go
@@ -37,7 +37,7 @@
 		return false
 	}
 	if r.local.configuration.Epoch == 0 {
-		return r.local.identity.Fresh
+		return r.local.identity.Bootstrapped
 	}
 	return r.local.caughtUp
 }
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -173,7 +173,7 @@
 // this replica holds besides.
 func (r *Replica) HandingOver(now time.Time) bool {
 	local := &r.local
-	if !r.leaving || !local.identity.Acting || !local.diskConfirmed {
+	if !r.leaving || !local.identity.EverActive || !local.diskConfirmed {
 		return false
 	}
 	if !local.isMember() {
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -63,7 +63,7 @@
 		config:           cfg,
 		startedAt:        now,
 		output:           Output{NotifyAfter: -1},
-		acceptor:         quorum.NewAcceptor(persisted.Entries, persisted.Floor),
+		acceptor:         quorum.NewAcceptor(persisted.Entries, persisted.MinProposal),
 		undecided:        map[string]time.Time{},
 		operations:       map[uint64]*operation{},
 		pendingRequests:  map[uint64]pendingRequest{},
--- a/internal/control/replica/save.go
+++ b/internal/control/replica/save.go
@@ -8,7 +8,7 @@
 // save hands a write to the disk and calls done, which may be nil, with the result. With nothing to write, done is
 // called at once. It returns the save's ID, or 0 where there was nothing to write.
 func (r *Replica) save(now time.Time, save Save, done saveCallback) (id uint64) {
-	if len(save.Entries) == 0 && save.Floor == nil && save.Identity == nil {
+	if len(save.Entries) == 0 && save.MinProposal == nil && save.Identity == nil {
 		if done != nil {
 			done(now, nil)
 		}
@@ -44,7 +44,7 @@
 	r.saveFailed = false // another failure sets it again
 	floor := r.acceptor.MinProposal()
 	identity := r.local.submittedIdentity
-	r.save(now, Save{Entries: r.acceptor.AcceptedEntries(), Floor: &floor, Identity: &identity}, nil)
+	r.save(now, Save{Entries: r.acceptor.AcceptedEntries(), MinProposal: &floor, Identity: &identity}, nil)
 }
 
 // hasUnsavedBefore reports whether something that was handed to the disk before a save may not be on disk.
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -89,14 +89,14 @@
 		})
 		return
 	}
-	if !local.diskConfirmed || !local.identity.Acting || request.Epoch != local.configuration.Epoch {
+	if !local.diskConfirmed || !local.identity.EverActive || request.Epoch != local.configuration.Epoch {
 		r.save(now, Save{Entries: changed}, func(now time.Time, _ error) { respond(now, nil, ErrCatchingUp) })
 		return
 	}
 	response := &message.PeerResponse{
 		OK:              true,
 		DiskID:          local.self.DiskID,
-		ActiveEpoch:     local.identity.Active,
+		ActiveEpoch:     local.identity.ActiveEpoch,
 		DiskGenerations: maps.Clone(r.diskGenerations),
 	}
 	r.serveRanges(request, response)
@@ -159,18 +159,18 @@
 	r.acceptor.RaiseMinProposal(quorum.ProposalNumber{Epoch: epoch})
 	floor := r.acceptor.MinProposal()
 	next := local.submittedIdentity
-	next.Acting = true
-	next.Active = epoch
+	next.EverActive = true
+	next.ActiveEpoch = epoch
 	local.submittedIdentity = next
 	op.attempt.pendingSaves++
 	number := op.attempt.number
 	var saveID uint64
-	saveID = r.save(now, Save{Floor: &floor, Identity: &next}, func(now time.Time, err error) {
+	saveID = r.save(now, Save{MinProposal: &floor, Identity: &next}, func(now time.Time, err error) {
 		if !r.isCurrent(op, number) {
 			return
 		}
 		op.attempt.pendingSaves--
-		if err != nil || op.attempt.saveFailed || next.Disk != local.identity.Disk || r.hasUnsavedBefore(saveID) {
+		if err != nil || op.attempt.saveFailed || next.DiskID != local.identity.DiskID || r.hasUnsavedBefore(saveID) {
 			r.scheduleRetry(now, op)
 			return
 		}
@@ -181,8 +181,8 @@
 // activate makes this replica active in an epoch.
 func (r *Replica) activate(now time.Time, op *operation, epoch uint64) {
 	local := &r.local
-	local.identity.Acting = true
-	local.identity.Active = epoch
+	local.identity.EverActive = true
+	local.identity.ActiveEpoch = epoch
 	r.finish(op, nil, nil)
 	r.logEvent("active member of the epoch", "epoch", formatUint(epoch),
 		"registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())), "afterMs", formatMs(now.Sub(local.adoptedAt)))
--- a/internal/control/replication/backend.go
+++ b/internal/control/replication/backend.go
@@ -2,6 +2,8 @@
 
 import "github.com/mailru/easyjson"
 
+//go:generate go tool easyjson $GOFILE
+
 // Phases of a backend. It says itself that it is ready or draining; its owner adds the other two.
 const (
 	PhaseReady    = "ready"
--- a/internal/control/replication/heartbeat.go
+++ b/internal/control/replication/heartbeat.go
@@ -11,6 +11,8 @@
 	"sagelever/internal/settings"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // Heartbeat is what a backend says of itself.
 //
 //easyjson:json
--- a/internal/control/replication/lease.go
+++ b/internal/control/replication/lease.go
@@ -2,6 +2,8 @@
 
 import "github.com/mailru/easyjson"
 
+//go:generate go tool easyjson $GOFILE
+
 // Lease is the membership of a node, as the controller that grants it knows it.
 //
 //easyjson:json
--- a/internal/control/replication/release_tally.go
+++ b/internal/control/replication/release_tally.go
@@ -2,6 +2,8 @@
 
 import "github.com/mailru/easyjson"
 
+//go:generate go tool easyjson $GOFILE
+
 // ReleaseTally is what one proxy has seen of a release. Attempts, Payoffs and Failures are of the old and of the new
 // build.
 //
--- a/internal/control/server/persistence.go
+++ b/internal/control/server/persistence.go
@@ -112,7 +112,7 @@
 	if err := easyjson.Unmarshal([]byte(text), floor); err != nil {
 		return err
 	}
-	state.Floor = floor.Proposal
+	state.MinProposal = floor.Proposal
 	return nil
 }
 
--- a/internal/control/server/records.go
+++ b/internal/control/server/records.go
@@ -42,8 +42,8 @@
 		data, _ := easyjson.Marshal(entry) // strings and integers only: it cannot fail
 		records[entryPrefix+entry.Key] = string(data)
 	}
-	if save.Floor != nil {
-		data, _ := easyjson.Marshal(&message.PeerRequest{Proposal: *save.Floor}) // strings and integers only
+	if save.MinProposal != nil {
+		data, _ := easyjson.Marshal(&message.PeerRequest{Proposal: *save.MinProposal}) // strings and integers only
 		records[floorKey] = string(data)
 	}
 	if save.Identity != nil {
@@ -57,7 +57,7 @@
 	return strings.Join([]string{
 		strconv.FormatUint(item.Item.Version, 16),
 		item.Origin,
-		strconv.FormatUint(item.Number, 16),
+		strconv.FormatUint(item.Sequence, 16),
 		item.Item.Body,
 	}, " ")
 }
@@ -77,9 +77,9 @@
 		return item, false
 	}
 	return replica.PersistedItem{
-		Item:   replication.Item{Key: key, Version: version, Body: fields[3]},
-		Origin: fields[1],
-		Number: number,
+		Item:     replication.Item{Key: key, Version: version, Body: fields[3]},
+		Origin:   fields[1],
+		Sequence: number,
 	}, true
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -18,10 +18,10 @@
 	renewedAt time.Time // when the last request was sent that a healthy controller answered
 }
 
-// LeaseDuration returns how long a send lease lasts, given the time for which a backend goes on serving after its
+// Duration returns how long a send lease lasts, given the time for which a backend goes on serving after its
 // removal was acknowledged (0 where there is no such bound). A quarter of the drain time is kept for a request on its
 // way, and for a controller that has just lost contact with the others.
-func LeaseDuration(drainTime time.Duration) time.Duration {
+func Duration(drainTime time.Duration) time.Duration {
 	if drainTime <= 0 {
 		return maxDuration
 	}
@@ -30,15 +30,15 @@
 
 // PullWait returns how long a controller may hold a proxy's pull until there are updates. A lease must outlast the pull
 // that has renewed it, the next one, and a slow response: two fifths of it for each pull, and one for the response.
-func PullWait(drainTime time.Duration) time.Duration { return LeaseDuration(drainTime) * 2 / 5 }
+func PullWait(drainTime time.Duration) time.Duration { return Duration(drainTime) * 2 / 5 }
 
-// NewSendLease returns a lease that has yet to be granted: it is not valid until it is renewed.
-func NewSendLease(drainTime time.Duration) SendLease {
-	return SendLease{duration: LeaseDuration(drainTime)}
+// New returns a lease that has yet to be granted: it is not valid until it is renewed.
+func New(drainTime time.Duration) SendLease {
+	return SendLease{duration: Duration(drainTime)}
 }
 
-// Span returns how long the lease lasts.
-func (l *SendLease) Span() time.Duration { return l.duration }
+// Duration returns how long the lease lasts.
+func (l *SendLease) Duration() time.Duration { return l.duration }
 
 // Renew records that a healthy controller has answered a request sent at requestedAt. The lease counts from the
 // request, since nobody can say when during it the answer was formed. An older moment changes nothing.
--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -160,7 +160,7 @@
 	switch {
 	case response.ProtocolVersion < message.ProtocolVersion:
 		s.legacySources[pull.addr] = response.Source
-		s.legacyProgress[response.Source] = response.Seq
+		s.legacyProgress[response.Source] = response.LocalSequence
 		return response.Complete
 	case response.Complete && stale:
 		s.progress = maps.Clone(response.Progress)
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -65,7 +65,7 @@
 		backends:     map[string]*Backend{},
 		services:     map[string]*serviceState{},
 		tallies:      map[string]*replication.ReleaseTally{},
-		lease:        lease.NewSendLease(nodeSettings.RuleLimits.DrainTime),
+		lease:        lease.New(nodeSettings.RuleLimits.DrainTime),
 		departed:     map[string]*Backend{},
 	}
 }
--- a/internal/proxy/balancer/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -123,8 +123,8 @@
 	if canary == nil || !canary.inService() {
 		return stableArm, true
 	}
-	allowance := leewayUtilisation * b.bounds.TrialErrorAllowance / float64(b.proxies+unseenProxies(b.proxies))
-	if canary.tally.NewBuildRequests+1 > allowance+capUtilisation*b.bounds.TrialErrorRatio*canary.received {
+	allowance := leewayUtilisation * b.bounds.TrialRequestAllowance / float64(b.proxies+unseenProxies(b.proxies))
+	if canary.tally.NewBuildRequests+1 > allowance+capUtilisation*b.bounds.TrialRequestRatio*canary.received {
 		return stableArm, true
 	}
 	if request.Delivered > 0 {
--- a/internal/proxy/draining/tracker.go
+++ b/internal/proxy/draining/tracker.go
@@ -118,7 +118,7 @@
 	if t.suspectedDraining() {
 		return false
 	}
-	return sendLease.Valid(now) || now.Before(t.confirmedAt.Add(sendLease.Span()))
+	return sendLease.Valid(now) || now.Before(t.confirmedAt.Add(sendLease.Duration()))
 }
 
 // drainingCloseCount is how many responses in a row with `Connection: close` say that a backend may be draining: all
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -90,7 +90,7 @@
 
 // New makes a proxy. It opens no connection before Run.
 func New(options Options) *Proxy {
-	memoryLimit := int64(options.Settings.Resources.RAMMb) << 20
+	memoryLimit := int64(options.Settings.Resources.MemoryMB) << 20
 	if memoryLimit <= 0 {
 		memoryLimit = defaultMemoryLimit
 	}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -56,7 +56,7 @@
 func (s *subscription) reportInFlight(addr string, surveyID uint64) {
 	report := &message.InFlightReport{From: s.member(), SurveyID: surveyID}
 	s.proxy.mu.Lock()
-	report.Rows, report.Loads, report.DrainVersions = s.proxy.balancer.InFlightReport(time.Now())
+	report.Backends, report.Loads, report.DrainVersions = s.proxy.balancer.InFlightReport(time.Now())
 	s.proxy.mu.Unlock()
 	body, err := easyjson.Marshal(report)
 	if err != nil {
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -25,12 +25,12 @@
 	MaxTTL            time.Duration // ttl_max: longest validity of a directory answer
 	HeartbeatInterval time.Duration // the field pulse of the settings: between two heartbeats of a backend
 
-	RetryBudgetRatio    float64 // retryShare: retries that each request adds to the retry budget
-	MaxExtraRetries     float64 // extraTries: size of the retry budgets of all proxies together
-	TrialErrorRatio     float64 // badShare: part of a service's requests that may go to a bad release
-	TrialErrorAllowance float64 // badLeeway: requests to a bad release beside that part, over all proxies
-	WarmUpLoadFactor    float64 // warmUpExcess: not applied
-	WarmUpAllowance     float64 // warmUpLeeway: not applied
+	RetryBudgetRatio      float64 // retryShare: retries that each request adds to the retry budget
+	MaxExtraRetries       float64 // extraTries: size of the retry budgets of all proxies together
+	TrialRequestRatio     float64 // badShare: part of a service's requests that may go to a bad release
+	TrialRequestAllowance float64 // badLeeway: requests to a bad release beside that part, over all proxies
+	WarmUpLoadFactor      float64 // warmUpExcess: not applied
+	WarmUpAllowance       float64 // warmUpLeeway: not applied
 }
 
 // defaultTimeout is used for a contact timeout or a shutdown grace that is missing from the settings.
@@ -60,8 +60,8 @@
 	return map[string]*float64{
 		"retryShare":   &l.RetryBudgetRatio,
 		"extraTries":   &l.MaxExtraRetries,
-		"badShare":     &l.TrialErrorRatio,
-		"badLeeway":    &l.TrialErrorAllowance,
+		"badShare":     &l.TrialRequestRatio,
+		"badLeeway":    &l.TrialRequestAllowance,
 		"warmUpExcess": &l.WarmUpLoadFactor,
 		"warmUpLeeway": &l.WarmUpAllowance,
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,6 +11,8 @@
 	"github.com/mailru/easyjson"
 )
 
+//go:generate go tool easyjson $GOFILE
+
 // DefaultPath is the path of the settings file unless the environment variable PathVariable names another.
 const DefaultPath = "/etc/sagelever/boot.json"
 
@@ -48,9 +50,9 @@
 // ResourceLimits is what a process may use of its machine. Only the memory limit is applied, in mebibytes.
 type ResourceLimits struct {
 	CPUShare  float64 `json:"cpuPart"`
-	RAMMb     int     `json:"ramMb"`
+	MemoryMB  int     `json:"ramMb"`
 	OpenFiles int     `json:"openFiles"`
-	StorageMb int     `json:"storageMb"`
+	StorageMB int     `json:"storageMb"`
 }
 
 // FaultTolerance says how many machines, zones or regions may fail at once while the system keeps all its guarantees.
--- a/internal/settings/settings_easyjson.go
+++ b/internal/settings/settings_easyjson.go
@@ -525,7 +525,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.RAMMb = int(in.Int())
+				out.MemoryMB = int(in.Int())
 			}
 		case "openFiles":
 			if in.IsNull() {
@@ -537,7 +537,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.StorageMb = int(in.Int())
+				out.StorageMB = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -561,7 +561,7 @@
 	{
 		const prefix string = ",\"ramMb\":"
 		out.RawString(prefix)
-		out.Int(int(in.RAMMb))
+		out.Int(int(in.MemoryMB))
 	}
 	{
 		const prefix string = ",\"openFiles\":"
@@ -571,7 +571,7 @@
 	{
 		const prefix string = ",\"storageMb\":"
 		out.RawString(prefix)
-		out.Int(int(in.StorageMb))
+		out.Int(int(in.StorageMB))
 	}
 	out.RawByte('}')
 }
