--- a/internal/proxy/balancer/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"net/http"
 	"time"
 
 	"sagelever/internal/control/release"
@@ -183,7 +182,7 @@
 	if o.Cancelled && !o.TimedOut || !o.Connected {
 		return false
 	}
-	return !o.clientError() && (o.Status != http.StatusServiceUnavailable || o.Succeeded)
+	return !o.clientError() && (o.Status != statusServiceUnavailable || o.Succeeded)
 }
 
 // tallyArm returns the counts of one arm of a tally.
--- a/internal/proxy/balancer/outcome.go
+++ b/internal/proxy/balancer/outcome.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"net/http"
 	"time"
 
 	"sagelever/internal/proxy/retry"
@@ -31,7 +30,7 @@
 
 // clientError reports whether the backend answered with a 4xx status.
 func (o *Outcome) clientError() bool {
-	return o.Status >= http.StatusBadRequest && o.Status < http.StatusInternalServerError
+	return o.Status >= statusBadRequest && o.Status < statusInternalServerError
 }
 
 // ReportOutcome records the outcome of an attempt that Pick assigned to a backend. It must be called exactly once for
@@ -54,7 +53,7 @@
 		request.Delivered++
 	}
 	backend.health.observe(backend, outcome, now)
-	if outcome.Status == http.StatusMisdirectedRequest { // another backend has its address
+	if outcome.Status == statusMisdirectedRequest { // another backend has its address
 		b.removeBackend(backend.ID, now)
 	}
 	if outcome.Succeeded {
--- a/internal/proxy/balancer/passivehealth.go
+++ b/internal/proxy/balancer/passivehealth.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"net/http"
 	"time"
 
 	"sagelever/internal/proxy/retry"
@@ -54,7 +53,7 @@
 		h.refusing = true
 		h.refusedAt = now
 		h.recordFailure(now)
-	case outcome.Execution == retry.Executed && outcome.Status < http.StatusInternalServerError, outcome.Succeeded:
+	case outcome.Execution == retry.Executed && outcome.Status < statusInternalServerError, outcome.Succeeded:
 		if h.refusing {
 			h.refusing = false
 			backend.extendWarmUp(now.Add(reconnectWarmUp), now)
--- a/internal/proxy/balancer/retrybudget.go
+++ b/internal/proxy/balancer/retrybudget.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"net/http"
 	"time"
 
 	"sagelever/internal/proxy/retry"
@@ -37,7 +36,7 @@
 	if !request.Route.Idempotent && request.Execution != retry.NotExecuted {
 		return false // it may have been executed: it is never sent again
 	}
-	if outcome.Execution == retry.Executed && outcome.Status < http.StatusInternalServerError {
+	if outcome.Execution == retry.Executed && outcome.Status < statusInternalServerError {
 		return false // a final response, or the request's own fault wherever it is sent
 	}
 	// What never reached a backend does not count among the attempts of the route, within bounds.
