--- a/httpagent/exchange.go
+++ b/httpagent/exchange.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptrace"
@@ -16,29 +15,6 @@
 	"sagelever/internal/upstream"
 )
 
-// attemptStage is how far an attempt had come when it ended without a response.
-type attemptStage int
-
-const (
-	notConnected    attemptStage = iota // no connection came up
-	notWritten                          // there was a connection, and the last byte was not written: it never ran
-	written                             // it may have run
-	responseStarted                     // a response had begun
-)
-
-var attemptStageNames = [...]string{"unconnected", "unwritten", "written", "answering"}
-
-func (s attemptStage) String() string { return attemptStageNames[s] }
-
-// attemptError says why an attempt has no response, and how far it had come.
-type attemptError struct {
-	stage attemptStage
-	cause error
-}
-
-func (e *attemptError) Error() string { return fmt.Sprintf("%s: %v", e.stage, e.cause) }
-func (e *attemptError) Unwrap() error { return e.cause }
-
 var errMalformedResponse = upstream.ErrMalformedResponse
 
 // backendResponse is what a backend has answered, read whole. Whoever has it releases it.
@@ -54,8 +30,7 @@
 	if err == nil {
 		return responseOutcome(response)
 	}
-	var attempt *attemptError
-	neverRan := errors.As(err, &attempt) && attempt.stage < written
+	neverRan := transaction.NeverRan(err)
 	canceled := errors.Is(err, transaction.ErrCanceled)
 	switch {
 	case neverRan && (canceled || errors.Is(err, errNoDescriptors)):
@@ -123,7 +98,7 @@
 	defer resp.Body.Close()
 	response, err = l.readResponse(resp)
 	if err != nil {
-		return nil, false, x.failure(responseStarted, err)
+		return nil, false, x.failure(transaction.ResponseStarted, err)
 	}
 	x.closeIfHalfClosed()
 	return response, false, nil
@@ -181,25 +156,25 @@
 }
 
 // stage tells how far a request had come that has no response.
-func (x *exchange) stage() attemptStage {
+func (x *exchange) stage() transaction.AttemptStage {
 	switch {
 	case x.conn.Load() == nil:
-		return notConnected
+		return transaction.NotConnected
 	case x.writeFailed.Load(), x.canceledBeforeWrite.Load(), !x.use.WriteStarted():
-		return notWritten
+		return transaction.NotWritten
 	}
-	return written
+	return transaction.Written
 }
 
 // failure is the error of an attempt without a usable response.
-func (x *exchange) failure(stage attemptStage, err error) error {
+func (x *exchange) failure(stage transaction.AttemptStage, err error) error {
 	switch {
 	case x.use.ResponseStarted(): // what came is no response, or never ended, or broke off
 		err = errMalformedResponse
 	case x.ctx.Err() != nil:
 		err = context.Cause(x.ctx)
 	}
-	return &attemptError{stage, err}
+	return &transaction.AttemptError{Stage: stage, Cause: err}
 }
 
 // closeIfHalfClosed closes the connection of an attempt that was given up but answered: giveUp has closed its writing
--- /dev/null
+++ b/match/rules/indextest.go
@@ -0,0 +1,196 @@
+package rules
+
+import (
+	"fmt"
+	"slices"
+
+	celast "cel.dev/cel-go/common/ast"
+	"cel.dev/cel-go/common/operators"
+	"cel.dev/cel-go/common/types"
+)
+
+// attribute is a text that a subject has, or that some subjects lack.
+type attribute struct {
+	source   string // method, path, peer, segments, or the name of a table
+	name     string // in a table
+	segment  int    // the number of a segment
+	optional bool   // a missing one reads as fallback; else it is an error of the expression
+	fallback string
+}
+
+// value reads the attribute of a subject; false says that it is missing.
+func (a attribute) value(v *activationView) (text string, ok bool) {
+	switch a.source {
+	case "method", "path", "peer":
+		return v.text(a.source), true
+	case "segments":
+		if segments := v.segments(); a.segment < len(segments) {
+			return segments[a.segment], true
+		}
+	default:
+		if values := v.table(tableIndex(a.source, "")).Values(a.name); len(values) == 1 {
+			return values[0], true
+		}
+	}
+	return a.fallback, a.optional
+}
+
+// alwaysPresent tells whether every subject has the attribute.
+func (a attribute) alwaysPresent() bool {
+	return a.optional || a.source == "method" || a.source == "path" || a.source == "peer"
+}
+
+// String is the attribute as an expression names it.
+func (a attribute) String() string {
+	switch a.source {
+	case "method", "path", "peer":
+		return a.source
+	case "segments":
+		return fmt.Sprintf("segments[%d]", a.segment)
+	}
+	return fmt.Sprintf("%s[%q]", a.source, a.name)
+}
+
+// indexTest holds if the attribute is one of some texts, or begins with one of some others.
+type indexTest struct {
+	attribute attribute
+	equals    []string
+	prefixes  []string
+}
+
+// indexTests lists the tests that all must hold for an expression to be true or an error.
+func indexTests(e celast.Expr) []indexTest {
+	if e.Kind() != celast.CallKind {
+		return nil
+	}
+	call := e.AsCall()
+	args := call.Args()
+	switch call.FunctionName() {
+	case operators.LogicalAnd:
+		var all []indexTest
+		for _, arg := range args {
+			all = append(all, indexTests(arg)...)
+		}
+		return all
+	case operators.LogicalOr:
+		either := indexTests(args[0])
+		for _, arg := range args[1:] {
+			either = unionTests(either, indexTests(arg))
+		}
+		return either
+	case operators.Equals:
+		return equalsTest(args[0], args[1])
+	case operators.In:
+		return inTest(args[0], args[1])
+	case "startsWith":
+		return prefixTest(call.Target(), args[0])
+	}
+	return nil
+}
+
+// equalsTest is the test of an attribute that equals a literal, on either side.
+func equalsTest(left, right celast.Expr) []indexTest {
+	for _, sides := range [][2]celast.Expr{{left, right}, {right, left}} {
+		attribute, ok := attributeOf(sides[0])
+		if !ok {
+			continue
+		}
+		if text, ok := stringLiteral(sides[1]); ok {
+			return []indexTest{{attribute: attribute, equals: []string{text}}}
+		}
+	}
+	return nil
+}
+
+// inTest is the test of an attribute that is in a list of literals.
+func inTest(element, list celast.Expr) []indexTest {
+	attribute, ok := attributeOf(element)
+	if !ok || list.Kind() != celast.ListKind {
+		return nil
+	}
+	var texts []string
+	for _, x := range list.AsList().Elements() {
+		text, ok := stringLiteral(x)
+		if !ok {
+			return nil
+		}
+		texts = append(texts, text)
+	}
+	return []indexTest{{attribute: attribute, equals: texts}}
+}
+
+// prefixTest is the test of an attribute that starts with a literal.
+func prefixTest(target, prefix celast.Expr) []indexTest {
+	attribute, ok := attributeOf(target)
+	if !ok {
+		return nil
+	}
+	text, ok := stringLiteral(prefix)
+	if !ok {
+		return nil
+	}
+	return []indexTest{{attribute: attribute, prefixes: []string{text}}}
+}
+
+// unionTests lists the tests that hold if one of two expressions is true or an error: those that both make of the same
+// attribute, joined.
+func unionTests(a, b []indexTest) (both []indexTest) {
+	for _, x := range a {
+		for _, y := range b {
+			if x.attribute == y.attribute {
+				both = append(both, indexTest{x.attribute, slices.Concat(x.equals, y.equals), slices.Concat(x.prefixes,
+					y.prefixes)})
+				break
+			}
+		}
+	}
+	return both
+}
+
+// attributeOf gives the attribute that an expression reads, if it does nothing else.
+func attributeOf(e celast.Expr) (a attribute, ok bool) {
+	switch e.Kind() {
+	case celast.IdentKind:
+		a.source = e.AsIdent()
+		return a, a.source == "method" || a.source == "path" || a.source == "peer"
+	case celast.SelectKind: // header.accept
+		s := e.AsSelect()
+		return attribute{source: s.Operand().AsIdent(), name: s.FieldName()}, !s.IsTestOnly() && isTable(s.Operand())
+	case celast.CallKind:
+		call := e.AsCall()
+		switch call.FunctionName() {
+		case operators.Index, operators.OptIndex:
+			a, ok = indexedAttribute(call.Args()[0], call.Args()[1])
+			return a, ok && call.FunctionName() == operators.Index
+		case "orValue":
+			inner := call.Target()
+			if inner.Kind() != celast.CallKind || inner.AsCall().FunctionName() != operators.OptIndex {
+				return a, false
+			}
+			a, ok = indexedAttribute(inner.AsCall().Args()[0], inner.AsCall().Args()[1])
+			text, written := stringLiteral(call.Args()[0])
+			a.optional, a.fallback = true, text
+			return a, ok && written
+		}
+	}
+	return a, false
+}
+
+// isTable tells whether an expression is the variable of a table.
+func isTable(e celast.Expr) bool {
+	return e.Kind() == celast.IdentKind && isSingleTable(e.AsIdent())
+}
+
+// indexedAttribute gives the attribute that a literal key reads from a variable.
+func indexedAttribute(container, key celast.Expr) (attribute, bool) {
+	if container.Kind() != celast.IdentKind || key.Kind() != celast.LiteralKind {
+		return attribute{}, false
+	}
+	switch x := key.AsLiteral().(type) {
+	case types.String:
+		return attribute{source: container.AsIdent(), name: string(x)}, isTable(container)
+	case types.Int:
+		return attribute{source: "segments", segment: int(x)}, container.AsIdent() == "segments" && x >= 0 && x < MaxSegments
+	}
+	return attribute{}, false
+}
