--- a/httpagent/backends.go
+++ b/httpagent/backends.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// serves tells whether the client is that of an entry.
+// serves reports whether the client is that of an entry.
 func (l *backendClient) serves(entry api.Backend, address string) bool {
 	return l.address == address && l.build == entry.Build && l.startedAt == entry.Started
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// get gives the client of a backend, nil if the backend is not listed.
+// get returns the client of a backend, nil if the backend is not listed.
 func (c *backendClients) get(id api.BackendID) *backendClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/httpagent/clientconns.go
+++ b/httpagent/clientconns.go
@@ -77,7 +77,7 @@
 }
 
 // closeIdlest closes the connection that has been without a transaction for longest, if that is minAge or more, and
-// tells whether there was one. The lock is held.
+// reports whether there was one. The lock is held.
 func (c *clientConns) closeIdlest(minAge time.Duration) bool {
 	var idlest net.Conn
 	for conn, entry := range c.conns {
--- a/httpagent/counters.go
+++ b/httpagent/counters.go
@@ -34,7 +34,8 @@
 
 func (c *outcomeCounters) countAttempt(outcome api.Outcome) { c.attempts[outcome].Add(1) }
 
-// takeFields gives what has been counted since the last call as fields of a line in the log, without those that are 0.
+// takeFields returns what has been counted since the last call as fields of a line in the log, without those that are
+// 0.
 func (c *outcomeCounters) takeFields(backends *backendClients) (fields []any) {
 	put := func(name string, counter *atomic.Int64) {
 		if n := counter.Swap(0); n > 0 {
--- a/httpagent/exchange.go
+++ b/httpagent/exchange.go
@@ -150,7 +150,7 @@
 	time.AfterFunc(inTransitGrace, cancel)
 }
 
-// connIsStale tells whether the request failed as a kept connection was of no use, and may go to another.
+// connIsStale reports whether the request failed as a kept connection was of no use, and may go to another.
 func (x *exchange) connIsStale() bool {
 	return x.conn.Load() != nil && !x.use.WriteStarted() && x.reused.Load() && x.ctx.Err() == nil
 }
--- a/httpagent/frontend.go
+++ b/httpagent/frontend.go
@@ -77,7 +77,7 @@
 // Deployment is what the operator's rules have to fit.
 func (a *Agent) Deployment() match.Deployment { return a.deployment }
 
-// Timeouts gives how long a workload's clients wait, and the longest that any client may.
+// Timeouts returns how long a workload's clients wait, and the longest that any client may.
 func (a *Agent) Timeouts(workload string) (timeout, maximum time.Duration) {
 	return setting(a.station, "workload."+workload+".abandon", time.Second), a.longestTimeout()
 }
--- a/httpagent/platform.go
+++ b/httpagent/platform.go
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-// valid tells whether all numbers are there and in their range.
+// valid reports whether all numbers are there and in their range.
 func (r rolloutBody) valid() bool {
 	if r.Image == nil || r.Ring == nil || r.Ceiling == nil || !validLag(r.LagMs) {
 		return false
@@ -70,7 +70,7 @@
 	return *r.Image >= 0 && *r.Ring >= 0 && *r.Ceiling >= 0 && *r.Ceiling <= 1
 }
 
-// validLag tells whether a number of milliseconds is there and can have passed.
+// validLag reports whether a number of milliseconds is there and can have passed.
 func validLag(ms *float64) bool { return ms != nil && *ms >= 0 && *ms < maxHeaderNumber }
 
 // parseStreamLine reads one line of the stream; a heartbeat is no event, but nil.
--- a/httpagent/station.go
+++ b/httpagent/station.go
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// present tells whether a part of the configuration is there.
+// present reports whether a part of the configuration is there.
 func present(part json.RawMessage) bool { return len(part) > 0 && string(part) != "null" }
 
 // setting reads one of the deployment's settings, or gives the default where the deployment does not name it.
--- a/httpagent/streams.go
+++ b/httpagent/streams.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// sleep waits, and tells whether the context lasts.
+// sleep waits, and reports whether the context lasts.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/agent/api/types.go
+++ b/internal/agent/api/types.go
@@ -74,7 +74,7 @@
 	InvalidRequest            // turned away as a request that cannot be used; may have run
 )
 
-// Phase is where the rollout of a build stands.
+// Phase is the state of the rollout of a build.
 type Phase int
 
 // Phases of a rollout.
--- a/internal/agent/connpool/machine.go
+++ b/internal/agent/connpool/machine.go
@@ -105,7 +105,7 @@
 	p.remove(c)
 }
 
-// closeIfDrained gives a draining connection the whole time-out for its next response, or closes it if it owes none.
+// closeIfDrained returns a draining connection the whole time-out for its next response, or closes it if it owes none.
 func (p *Pool) closeIfDrained(c *conn) {
 	c.lastActivity = p.now
 	if c.inFlight == 0 {
--- a/internal/agent/connpool/pool.go
+++ b/internal/agent/connpool/pool.go
@@ -184,7 +184,7 @@
 }
 
 // leastLoaded finds the connection with the fewest requests, one that was pinged only if there is no other. It also
-// tells whether one is coming up.
+// reports whether one is coming up.
 func (p *Pool) leastLoaded(target *backend) (best *conn, dialInProgress bool) {
 	for _, c := range target.conns {
 		switch {
@@ -222,8 +222,8 @@
 	p.actions = append(p.actions, Action{Dial, c.id, target.id})
 }
 
-// closeIdlest makes room by closing the connection of another backend that has been idle for longest, and tells whether
-// there was one.
+// closeIdlest makes room by closing the connection of another backend that has been idle for longest, and reports
+// whether there was one.
 func (p *Pool) closeIdlest(except *backend) bool {
 	var idlest *conn
 	for _, c := range p.ordered {
--- a/internal/agent/policy/arms.go
+++ b/internal/agent/policy/arms.go
@@ -64,7 +64,7 @@
 	return baselineArm
 }
 
-// armHasWarmBackend tells whether an arm has a listed backend whose outcomes count.
+// armHasWarmBackend reports whether an arm has a listed backend whose outcomes count.
 func (b *Balancer) armHasWarmBackend(index armIndex) bool {
 	for _, backend := range b.ordered {
 		if backend.listed && b.armOf(backend) == index && b.now-backend.Started > minCountedAge {
@@ -74,8 +74,8 @@
 	return false
 }
 
-// backendsByStage gives an arm's backends with outcomes by the stage they came with, those with the lowest mean payoff
-// first.
+// backendsByStage returns an arm's backends with outcomes by the stage they came with, those with the lowest mean
+// payoff first.
 func (b *Balancer) backendsByStage(index armIndex) (stages [maxStages][]*backend) {
 	for _, backend := range b.ordered {
 		if backend.counts.outcomes > 0 && b.armOf(backend) == index {
@@ -154,7 +154,7 @@
 }
 
 // judgeCount is how many agents, from number 0 on, hear all counts and judge: every one where shares of all have to
-// stand for a vote, else six, of whom some are alive when half of all agents die.
+// make a vote count, else six, of whom some are alive when half of all agents die.
 func (b *Balancer) judgeCount() int {
 	const enough = 6
 	agents := int(b.settings.agents)
--- a/internal/agent/policy/backends.go
+++ b/internal/agent/policy/backends.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// recentlyBroadcast tells whether all agents were told within the window that a backend is unhealthy.
+// recentlyBroadcast reports whether all agents were told within the window that a backend is unhealthy.
 func (b *Balancer) recentlyBroadcast(backend *backend) bool {
 	return backend.broadcastAt > 0 && b.now-backend.broadcastAt <= healthReportWindow
 }
--- a/internal/agent/policy/balancer.go
+++ b/internal/agent/policy/balancer.go
@@ -148,7 +148,7 @@
 	b.heartbeat()
 }
 
-// watchUnconfirmed tells whether a request to discovery may be lost without notice, so that it has to be repeated.
+// watchUnconfirmed reports whether a request to discovery may be lost without notice, so that it has to be repeated.
 func (b *Balancer) watchUnconfirmed() bool {
 	return b.settings.discovery == discoveryAsked && b.settings.watchUnsure
 }
--- a/internal/agent/policy/doc.go
+++ b/internal/agent/policy/doc.go
@@ -7,7 +7,7 @@
 // package api. The package does no input or output, reads no clock and shares no state, so the same seed and events
 // always lead to the same actions.
 //
-// The decisions stand in four files: decide.go (state machines, heartbeat, concurrency limits), route.go (the course of
+// The decisions are in four files: decide.go (state machines, heartbeat, concurrency limits), route.go (the course of
 // a transaction), health.go (backends) and trial.go (the build on trial). The other files hold state and bookkeeping:
 // machine.go the states and the step through a transition table, balancer.go the Balancer and its dispatch of events,
 // settings.go the deployment's settings, and the rest one kind of state each.
--- a/internal/agent/policy/health.go
+++ b/internal/agent/policy/health.go
@@ -16,8 +16,8 @@
 	return 1
 }
 
-// withinPace tells whether one more attempt keeps a backend below a multiple of this agent's even share. The
-// first credit is random, so that the small shares of hundreds of agents add up to the whole.
+// withinPace reports whether one more attempt keeps a backend below a multiple of this agent's even share.
+// The first credit is random, so that the small shares of hundreds of agents add up to the whole.
 func (b *Balancer) withinPace(backend *backend, multiple float64) bool {
 	share := multiple * b.rate(&b.demand) / float64(max(b.listedCount, 1)) // a second
 	backend.paceCredit = min(backend.paceCredit+share*(b.now-backend.paceCreditAt).Seconds(), max(1, share/4))
@@ -33,7 +33,7 @@
 	return capacity >= 1 || b.withinPace(backend, min(1.4, 0.7*b.settings.overloadFactor)*capacity)
 }
 
-// available tells whether a backend should be used while others are there too.
+// available reports whether a backend should be used while others are there too.
 func (backend *backend) available() bool {
 	return backend.health == healthy || backend.health == probing && backend.inFlight == 0
 }
@@ -144,6 +144,6 @@
 	}
 }
 
-// failing tells whether most of the last responses were errors; five in a row will do. A bad build fails a
+// failing reports whether most of the last responses were errors; five in a row will do. A bad build fails a
 // third or one workload: a backend that fails most is itself unhealthy, and does not count for its build.
 func (backend *backend) failing() bool { return backend.faultRate >= 0.6 }
--- a/internal/agent/policy/helpers_test.go
+++ b/internal/agent/policy/helpers_test.go
@@ -50,7 +50,7 @@
 	b.actions = nil
 }
 
-// actionsOf gives the actions of one type that wait to be carried out.
+// actionsOf returns the actions of one type that wait to be carried out.
 func actionsOf[T api.Action](b *Balancer) (list []T) {
 	for _, a := range b.actions {
 		if x, ok := a.(T); ok {
--- a/internal/agent/policy/machine.go
+++ b/internal/agent/policy/machine.go
@@ -41,7 +41,7 @@
 	advance(b, voteTransitions, &b.vote.state, input, &b.vote)
 }
 
-// transactionState is where a transaction stands.
+// transactionState is the state of a transaction.
 type transactionState int
 
 const (
@@ -85,7 +85,7 @@
 	peerFoundHealthy                       // another agent found it healthy again
 )
 
-// voteState is where this agent's vote stands.
+// voteState is the state of this agent's vote.
 type voteState int
 
 const (
--- a/internal/agent/policy/messages.go
+++ b/internal/agent/policy/messages.go
@@ -22,7 +22,7 @@
 	maxCountInRecord = 1 << 14 // keeps twice a payoff within two bytes
 )
 
-// healthReportKind says what a health report tells of its backends; the values stand in the message.
+// healthReportKind says what a health report tells of its backends; the values are those in the message.
 type healthReportKind int
 
 const (
--- a/internal/agent/policy/rollout.go
+++ b/internal/agent/policy/rollout.go
@@ -62,7 +62,7 @@
 	b.updateVote()
 }
 
-// outdated tells whether one state of the newest build came before another. A higher build is a newer one, and a
+// outdated reports whether one state of the newest build came before another. A higher build is a newer one, and a
 // build's stages rise until it is released or, at any time, rolled back.
 func outdated(update, current api.RolloutUpdate) bool {
 	if update.Build != current.Build {
@@ -74,17 +74,17 @@
 	return update.Stage < current.Stage
 }
 
-// trialIsOpen tells whether the newest build is the one that the arms compare, and is not being taken back.
+// trialIsOpen reports whether the newest build is the one that the arms compare, and is not being taken back.
 func (b *Balancer) trialIsOpen() bool {
 	return b.trialBuild == b.rollout.Build && !rollsBack(b.rollout.Phase)
 }
 
-// rollsBack tells whether a build in a phase is being taken back, or was.
+// rollsBack reports whether a build in a phase is being taken back, or was.
 func rollsBack(phase api.Phase) bool {
 	return phase == api.PhaseRollingBack || phase == api.PhaseWithdrawn
 }
 
-// phaseOrder gives the order in which a build goes through the phases.
+// phaseOrder returns the order in which a build goes through the phases.
 func phaseOrder(phase api.Phase) int {
 	switch phase {
 	case api.PhaseReleased:
@@ -196,8 +196,8 @@
 	workload api.Workload
 }
 
-// exposureCounters gives the counts by which the exposure rule goes for a build and a workload: of attempts there, and
-// of transactions.
+// exposureCounters returns the counts by which the exposure rule goes for a build and a workload: of attempts there,
+// and of transactions.
 func (b *Balancer) exposureCounters(build api.Build, w *workload) (attempts, transactions *decay.SlidingWindow) {
 	key := exposureKey{build: build}
 	transactions = &b.accepted
--- a/internal/agent/policy/route.go
+++ b/internal/agent/policy/route.go
@@ -7,7 +7,7 @@
 	"sagelever/internal/agent/api"
 )
 
-// eligible tells whether the rules allow an attempt of a transaction at a backend.
+// eligible reports whether the rules allow an attempt of a transaction at a backend.
 func (b *Balancer) eligible(tx *transaction, backend *backend) bool {
 	if !backend.listed || !b.rolloutKnown ||
 		backend.Build < b.boundBuild(tx.Key) || !b.exposureAllows(tx, backend) {
@@ -47,7 +47,7 @@
 	return spare > 0 && float64(len(tx.attempts)) < b.settings.maxAttempts
 }
 
-// safeToRepeat tells whether the transaction cannot take effect twice, whoever repeats it.
+// safeToRepeat reports whether the transaction cannot take effect twice, whoever repeats it.
 func (tx *transaction) safeToRepeat() bool {
 	w := tx.workload
 	return tx.mayHaveRunAt < 0 || w.effect == effectPure || w.effect == effectReceipted && w.group == groupAll
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// candidates gives the eligible backends by arm: those ready for more, and the others. A trial backend with
+// candidates returns the eligible backends by arm: those ready for more, and the others. A trial backend with
 // much more load than the baseline's is not ready, as it would be judged for that.
 func (b *Balancer) candidates(tx *transaction) (ready, spare [2][]*backend) {
 	mean := b.meanLoad()
@@ -136,7 +136,7 @@
 	return ready, spare
 }
 
-// avoidsTrial tells whether a transaction avoids the trial: it is paused or over its quota, or the key is
+// avoidsTrial reports whether a transaction avoids the trial: it is paused or over its quota, or the key is
 // unbound and half of the cap is used by bound ones.
 func (b *Balancer) avoidsTrial(tx *transaction) bool {
 	trial, limit := b.exposureCap(b.trialBuild)
--- a/internal/agent/policy/settings.go
+++ b/internal/agent/policy/settings.go
@@ -41,7 +41,7 @@
 	tallySample    float64       // size of the platform's sample, for each backend and agent
 }
 
-// Values of settings that are words.
+// Values of settings that are strings.
 const (
 	payoffByWork    = "work"
 	discoveryAsked  = "asked"
--- a/internal/agent/policy/transactions.go
+++ b/internal/agent/policy/transactions.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// triedOn tells whether an attempt was started at a backend.
+// triedOn reports whether an attempt was started at a backend.
 func (tx *transaction) triedOn(backend *backend) bool {
 	for _, attempt := range tx.attempts {
 		if attempt.backend == backend {
@@ -175,7 +175,7 @@
 	}
 }
 
-// repeatKnownAt tells whether a backend knows the receipts of the one where the transaction may have run.
+// repeatKnownAt reports whether a backend knows the receipts of the one where the transaction may have run.
 func (tx *transaction) repeatKnownAt(backend *backend) bool {
 	switch tx.workload.group {
 	case groupAll:
@@ -188,7 +188,7 @@
 	return false
 }
 
-// backendResponded tells whether an outcome shows that the backend is alive, whatever it answered.
+// backendResponded reports whether an outcome shows that the backend is alive, whatever it answered.
 func backendResponded(o api.Outcome) bool {
 	switch o {
 	case api.Succeeded, api.ErrorResponse, api.Rejected, api.MalformedResponse, api.InvalidRequest:
@@ -197,17 +197,17 @@
 	return false
 }
 
-// unanswered tells whether an outcome is that of an attempt that was sent and not answered.
+// unanswered reports whether an outcome is that of an attempt that was sent and not answered.
 func unanswered(o api.Outcome) bool {
 	return o == api.TimedOut || o == api.ConnectionLost || o == api.Canceled
 }
 
-// mayHaveAnswered tells whether an outcome leaves it open that the backend has written a good answer.
+// mayHaveAnswered reports whether an outcome leaves it open that the backend has written a good answer.
 func mayHaveAnswered(o api.Outcome) bool {
 	return mayHaveRun(o) && o != api.ErrorResponse && o != api.InvalidRequest
 }
 
-// mayHaveRun tells whether an outcome leaves it open that the attempt was carried out.
+// mayHaveRun reports whether an outcome leaves it open that the attempt was carried out.
 func mayHaveRun(o api.Outcome) bool {
 	return o != api.Rejected && o != api.Unreachable && o != api.NotSent
 }
--- a/internal/agent/policy/trial.go
+++ b/internal/agent/policy/trial.go
@@ -7,7 +7,7 @@
 	"sagelever/internal/stats/bestarm"
 )
 
-// exposureCap tells whether the exposure rule holds for a build, and its cap, by all rollouts that bind.
+// exposureCap reports whether the exposure rule holds for a build, and its cap, by all rollouts that bind.
 func (b *Balancer) exposureCap(build api.Build) (trial bool, limit float64) {
 	limit = 1
 	for _, rollout := range b.bindingRollouts() {
@@ -42,17 +42,17 @@
 
 const unseenDelay = 100 * time.Millisecond // an unseen answer counts 150 ms after it was written
 
-// countsUnseen tells whether a key is bound by an answer that may not have reached the agent: on networks,
+// countsUnseen reports whether a key is bound by an answer that may not have reached the agent: on networks,
 // not in the simulator. It confines hedges to the trial's few backends, and good builds look slow.
 func (b *Balancer) countsUnseen() bool { return b.settings.trialOneWay && b.settings.trialUnseen }
 
 const demandHalfLife = 5 * time.Second // long enough that a burst does not pass for capacity
 
-// sparse tells whether this agent uses each backend less than once a second: too little to tell its load.
+// sparse reports whether this agent uses each backend less than once a second: too little to tell its load.
 func (b *Balancer) sparse() bool { return b.attemptInterval() > time.Second }
 
-// loose tells whether the allowance adds a fifth or more to the first cap, or the agent is one of many, which
-// would all spend their caps at the trial's few backends the moment these are listed.
+// loose reports whether the allowance adds a fifth or more to the first cap, or the agent is one of many,
+// which would all spend their caps at the trial's few backends the moment these are listed.
 func (b *Balancer) loose() bool {
 	allowance := b.settings.trialAllowance
 	if b.settings.trialCounts == countsPerLane {
@@ -62,7 +62,7 @@
 	return b.sparse() && !b.judgesByTally() || allowance > 0.2*limit
 }
 
-// judgesByTally tells whether the platform's tallies are judged, as the agent's own outcomes are too few.
+// judgesByTally reports whether the platform's tallies are judged, as the agent's own outcomes are too few.
 func (b *Balancer) judgesByTally() bool { return b.sparse() && b.settings.tallyInterval > 0 }
 
 // weighOutcome adds an outcome to its arm: 1 if it succeeded, a half if it was slow, 0 if it failed.
@@ -94,7 +94,7 @@
 	b.countOwn(attempt.backend, payoff, event.Outcome == api.ErrorResponse)
 }
 
-// judgeLatency gives an attempt's latency, and whether that is four times what the baseline took before the
+// judgeLatency returns an attempt's latency, and whether that is four times what the baseline took before the
 // trial for the workload and machine type, or over the goal if that is unknown. One in fifty is as slow.
 func (b *Balancer) judgeLatency(tx *transaction, attempt *attempt, event api.AttemptEnded) (float64, bool) {
 	target, baseline := tx.workload.goal.Seconds(), tx.workload.latencyOn(attempt.backend.MachineType)
@@ -110,7 +110,7 @@
 	return latency, latency > target && (warm || event.Outcome != api.Succeeded)
 }
 
-// misleading tells whether an outcome says nothing of the build, but of the backend, the request or the
+// misleading reports whether an outcome says nothing of the build, but of the backend, the request or the
 // agent.
 func misleading(attempt *attempt, outcome api.Outcome, slow bool) bool {
 	if attempt.backend.failing() || attempt.warmingUp || !mayHaveRun(outcome) ||
@@ -213,12 +213,13 @@
 	return b.withTally(index, total), stages
 }
 
-// behind tells whether the trial lags by more than a gap, with Z (extra added to its mean) above a threshold.
+// behind reports whether the trial lags by more than a gap, with Z (extra added to its mean) above a
+// threshold.
 func behind(baseline, trial arm, gap, extra, threshold float64) bool {
 	return trial.mean()+gap < baseline.mean() && statistic(baseline, trial, extra) > threshold
 }
 
-// trialIsWorse tells whether the trial is behind as a whole or in one stage: a build may turn bad with age.
+// trialIsWorse reports whether the trial is behind as a whole or in one stage: a build may turn bad with age.
 func (b *Balancer) trialIsWorse(margin, threshold float64) bool {
 	baseline, _ := b.evidence(baselineArm)
 	trial, stages := b.evidence(trialArm)
@@ -279,7 +280,7 @@
 	return trial.ownOutcomes >= minOutcomes || b.sparse() && trial.outcomes >= 4*minOutcomes
 }
 
-// mayAdvance tells whether the trial lasted long enough or proved better. Later stages need more outcomes.
+// mayAdvance reports whether the trial lasted long enough or proved better. Later stages need more outcomes.
 func (b *Balancer) mayAdvance(baseline, trial arm, threshold float64) bool {
 	stages := float64(b.rollout.Stage + 1)
 	if b.now < b.doubtUntil || trial.outcomes < minOutcomes*stages*stages {
@@ -289,7 +290,7 @@
 	return proved || b.now > b.stageStart()+settleTime
 }
 
-// doubts tells whether the trial is behind by enough to vote against advancing: an eighth of the threshold,
+// doubts reports whether the trial is behind by enough to vote against advancing: an eighth of the threshold,
 // as one vote moves a stage and the last leaves nothing to compare with. If a clock moves stages, votes hold.
 func (b *Balancer) doubts(baseline, trial arm, threshold float64) bool {
 	bar, gap := threshold/8, margin/2
@@ -300,7 +301,7 @@
 		behind(baseline.faultsOnly(), trial.faultsOnly(), b.faultAllowance(), 0, bar)
 }
 
-// small tells whether the platform's tallies show other agents to be busier, and so to judge better.
+// small reports whether the platform's tallies show other agents to be busier, and so to judge better.
 func (b *Balancer) small() bool {
 	counted := b.settings.tallySample * float64(b.listedCount) * b.settings.agents
 	return b.judgesByTally() && b.mean(&b.throughput, throughputHalfLife) > counted
--- a/internal/agent/policy/workloads.go
+++ b/internal/agent/policy/workloads.go
@@ -36,7 +36,7 @@
 	s.latencySum += succeeded * meanLatency
 }
 
-// workloadOf gives a workload by its name. One that the settings do not name is effectful, with a goal of a second.
+// workloadOf returns a workload by its name. One that the settings do not name is effectful, with a goal of a second.
 func (b *Balancer) workloadOf(name api.Workload) *workload {
 	w := b.workloads[name]
 	if w != nil {
@@ -98,7 +98,7 @@
 	customer api.Customer
 }
 
-// flowOf gives the flow of a workload and a customer. The limit of a new one comes down from above.
+// flowOf returns the flow of a workload and a customer. The limit of a new one comes down from above.
 func (b *Balancer) flowOf(w *workload, customer api.Customer) *flow {
 	key := flowKey{w.name, customer}
 	f := b.flows[key]
@@ -109,7 +109,7 @@
 	return f
 }
 
-// ratePerSecond gives the rate of a sum that decays with demandHalfLife, a time after it began. The sum of a constant
+// ratePerSecond returns the rate of a sum that decays with demandHalfLife, a time after it began. The sum of a constant
 // rate r tends to r x halfLife / ln 2; by now it has reached the share 1 - 2^(-now/halfLife) of that.
 func ratePerSecond(sum float64, now time.Duration) float64 {
 	seen := float64(demandHalfLife) / math.Ln2 * (1 - math.Exp2(-float64(now)/float64(demandHalfLife)))
--- a/internal/agent/transaction/attempterror.go
+++ b/internal/agent/transaction/attempterror.go
@@ -28,10 +28,10 @@
 
 func (e *AttemptError) Error() string { return fmt.Sprintf("%s: %v", e.Stage, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// NeverRan tells whether an attempt with this error has certainly not run.
+// NeverRan reports whether an attempt with this error has certainly not run.
 func NeverRan(err error) bool {
 	var attempt *AttemptError
 	return errors.As(err, &attempt) && attempt.Stage < Written
--- a/internal/agent/transaction/transaction.go
+++ b/internal/agent/transaction/transaction.go
@@ -1,6 +1,6 @@
 // Package transaction runs one transaction, whichever protocol brought it: the transaction is handed to the policy, its
 // attempts are carried out, and its client gets one final answer. A Handler says how an attempt is sent and how an
-// answer is given; everything else stands here, so that no protocol can treat the rules in its own way.
+// answer is given; everything else is here, so that no protocol can treat the rules in its own way.
 package transaction
 
 import (
@@ -117,7 +117,7 @@
 	}
 }
 
-// carryOut carries out the policy's actions, and tells whether one of them was the final answer.
+// carryOut carries out the policy's actions, and reports whether one of them was the final answer.
 func (r *runner) carryOut(actions []api.Action) (answered bool) {
 	for i, action := range actions {
 		switch a := action.(type) {
@@ -137,7 +137,7 @@
 	return false
 }
 
-// respond gives the final answer. Nothing may be sent after that. The policy cancels what is in flight, but only once
+// respond returns the final answer. Nothing may be sent after that. The policy cancels what is in flight, but only once
 // it has heard of the answer, and an attempt that has just been ordered, or whose connection is just coming up, would
 // be sent in between. So all attempts are canceled here first, and what is being written at this moment is waited for.
 func (r *runner) respond(result Result) {
--- a/internal/agent/transaction/writeguard.go
+++ b/internal/agent/transaction/writeguard.go
@@ -12,7 +12,7 @@
 	cancel context.CancelCauseFunc
 }
 
-// Do calls write, unless the attempt has been given up, and tells whether it did. Without a guard it always does.
+// Do calls write, unless the attempt has been given up, and reports whether it did. Without a guard it always does.
 func (g *WriteGuard) Do(write func()) bool {
 	if g == nil {
 		write()
--- a/internal/agent/ws/backends.go
+++ b/internal/agent/ws/backends.go
@@ -155,7 +155,7 @@
 	p.execute(p.manager.Failed(p.now(), c.id))
 }
 
-// Stats gives the manager's counts, and as Open the connections that are up or coming up.
+// Stats returns the manager's counts, and as Open the connections that are up or coming up.
 func (p *BackendPool) Stats() connpool.Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/ws/clientconn.go
+++ b/internal/agent/ws/clientconn.go
@@ -143,7 +143,7 @@
 	return message
 }
 
-// flushed tells whether all messages have been written.
+// flushed reports whether all messages have been written.
 func (c *clientConn) flushed() bool {
 	c.queueMu.Lock()
 	defer c.queueMu.Unlock()
--- a/internal/agent/ws/protocol.go
+++ b/internal/agent/ws/protocol.go
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// validPath tells whether a path begins with one slash.
+// validPath reports whether a path begins with one slash.
 func validPath(path string) bool {
 	return len(path) > 0 && path[0] == '/' && (len(path) == 1 || path[1] != '/')
 }
@@ -241,19 +241,19 @@
 	return received, nil
 }
 
-// Encode gives the message of a backend's response, and sets its size.
+// Encode returns the message of a backend's response, and sets its size.
 func (r BackendResponse) Encode() []byte {
 	r.Size = len(r.Body)
 	return encodeMessage(r, r.Body)
 }
 
-// Encode gives the message of a client's request, and sets its size.
+// Encode returns the message of a client's request, and sets its size.
 func (r ClientRequest) Encode() []byte {
 	r.Size = len(r.Body)
 	return encodeMessage(r, r.Body)
 }
 
-// Encode gives the message to a client, and sets its size.
+// Encode returns the message to a client, and sets its size.
 func (m ClientMessage) Encode() []byte {
 	m.Size = len(m.Body)
 	return encodeMessage(m, m.Body)
--- a/internal/agent/ws/send.go
+++ b/internal/agent/ws/send.go
@@ -202,7 +202,7 @@
 	draining <-chan struct{}
 }
 
-// interrupted gives the error of a request that is to be abandoned, nil if it is not.
+// interrupted returns the error of a request that is to be abandoned, nil if it is not.
 func (w *requestWriter) interrupted() error {
 	select {
 	case <-w.ctx.Done():
--- a/internal/agent/ws/server.go
+++ b/internal/agent/ws/server.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// stopping tells whether the host has been told to stop.
+// stopping reports whether the host has been told to stop.
 func (s *Server) stopping() bool {
 	select {
 	case <-s.host.Stopping():
--- a/internal/agent/ws/subscriptions.go
+++ b/internal/agent/ws/subscriptions.go
@@ -48,7 +48,7 @@
 	buffered     []BackendResponse
 }
 
-// sequenceStep tells whether a push is to be forwarded, and how many are missing before it.
+// sequenceStep reports whether a push is to be forwarded, and how many are missing before it.
 func sequenceStep(last, seq uint64) (forward bool, missing uint64) {
 	switch {
 	case seq <= last: // the backend before has pushed it already
--- a/internal/sim/fleet/node.go
+++ b/internal/sim/fleet/node.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// finish gives a transaction its final answer. It returns nil if it has one already.
+// finish returns a transaction its final answer. It returns nil if it has one already.
 func (n *Node) finish(id api.TransactionID) *transaction {
 	tx := n.transactions[id]
 	if tx == nil || tx.done {
--- a/internal/sim/fleet/platform.go
+++ b/internal/sim/fleet/platform.go
@@ -118,7 +118,7 @@
 	})
 }
 
-// counts tells whether a vote is on the present build and stage, and may still change anything.
+// counts reports whether a vote is on the present build and stage, and may still change anything.
 func (p *Platform) counts(vote api.CastVote) bool {
 	if vote.Build != p.rollout.Build || vote.Stage != p.rollout.Stage {
 		return false
--- a/internal/sim/protocol/events.go
+++ b/internal/sim/protocol/events.go
@@ -110,7 +110,7 @@
 	return start, nil
 }
 
-// backendUpdate reads a list of backends, whose entries stand in a table that was sent before. Their starts count from
+// backendUpdate reads a list of backends, whose entries are in a table that was sent before. Their starts count from
 // that of the instance.
 func (f *fieldParser) backendUpdate(startedAt time.Duration) (api.Event, error) {
 	update := api.BackendUpdate{Kind: api.UpdateKind(f.enum("kind", "diff", "snapshot", "disk", "error"))}
--- a/internal/sim/protocol/fields.go
+++ b/internal/sim/protocol/fields.go
@@ -12,7 +12,7 @@
 )
 
 // fieldParser reads the parts of one line, one after the other. It keeps the first error, after which every part is
-// empty. The name given to its methods stands in that error.
+// empty. The name given to its methods is part of that error.
 type fieldParser struct {
 	reader *Reader
 	rest   string
@@ -30,7 +30,7 @@
 	}
 }
 
-// end gives the first error; a part that is left is one.
+// end returns the first error; a part that is left is one.
 func (f *fieldParser) end() error {
 	if f.more {
 		f.fail("more parts than expected: %q", f.rest)
@@ -38,7 +38,7 @@
 	return f.err
 }
 
-// word gives the next part; an absent one is empty.
+// word returns the next part; an absent one is empty.
 func (f *fieldParser) word(name string) string {
 	if !f.more {
 		f.fail("%s is missing", name)
@@ -58,7 +58,7 @@
 	return part
 }
 
-// remainder gives all that is left of the line, blanks included.
+// remainder returns all that is left of the line, blanks included.
 func (f *fieldParser) remainder() string {
 	rest := f.rest
 	f.rest, f.more = "", false
--- a/internal/sim/protocol/reader.go
+++ b/internal/sim/protocol/reader.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// nextLine gives the next line without its end, or io.EOF. The last line need not have an end.
+// nextLine returns the next line without its end, or io.EOF. The last line need not have an end.
 func (r *Reader) nextLine() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if err != nil && (!errors.Is(err, io.EOF) || line == "") {
@@ -76,7 +76,7 @@
 	return fmt.Errorf("line %d: %s", r.lineNumber, fmt.Sprintf(format, args...))
 }
 
-// Read gives the next batch, or io.EOF when the input has ended between batches.
+// Read returns the next batch, or io.EOF when the input has ended between batches.
 func (r *Reader) Read() (*Batch, error) {
 	line, err := r.nextLine()
 	for err == nil && line == "" {
--- a/internal/testbed/fakes/backend.go
+++ b/internal/testbed/fakes/backend.go
@@ -98,15 +98,15 @@
 	b.behavior, b.latency = behavior, latency
 }
 
-// Observed gives how often the backend ran each id, when the last request that it ran came, and how many requests were
-// cut short.
+// Observed returns how often the backend ran each id, when the last request that it ran came, and how many requests
+// were cut short.
 func (b *Backend) Observed() (runs map[string]int, last time.Time, truncated int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.runsByID), b.lastRun, b.truncated
 }
 
-// current gives the present behavior and latency.
+// current returns the present behavior and latency.
 func (b *Backend) current() (Behavior, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// current gives the list as it is written, and the channel that is closed when it changes.
+// current returns the list as it is written, and the channel that is closed when it changes.
 func (d *Discovery) current() (body string, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/match/match.go
+++ b/match/match.go
@@ -58,7 +58,7 @@
 	Table(name string) Table // header, query or cookie
 	Size() int64             // bytes of the body
 	Hint() time.Duration     // the client's own estimate of the work, 0 if it gave none
-	Sent() Repeatable        // by the protocol's own words
+	Sent() Repeatable        // by the protocol alone
 }
 
 // Table is a part of a message with names, and all values of each.
@@ -67,7 +67,7 @@
 	Fold bool // names are the same in upper and lower case
 }
 
-// Values gives the values of a name, without copying them.
+// Values returns the values of a name, without copying them.
 func (t Table) Values(name string) []string {
 	values, ok := t.Of[name]
 	if ok || !t.Fold {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// All gives the whole table. Where upper and lower case are the same, its names are in lower case and their values
+// All returns the whole table. Where upper and lower case are the same, its names are in lower case and their values
 // joined.
 func (t Table) All() map[string][]string {
 	if !t.Fold {
--- a/match/rules/bench_test.go
+++ b/match/rules/bench_test.go
@@ -51,8 +51,8 @@
 	return m
 }
 
-// BenchmarkUnits gives the time of each kind of expensive condition beside its bound: unitTime and evalTime rest on it.
-// It shows ns for each unit spent, and the share of its bound that it took.
+// BenchmarkUnits returns the time of each kind of expensive condition beside its bound: unitTime and evalTime rest on
+// it. It shows ns for each unit spent, and the share of its bound that it took.
 func BenchmarkUnits(b *testing.B) {
 	m := largestMessage()
 	for _, text := range expensive {
--- a/match/rules/expression.go
+++ b/match/rules/expression.go
@@ -18,7 +18,7 @@
 	maxNodes          = 1500 // of the checked tree
 )
 
-// stringLiteral gives the text of an expression that is a string literal.
+// stringLiteral returns the text of an expression that is a string literal.
 func stringLiteral(e celast.Expr) (string, bool) {
 	if e.Kind() != celast.LiteralKind {
 		return "", false
@@ -94,8 +94,8 @@
 	return compiled, nil
 }
 
-// patternsIn gives the costs of the patterns in an expression, or an error if one is computed: its cost would be known
-// only when it is too late.
+// patternsIn returns the costs of the patterns in an expression, or an error if one is computed: its cost would be
+// known only when it is too late.
 func patternsIn(ast *cel.Ast) (patterns patternCosts, computed *ExpressionError) {
 	tree := ast.NativeRep()
 	patterns = patternCosts{}
@@ -119,7 +119,7 @@
 	return ExpressionError{Line: max(l.Line(), 1), Column: max(l.Column(), 0) + 1}
 }
 
-// constantValue gives the value of an expression without variables, nil if it has some or cannot be computed.
+// constantValue returns the value of an expression without variables, nil if it has some or cannot be computed.
 func (f *expression) constantValue() ref.Val {
 	hasVariables := false
 	celast.PostOrderVisit(f.ast.NativeRep().Expr(), celast.NewExprVisitor(func(e celast.Expr) {
--- a/match/rules/index.go
+++ b/match/rules/index.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// nextMarked gives the first marked rule that is not before from, -1 if there is none.
+// nextMarked returns the first marked rule that is not before from, -1 if there is none.
 func nextMarked(marks []uint64, from int) int {
 	for w := from / 64; w < len(marks); w++ {
 		word := marks[w]
--- a/match/rules/indextest.go
+++ b/match/rules/indextest.go
@@ -35,7 +35,7 @@
 	return a.fallback, a.optional
 }
 
-// alwaysPresent tells whether every subject has the attribute.
+// alwaysPresent reports whether every subject has the attribute.
 func (a attribute) alwaysPresent() bool {
 	return a.optional || a.source == "method" || a.source == "path" || a.source == "peer"
 }
@@ -147,7 +147,7 @@
 	return both
 }
 
-// attributeOf gives the attribute that an expression reads, if it does nothing else.
+// attributeOf returns the attribute that an expression reads, if it does nothing else.
 func attributeOf(e celast.Expr) (a attribute, ok bool) {
 	switch e.Kind() {
 	case celast.IdentKind:
@@ -176,12 +176,12 @@
 	return a, false
 }
 
-// isTable tells whether an expression is the variable of a table.
+// isTable reports whether an expression is the variable of a table.
 func isTable(e celast.Expr) bool {
 	return e.Kind() == celast.IdentKind && isSingleTable(e.AsIdent())
 }
 
-// indexedAttribute gives the attribute that a literal key reads from a variable.
+// indexedAttribute returns the attribute that a literal key reads from a variable.
 func indexedAttribute(container, key celast.Expr) (attribute, bool) {
 	if container.Kind() != celast.IdentKind || key.Kind() != celast.LiteralKind {
 		return attribute{}, false
--- a/match/rules/set.go
+++ b/match/rules/set.go
@@ -118,7 +118,7 @@
 	Err     error // of one of its expressions, also if it matched
 }
 
-// Judge gives what the first rule that matches says of a message. It takes no longer than Bound.
+// Judge returns what the first rule that matches says of a message. It takes no longer than Bound.
 func (s *Set) Judge(subject match.Subject) match.Judgement {
 	return s.run(subject, s.index.markCandidates, nil)
 }
@@ -221,7 +221,7 @@
 	Errors    int64         // so far
 }
 
-// Rules gives the state of each rule, in order.
+// Rules returns the state of each rule, in order.
 func (s *Set) Rules() []RuleState {
 	list := make([]RuleState, len(s.rules))
 	for i, r := range s.rules {
--- a/match/rules/singlevalue.go
+++ b/match/rules/singlevalue.go
@@ -17,7 +17,7 @@
 	copied traits.Mapper // nil until it is needed
 }
 
-// lookup gives the value of a name that comes exactly once.
+// lookup returns the value of a name that comes exactly once.
 func (m *singleValueMap) lookup(name string) (string, bool) {
 	if values := m.table.Values(name); len(values) == 1 {
 		return values[0], true
@@ -25,7 +25,7 @@
 	return "", false
 }
 
-// materialize gives the table as a map of CEL's.
+// materialize returns the table as a map of CEL's.
 func (m *singleValueMap) materialize() traits.Mapper {
 	if m.copied == nil {
 		all := m.table.All()
--- a/match/rules/view.go
+++ b/match/rules/view.go
@@ -42,7 +42,7 @@
 	multi       [len(tables)]ref.Val
 }
 
-// text gives the method, the path or the peer.
+// text returns the method, the path or the peer.
 func (v *activationView) text(name string) string {
 	text := v.subject.Text(name)
 	if len(text) > MaxTextLength {
@@ -52,7 +52,7 @@
 	return text
 }
 
-// segments gives the segments of the path.
+// segments returns the segments of the path.
 func (v *activationView) segments() []string {
 	if v.segmentsLoaded {
 		return v.segmentValues
@@ -70,7 +70,7 @@
 	return v.segmentValues
 }
 
-// table gives a table by its number.
+// table returns a table by its number.
 func (v *activationView) table(i int) match.Table {
 	if !v.tablesLoaded[i] {
 		v.tablesLoaded[i] = true
@@ -103,7 +103,7 @@
 // Parent is nil: a view is a whole activation.
 func (v *activationView) Parent() cel.Activation { return nil }
 
-// ResolveName gives the value of a variable.
+// ResolveName returns the value of a variable.
 func (v *activationView) ResolveName(name string) (any, bool) {
 	switch name {
 	case "method", "path", "peer":
--- a/match/rules/worstcase.go
+++ b/match/rules/worstcase.go
@@ -68,7 +68,7 @@
 	return subject
 }
 
-// set gives an attribute a text.
+// set returns an attribute a text.
 func (p *syntheticSubject) set(a attribute, text string) {
 	switch a.source {
 	case "method", "path", "peer":
