--- a/internal/agent/api/actions.go
+++ b/internal/agent/api/actions.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Action is anything that the policy wants done: one of the structs in this file.
-type Action interface{}
+type Action any
 
 // StartAttempt starts the next attempt of a transaction. Without a Timeout it lasts until the client gives up.
 type StartAttempt struct {
--- a/internal/agent/api/events.go
+++ b/internal/agent/api/events.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Event is anything that the policy is told: one of the structs in this file.
-type Event interface{}
+type Event any
 
 // BackendUpdate brings the backends that discovery lists, or what changed among them.
 type BackendUpdate struct {
--- a/internal/agent/policy/messages.go
+++ b/internal/agent/policy/messages.go
@@ -6,9 +6,10 @@
 	"sagelever/internal/agent/api"
 )
 
-// Messages between agents are datagrams of at most 256 bytes, big-endian. There are two kinds, told apart by their
-// length. A report of counts has the build on trial in two bytes and then records of ten bytes, so its length leaves 2
-// by 10. A health report has its kind in one byte and then backend ids of four bytes, so its length leaves 1 by 4.
+// Messages between agents are datagrams of at most 256 bytes, big-endian. There are two kinds, distinguished by their
+// length. A report of counts has the build on trial in two bytes and then records of ten bytes, so its length is 2 modulo
+// 10. A health report has its kind in one byte and then backend ids of four bytes, so its length is 1 modulo 4. The one is
+// even and the other odd.
 const (
 	maxMessageSize   = 256
 	buildSize        = 2
@@ -22,7 +23,7 @@
 	maxCountInRecord = 1 << 14 // keeps twice a payoff within two bytes
 )
 
-// healthReportKind says what a health report tells of its backends; the values are those in the message.
+// healthReportKind says what a health report is about; the values are those in the message.
 type healthReportKind int
 
 const (
--- a/internal/agent/policy/settings.go
+++ b/internal/agent/policy/settings.go
@@ -13,12 +13,12 @@
 	payoffBy    string        // what payoff is counted by; payoffByWork or by transaction
 	maxAttempts float64       // attempts of one transaction
 
-	mayHedge     bool // two attempts of a transaction may be in flight
-	mayCancel    bool // attempts may be canceled
-	mayAdvise    bool // a deferred client may be told when to return
-	mayMessage   bool // agents may send messages to each other
-	maxReturn    time.Duration
-	discovery    string        // "asked" where lists come only on request
+	mayHedge     bool          // two attempts of a transaction may be in flight
+	mayCancel    bool          // attempts may be canceled
+	mayAdvise    bool          // a deferred client may be told when to return
+	mayMessage   bool          // agents may send messages to each other
+	maxReturn    time.Duration // the longest time after which a deferred client is told to return
+	discovery    string        // discoveryAsked where lists come only on request
 	watchUnsure  bool          // a request to discovery may be lost without notice
 	watchTimeout time.Duration // an agent that has requested no list for so long counts as informed
 
@@ -29,7 +29,7 @@
 	trialWindow    time.Duration // over which exposure to the build on trial is counted
 	trialAllowance float64       // attempts on top of the cap's share in a window
 	trialCaps      []float64     // cap of each stage
-	trialCounts    string        // "per_lane" where each workload is counted by itself
+	trialCounts    string        // countsPerLane where each workload is counted by itself
 	trialGuarded   float64       // stages in which only pure workloads may reach the build on trial
 	trialControl   string        // who moves the stages: trialClocked, trialSingle, or a share of all votes
 	trialOneWay    bool          // a key that the build on trial has answered stays with it
