--- a/httpagent/backends.go
+++ b/httpagent/backends.go
@@ -104,8 +104,8 @@
 }
 
 // serves reports whether the client is that of an entry.
-func (l *backendClient) serves(entry api.Backend, address string) bool {
-	return l.address == address && l.build == entry.Build && l.startedAt == entry.Started
+func (c *backendClient) serves(entry api.Backend, address string) bool {
+	return c.address == address && c.build == entry.Build && c.startedAt == entry.Started
 }
 
 // remove forgets a client; connections in use close when they are idle. The lock is held.
--- a/httpagent/endpoints.go
+++ b/httpagent/endpoints.go
@@ -11,14 +11,14 @@
 
 type endpointAddresses struct{ discovery, platform string }
 
-func (m *controlEndpoints) load() endpointAddresses {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.current
+func (e *controlEndpoints) load() endpointAddresses {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.current
 }
 
-func (m *controlEndpoints) discovery() string { return m.load().discovery }
-func (m *controlEndpoints) platform() string  { return m.load().platform }
+func (e *controlEndpoints) discovery() string { return e.load().discovery }
+func (e *controlEndpoints) platform() string  { return e.load().platform }
 
 // Reload takes up the addresses of discovery and the platform from a station that has been checked. The watch and the
 // stream are opened at the new addresses at once, beside the old ones until they have received something; votes go to
--- a/httpagent/exchange.go
+++ b/httpagent/exchange.go
@@ -69,10 +69,10 @@
 // says why. That ends only the sending: a response that was written before is still read, as the backend did carry the
 // request out. A kept connection that turns out to be useless before anything is written on it is replaced by the next
 // one, as nothing has been sent then.
-func (l *backendClient) do(ctx context.Context, req *http.Request, body []byte) (*backendResponse, error) {
+func (c *backendClient) do(ctx context.Context, req *http.Request, body []byte) (*backendResponse, error) {
 	for {
 		upstream.SetNonReplayableBody(req, body)
-		response, stale, err := l.doOnce(ctx, req)
+		response, stale, err := c.doOnce(ctx, req)
 		if !stale {
 			return response, err
 		}
@@ -80,7 +80,7 @@
 }
 
 // doOnce sends a request on one connection. stale says that it was a kept one on which nothing could be written.
-func (l *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool,
+func (c *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool,
 	err error) {
 	// The request's own context outlives ctx, so that a response in transit can be read.
 	requestCtx, cancel := context.WithCancel(context.Background())
@@ -88,7 +88,7 @@
 	x := &exchange{ctx: ctx, use: upstream.Exchange{WriteGate: transaction.WriteGuardFrom(ctx).Do}}
 	stop := context.AfterFunc(ctx, func() { x.giveUp(cancel) })
 	defer stop()
-	resp, err := l.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(requestCtx, x.trace())))
+	resp, err := c.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(requestCtx, x.trace())))
 	if err != nil {
 		if x.connIsStale() {
 			return nil, true, err
@@ -96,7 +96,7 @@
 		return nil, false, x.failure(x.stage(), err)
 	}
 	defer resp.Body.Close()
-	response, err = l.readResponse(resp)
+	response, err = c.readResponse(resp)
 	if err != nil {
 		return nil, false, x.failure(transaction.ResponseStarted, err)
 	}
@@ -190,13 +190,13 @@
 }
 
 // readResponse reads a response whole, if all of them together leave room for it.
-func (l *backendClient) readResponse(resp *http.Response) (*backendResponse, error) {
+func (c *backendClient) readResponse(resp *http.Response) (*backendResponse, error) {
 	reserved := resp.ContentLength
 	if reserved < 0 {
-		reserved = l.pool.maxResponseSize
+		reserved = c.pool.maxResponseSize
 	}
-	release := func() { l.pool.responseBytes.Add(-reserved) }
-	if l.pool.responseBytes.Add(reserved) > l.pool.maxResponseBytes {
+	release := func() { c.pool.responseBytes.Add(-reserved) }
+	if c.pool.responseBytes.Add(reserved) > c.pool.maxResponseBytes {
 		release()
 		return nil, errMalformedResponse
 	}
--- a/internal/sim/fleet/backend.go
+++ b/internal/sim/fleet/backend.go
@@ -40,7 +40,7 @@
 
 const firstBackendID = 1000
 
-func (w *Simulation) newBackend(index int, build api.Build, started time.Duration) *Backend {
+func (s *Simulation) newBackend(index int, build api.Build, started time.Duration) *Backend {
 	return &Backend{
 		Backend: api.Backend{
 			ID:          api.BackendID(firstBackendID + index),
@@ -51,7 +51,7 @@
 			Weight:      1,
 		},
 		Slowdown:   1,
-		simulation: w,
+		simulation: s,
 	}
 }
 
--- a/internal/sim/fleet/scenario.go
+++ b/internal/sim/fleet/scenario.go
@@ -134,10 +134,10 @@
 }
 
 // Total adds the counts of a stretch of time up.
-func (w *Simulation) Total(from, to time.Duration) (sum Counts) {
-	end := min(int(to/time.Second), len(w.Seconds))
+func (s *Simulation) Total(from, to time.Duration) (sum Counts) {
+	end := min(int(to/time.Second), len(s.Seconds))
 	for i := int(from / time.Second); i < end; i++ {
-		sum.add(w.Seconds[i])
+		sum.add(s.Seconds[i])
 	}
 	return sum
 }
