--- a/httpagent/exchange.go
+++ b/httpagent/exchange.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptrace"
@@ -16,29 +15,6 @@
 	"sagelever/internal/upstream"
 )
 
-// attemptStage is how far an attempt had come when it ended without a response.
-type attemptStage int
-
-const (
-	notConnected    attemptStage = iota // no connection came up
-	notWritten                          // there was a connection, and the last byte was not written: it never ran
-	written                             // it may have run
-	responseStarted                     // a response had begun
-)
-
-var attemptStageNames = [...]string{"unconnected", "unwritten", "written", "answering"}
-
-func (s attemptStage) String() string { return attemptStageNames[s] }
-
-// attemptError says why an attempt has no response, and how far it had come.
-type attemptError struct {
-	stage attemptStage
-	cause error
-}
-
-func (e *attemptError) Error() string { return fmt.Sprintf("%s: %v", e.stage, e.cause) }
-func (e *attemptError) Unwrap() error { return e.cause }
-
 var errMalformedResponse = upstream.ErrMalformedResponse
 
 // backendResponse is what a backend has answered, read whole. Whoever has it releases it.
@@ -54,8 +30,7 @@
 	if err == nil {
 		return responseOutcome(response)
 	}
-	var attempt *attemptError
-	neverRan := errors.As(err, &attempt) && attempt.stage < written
+	neverRan := transaction.NeverRan(err)
 	canceled := errors.Is(err, transaction.ErrCanceled)
 	switch {
 	case neverRan && (canceled || errors.Is(err, errNoDescriptors)):
@@ -94,10 +69,10 @@
 // says why. That ends only the sending: a response that was written before is still read, as the backend did carry the
 // request out. A kept connection that turns out to be useless before anything is written on it is replaced by the next
 // one, as nothing has been sent then.
-func (l *backendClient) do(ctx context.Context, req *http.Request, body []byte) (*backendResponse, error) {
+func (c *backendClient) do(ctx context.Context, req *http.Request, body []byte) (*backendResponse, error) {
 	for {
 		upstream.SetNonReplayableBody(req, body)
-		response, stale, err := l.doOnce(ctx, req)
+		response, stale, err := c.doOnce(ctx, req)
 		if !stale {
 			return response, err
 		}
@@ -105,7 +80,7 @@
 }
 
 // doOnce sends a request on one connection. stale says that it was a kept one on which nothing could be written.
-func (l *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool,
+func (c *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool,
 	err error) {
 	// The request's own context outlives ctx, so that a response in transit can be read.
 	requestCtx, cancel := context.WithCancel(context.Background())
@@ -113,7 +88,7 @@
 	x := &exchange{ctx: ctx, use: upstream.Exchange{WriteGate: transaction.WriteGuardFrom(ctx).Do}}
 	stop := context.AfterFunc(ctx, func() { x.giveUp(cancel) })
 	defer stop()
-	resp, err := l.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(requestCtx, x.trace())))
+	resp, err := c.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(requestCtx, x.trace())))
 	if err != nil {
 		if x.connIsStale() {
 			return nil, true, err
@@ -121,9 +96,9 @@
 		return nil, false, x.failure(x.stage(), err)
 	}
 	defer resp.Body.Close()
-	response, err = l.readResponse(resp)
+	response, err = c.readResponse(resp)
 	if err != nil {
-		return nil, false, x.failure(responseStarted, err)
+		return nil, false, x.failure(transaction.ResponseStarted, err)
 	}
 	x.closeIfHalfClosed()
 	return response, false, nil
@@ -175,31 +150,31 @@
 	time.AfterFunc(inTransitGrace, cancel)
 }
 
-// connIsStale tells whether the request failed as a kept connection was of no use, and may go to another.
+// connIsStale reports whether the request failed as a kept connection was of no use, and may go to another.
 func (x *exchange) connIsStale() bool {
 	return x.conn.Load() != nil && !x.use.WriteStarted() && x.reused.Load() && x.ctx.Err() == nil
 }
 
 // stage tells how far a request had come that has no response.
-func (x *exchange) stage() attemptStage {
+func (x *exchange) stage() transaction.AttemptStage {
 	switch {
 	case x.conn.Load() == nil:
-		return notConnected
+		return transaction.NotConnected
 	case x.writeFailed.Load(), x.canceledBeforeWrite.Load(), !x.use.WriteStarted():
-		return notWritten
+		return transaction.NotWritten
 	}
-	return written
+	return transaction.Written
 }
 
 // failure is the error of an attempt without a usable response.
-func (x *exchange) failure(stage attemptStage, err error) error {
+func (x *exchange) failure(stage transaction.AttemptStage, err error) error {
 	switch {
 	case x.use.ResponseStarted(): // what came is no response, or never ended, or broke off
 		err = errMalformedResponse
 	case x.ctx.Err() != nil:
 		err = context.Cause(x.ctx)
 	}
-	return &attemptError{stage, err}
+	return &transaction.AttemptError{Stage: stage, Cause: err}
 }
 
 // closeIfHalfClosed closes the connection of an attempt that was given up but answered: giveUp has closed its writing
@@ -215,13 +190,13 @@
 }
 
 // readResponse reads a response whole, if all of them together leave room for it.
-func (l *backendClient) readResponse(resp *http.Response) (*backendResponse, error) {
+func (c *backendClient) readResponse(resp *http.Response) (*backendResponse, error) {
 	reserved := resp.ContentLength
 	if reserved < 0 {
-		reserved = l.pool.maxResponseSize
+		reserved = c.pool.maxResponseSize
 	}
-	release := func() { l.pool.responseBytes.Add(-reserved) }
-	if l.pool.responseBytes.Add(reserved) > l.pool.maxResponseBytes {
+	release := func() { c.pool.responseBytes.Add(-reserved) }
+	if c.pool.responseBytes.Add(reserved) > c.pool.maxResponseBytes {
 		release()
 		return nil, errMalformedResponse
 	}
