--- a/internal/proxy/balancer/backend.go
+++ b/internal/proxy/balancer/backend.go
@@ -115,8 +115,8 @@
 	b.reviewDrains(svc, now)
 }
 
-// RetainBackends removes the backends that are not in a controller's complete list. One that was first heard of lately
-// stays, as its update may have come by another path.
+// RetainBackends removes the backends that are not in a controller's complete list. One that was first reported
+// recently stays, since its update may have come by another path.
 func (b *Balancer) RetainBackends(ids map[string]bool, now time.Time) {
 	for id, backend := range b.backends {
 		if !ids[id] && now.Sub(backend.firstSeen) > retainedHeartbeats*b.bounds.HeartbeatInterval {
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -2,7 +2,7 @@
 // again, how fast a backend that warms up is fed, and which build serves while a release is under way.
 //
 // The package does no input or output. The time and random numbers are passed in, connections and health checks that
-// are due are handed out, and the caller reports what came of them. A Balancer is not safe for concurrent use: the
+// are due are handed out, and the caller reports the results. A Balancer is not safe for concurrent use: the
 // caller guards it with a lock.
 package balancer
 
@@ -18,8 +18,8 @@
 const (
 	// statsHalfLife is the half-life of latencies and request rates.
 	statsHalfLife = 5 * time.Second
-	// proxyCountRetention is for how long a larger number of proxies stands against smaller ones: longer than proxies
-	// take to renew their leases at a controller that has just started, several times over.
+	// proxyCountRetention is for how long a larger number of proxies is kept while smaller ones are reported. It is
+	// several times as long as proxies take to renew their leases at a controller that has just started.
 	proxyCountRetention = 10 * time.Second
 )
 
--- a/internal/proxy/balancer/outcome.go
+++ b/internal/proxy/balancer/outcome.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// undoSend takes back what was counted of an attempt that was withheld.
+// undoSend reverts what assign counted for an attempt that was then withheld.
 func (s *serviceState) undoSend(request *Request) {
 	request.Sends--
 	canary := s.canary
--- a/internal/proxy/draining/state.go
+++ b/internal/proxy/draining/state.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// State is where a backend stands at one proxy.
+// State is the state of a backend at one proxy.
 type State uint8
 
 // The states of a backend. The package comment has the transitions.
--- a/internal/proxy/draining/tracker.go
+++ b/internal/proxy/draining/tracker.go
@@ -45,7 +45,7 @@
 	requestKinds
 )
 
-// State returns where the backend stands.
+// State returns the backend's state.
 func (t *Tracker) State() State {
 	switch {
 	case t.ended:
--- a/internal/testbed/cluster/attempt.go
+++ b/internal/testbed/cluster/attempt.go
@@ -28,7 +28,7 @@
 	proxy   string // its address
 }
 
-// send sends the request, and records in the ledger what came of it. It reports whether another attempt may follow, and
+// send sends the request, and records its outcome in the ledger. It reports whether another attempt may follow, and
 // after which pause. The context must have a deadline.
 func (a *attempt) send(
 	ctx context.Context, httpClient *http.Client, ledger *Ledger,
--- a/internal/testbed/cluster/backend.go
+++ b/internal/testbed/cluster/backend.go
@@ -17,7 +17,7 @@
 // Fault is what a backend or the cluster does wrong on purpose, so that the ledger is seen to find it.
 type Fault string
 
-// The faults. Those of a backend befall one request in twenty.
+// The faults. Those of a backend affect one request in twenty.
 const (
 	FaultSkipRun      Fault = "forgets" // a backend answers without having run the request
 	FaultRunTwice     Fault = "doubles" // a backend runs a request twice
@@ -236,7 +236,7 @@
 	return work
 }
 
-// drawFault returns the cluster's fault where it befalls this run, and "" otherwise.
+// drawFault returns the cluster's fault if it affects this run, and "" otherwise.
 func (b *Backend) drawFault() Fault {
 	fault := b.cluster.options.Fault
 	if fault != "" && b.random() < faultProbability {
--- a/internal/testbed/cluster/clients.go
+++ b/internal/testbed/cluster/clients.go
@@ -20,7 +20,7 @@
 	// lookupTTL is for how long a client uses the addresses of proxies that it has looked up.
 	lookupTTL     = time.Second
 	lookupTimeout = time.Second
-	// clientsStream tells the clients' random numbers from those of backends.
+	// clientsStream selects the clients' stream of random numbers; backends use their numbers.
 	clientsStream = 77
 	// changesOfTen is how many of ten requests are changes.
 	changesOfTen       = 4
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -1,8 +1,8 @@
 // Package cluster runs a whole load balancer in one process, on loopback: controllers, proxies, backends that speak the
 // protocol, clients and an operator, with network delays between the zones.
 //
-// A Ledger records what ran, what was answered and what clients were told, and is checked at the end: no request may be
-// lost, run twice, sent to a backend late after its removal, or cut off.
+// A Ledger records what backends executed and what clients received, and is checked at the end: no request may be lost,
+// executed twice, sent to a backend too late after its removal, or cut off.
 package cluster
 
 import (
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -20,7 +20,7 @@
 		WarmUp:            300 * time.Millisecond,
 		ShutdownGrace:     1500 * time.Millisecond,
 		HeartbeatInterval: 400 * time.Millisecond,
-		// The bound aimed at is 300 ms; a machine that builds and tests other things at once is not held to it.
+		// The design aims at 300 ms. The test allows more, since the machine may run other builds and tests at once.
 		ArrivalBound: 700 * time.Millisecond,
 		Dir:          t.TempDir(),
 		Logger:       zap.NewNop(),
--- a/internal/testbed/cluster/drain.go
+++ b/internal/testbed/cluster/drain.go
@@ -16,7 +16,7 @@
 	progressInterval = 50 * time.Millisecond
 )
 
-// Result is what came of RunDrain.
+// Result holds the figures of RunDrain.
 type Result struct {
 	Baseline           Summary       // while nothing was removed
 	Drained            Summary       // while each backend was removed once
--- a/internal/testbed/cluster/ledger.go
+++ b/internal/testbed/cluster/ledger.go
@@ -28,10 +28,9 @@
 	outcome             outcome       // of the last attempt
 	incompleteResponses int           // attempts that ended without a complete response while there was time
 	mismatchedResponses int           // responses that were another request's
-	refusals            int           // attempts that were rejected with the promise that they never run
 }
 
-// outcome is what a client was told.
+// outcome is what the last response said to the client.
 type outcome uint8
 
 const (
@@ -122,7 +121,6 @@
 		op.outcome = outcomeSucceeded
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		op.outcome = outcomeRefused
-		op.refusals++
 	default:
 		op.outcome = outcomeFailed
 	}
--- a/internal/testbed/cluster/stress.go
+++ b/internal/testbed/cluster/stress.go
@@ -26,7 +26,7 @@
 }
 
 // runStress replaces all backends of a service one by one while a zone is evacuated and the proxies are restarted one
-// by one. A controller is restarted too, on whose word a removal may just have been announced.
+// by one. A controller is restarted too, just after it may have acknowledged a removal.
 func (c *Cluster) runStress(ctx context.Context) error {
 	restarts := make(chan error, 1)
 	go func() { restarts <- c.restartProxies() }()
