--- a/internal/proxy/draining/state.go
+++ b/internal/proxy/draining/state.go
@@ -13,8 +13,8 @@
 	Ended                 // its incarnation is over: it never gets a request again
 )
 
-// String returns the state's name, as docs/leaving.md has it.
-func (s State) String() string { return [...]string{"serving", "leaving", "left", "gone"}[s] }
+// String returns the state's name.
+func (s State) String() string { return [...]string{"serving", "draining", "drained", "ended"}[s] }
 
 // Reasons is the set of reasons for which a backend gets no new requests. The empty set means that it serves.
 type Reasons uint8
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -111,10 +111,10 @@
 }
 
 // controllerName returns the name by which StopNode and its like know a zone's controller.
-func controllerName(zone string) string { return "steward-" + zone }
+func controllerName(zone string) string { return "controller-" + zone }
 
 // proxyName returns the name by which StopNode and its like know a proxy.
-func proxyName(i int) string { return fmt.Sprint("relay-", i) }
+func proxyName(i int) string { return fmt.Sprint("proxy-", i) }
 
 func (c *Cluster) controllerStarter(i int, zone string) startFunc {
 	return func() (runFunc, error) {
