--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -14,7 +14,7 @@
 	received     atomic.Int64 // requests from clients
 	served       atomic.Int64 // responses forwarded that count as a success
 	rejected     atomic.Int64 // answered by the proxy itself, without execution
-	failed       atomic.Int64 // answered with an error after the request may have been executed
+	failed       atomic.Int64 // other responses forwarded, and errors after the request may have been executed
 	dials        atomic.Int64 // connections opened to backends
 	retries      atomic.Int64
 	queued       atomic.Int64 // requests that had to wait for a backend
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -150,7 +150,7 @@
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    int(min(limits.MaxHeaderBytes, maxHeaderLimit)),
-		ErrorLog:          zap.NewStdLog(zap.NewNop()), // errors of clients are counted, not logged one by one
+		ErrorLog:          zap.NewStdLog(zap.NewNop()), // malformed requests of clients are not worth a line each
 	}
 	l.servers = append(l.servers, server)
 	go func() { _ = server.Serve(current) }() // always ends with an error, once current is closed
