--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy plays, on this machine alone, all that an agent needs around it: discovery, the platform and three
-// appliances, of which one runs a build on trial. It is for trying the agent by hand.
+// Command toy plays, on loopback, everything that an agent needs around it: discovery, the platform and three backends,
+// one of which runs a build on trial. It is for trying the agent by hand.
 package main
 
 import (
@@ -31,7 +31,7 @@
 
 func serve(at string, f http.HandlerFunc) { log.Fatal(http.ListenAndServe(at, f)) }
 
-// discovery knows one list, which never changes.
+// discovery serves one list of backends, which never changes.
 func discovery(w http.ResponseWriter, r *http.Request) {
 	list := oneLine(members)
 	if r.URL.Query().Get("watch") == "" {
@@ -44,7 +44,7 @@
 	keep(w, r, 2*time.Second, func() string { line := list; list = ""; return line })
 }
 
-// platform offers build 2 in two rings; one vote moves it.
+// platform rolls build 2 out in two stages (rings on the wire); one vote advances it or rolls it back.
 type platform struct {
 	mu       sync.Mutex
 	ring     int
@@ -106,7 +106,7 @@
 	log.Printf("build=2 ring=%d progress=%s", p.ring, p.progress)
 }
 
-// keep holds an answer open and writes a line now and then.
+// keep holds a response open and writes a line at every interval, until the client goes away.
 func keep(w http.ResponseWriter, r *http.Request, every time.Duration, line func() string) {
 	for {
 		fmt.Fprintln(w, line())
