--- a/httpagent/agent_test.go
+++ b/httpagent/agent_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// startBreakingDiscovery is a discovery server that reports each watch's query to asked. A watch from version 3 gets the
-// next list, with a backend at the address, and then a line that cannot be read; any other stays open.
+// startBreakingDiscovery is a discovery server that reports each watch's query to asked. A watch from version 3 gets
+// the next list, with a backend at the address, and then a line that cannot be read; any other stays open.
 func startBreakingDiscovery(t *testing.T, asked chan<- string, backend string) string {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/agent/ws/subscriptions_test.go
+++ b/internal/agent/ws/subscriptions_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// attemptAt is a policy that has each transaction tried at the backend named by the variable, and defers it if that does
-// not succeed.
+// attemptAt is a policy that has each transaction tried at the backend that the variable names, and defers it if that
+// does not succeed.
 func attemptAt(backend *atomic.Uint32) scriptedPolicy {
 	return func(event api.Event) []api.Action {
 		switch e := event.(type) {
