--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -162,7 +162,8 @@
 		return false
 	}
 	identity := &local.identity
-	return local.identitySaved && identity.EverActive && identity.ActiveEpoch == local.configuration.Epoch && local.isMember()
+	tookOver := identity.EverActive && identity.ActiveEpoch == local.configuration.Epoch
+	return local.identitySaved && tookOver && local.isMember()
 }
 
 // activeEpoch returns the epoch in which this replica is active, or 0 where it is not.
--- a/internal/proxy/balancer/draining_test.go
+++ b/internal/proxy/balancer/draining_test.go
@@ -82,6 +82,21 @@
 	}
 }
 
+// closeTwoConnections has the only backend close its connection after each of two responses.
+func closeTwoConnections(t *testing.T, b *Balancer, now time.Time) {
+	t.Helper()
+	closing := succeeded
+	closing.ClosesConnection = true
+	for i := range 2 {
+		request := b.startRequest(idempotentPath, now)
+		backend := b.Pick(request, now)
+		if backend == nil {
+			t.Fatalf("it gets nothing after %d closed connections", i)
+		}
+		b.ReportOutcome(request, backend, closing, now)
+	}
+}
+
 // Without controllers a proxy goes by the backend's own confirmation: a health check, or a response that keeps its
 // connection open. A backend that closes its connections, says that it does not serve, or answers under another ID gets
 // nothing.
@@ -118,16 +133,7 @@
 		b.ReportOutcome(request, backend, succeeded, now.Add(100*time.Millisecond))
 	}
 
-	closing := succeeded
-	closing.ClosesConnection = true
-	for i := range 2 {
-		request := b.startRequest(idempotentPath, now)
-		backend := b.Pick(request, now)
-		if backend == nil {
-			t.Fatalf("it gets nothing after %d closed connections", i)
-		}
-		b.ReportOutcome(request, backend, closing, now)
-	}
+	closeTwoConnections(t, b, now)
 	if b.pickFor(idempotentPath, now) != nil {
 		t.Error("it closed two connections in a row, and gets a request without a health check")
 	}
