--- a/internal/control/replica/identity.go
+++ b/internal/control/replica/identity.go
@@ -58,7 +58,8 @@
 // The replica goes on as one that was never a member.
 func (r *Replica) replaceIdentity(now time.Time) {
 	local := &r.local
-	r.logEvent("stale disk detected, continuing as a candidate", "generation", formatUint(local.identity.Generation))
+	r.logEvent("stale disk detected, continuing as a candidate",
+		LogField{"generation", formatUint(local.identity.Generation)})
 	local.setIdentity(Identity{DiskID: r.newDiskID(now), Starts: 1, Generation: 1})
 	local.identitySaved = false
 	local.diskConfirmed = false
--- a/internal/control/replica/leases.go
+++ b/internal/control/replica/leases.go
@@ -69,7 +69,7 @@
 		lease.Ended = true
 		lease.ListenAddress = ""
 		r.mergeLocal(lease.Item(item.Version + 1))
-		r.logEvent("lease expired", "node", lease.Node, "role", lease.Role)
+		r.logEvent("lease expired", LogField{"node", lease.Node}, LogField{"role", lease.Role})
 	}
 }
 
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -141,10 +141,12 @@
 	r.updatePeers(now)
 	r.restartAttempts(now)
 	epoch := formatUint(configuration.Epoch)
-	r.logEvent("configuration adopted", "epoch", epoch,
-		"members", strconv.Itoa(len(configuration.Members)), "member", strconv.FormatBool(local.isMember()))
+	r.logEvent("configuration adopted",
+		LogField{"epoch", epoch},
+		LogField{"members", strconv.Itoa(len(configuration.Members))},
+		LogField{"member", strconv.FormatBool(local.isMember())})
 	if wasMember && !local.isMember() {
-		r.logEvent("removed from the configuration", "epoch", epoch)
+		r.logEvent("removed from the configuration", LogField{"epoch", epoch})
 	}
 	r.startDiskConfirmation(now)
 	r.startTakeover(now)
--- a/internal/control/replica/output.go
+++ b/internal/control/replica/output.go
@@ -58,7 +58,13 @@
 // LogEntry describes a change of state.
 type LogEntry struct {
 	Message string
-	Fields  []string // alternating names and values
+	Fields  []LogField
+}
+
+// LogField is a named value of a LogEntry.
+type LogField struct {
+	Key   string
+	Value string
 }
 
 // TakeOutput returns what the steps since the last call have produced.
@@ -68,8 +74,8 @@
 	return output
 }
 
-// logEvent adds a log entry; fields alternates names and values.
-func (r *Replica) logEvent(text string, fields ...string) {
+// logEvent adds a log entry.
+func (r *Replica) logEvent(text string, fields ...LogField) {
 	r.output.LogEntries = append(r.output.LogEntries, LogEntry{text, fields})
 }
 
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -168,7 +168,7 @@
 	if !hasQuorum {
 		text = "quorum lost"
 	}
-	r.logEvent(text, "sinceStartMs", formatMs(now.Sub(r.startedAt)))
+	r.logEvent(text, LogField{"sinceStartMs", formatMs(now.Sub(r.startedAt))})
 }
 
 // Leave announces that the process is about to end: pending pulls are answered at once so that their senders turn to
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -23,7 +23,9 @@
 	}
 	known := r.candidates[request.From.Node]
 	if known == nil || known.CaughtUp != ready || !known.SameReplica(request.From) {
-		r.logEvent("candidate registered", "node", request.From.Node, "ready", strconv.FormatBool(ready))
+		r.logEvent("candidate registered",
+			LogField{"node", request.From.Node},
+			LogField{"ready", strconv.FormatBool(ready)})
 	}
 	r.candidates[request.From.Node] = &candidate{
 		Candidate: membership.Candidate{Member: request.From, CaughtUp: ready},
@@ -161,8 +163,10 @@
 ) {
 	local := &r.local
 	local.proposing = true
-	r.logEvent("configuration proposed", "epoch", formatUint(next.Epoch), "reason", string(reason),
-		"members", strconv.Itoa(len(next.Members)))
+	r.logEvent("configuration proposed",
+		LogField{"epoch", formatUint(next.Epoch)},
+		LogField{"reason", string(reason)},
+		LogField{"members", strconv.Itoa(len(next.Members))})
 	update := local.configuration.ReplaceWith(next)
 	updates := map[string]quorum.UpdateFunc{membership.RegisterKey: update}
 	r.startInternalWrite(now, updates, func() { local.proposing = false })
--- a/internal/control/replica/releases.go
+++ b/internal/control/replica/releases.go
@@ -50,7 +50,7 @@
 // endRelease writes the end of a release. If the write fails, the votes are still there and are counted again.
 func (r *Replica) endRelease(now time.Time, service string, number uint64, phase string) {
 	r.decidingReleases[service] = true
-	r.logEvent("release decided by votes", "service", service, "phase", phase)
+	r.logEvent("release decided by votes", LogField{"service", service}, LogField{"phase", phase})
 	updates := map[string]quorum.UpdateFunc{release.RegisterKey(service): release.End(number, phase)}
 	r.startInternalWrite(now, updates, func() { delete(r.decidingReleases, service) })
 }
--- a/internal/control/replica/replicated.go
+++ b/internal/control/replica/replicated.go
@@ -26,8 +26,11 @@
 	}
 	if away := now.Sub(previous.at); known && away > PeerTimeout+LeaseTerm {
 		missing, _ := r.items.Missing(request.Progress, r.items.LocalSequence(), nil)
-		r.logEvent("member returned", "member", node, "awayMs", formatMs(away),
-			"items", strconv.Itoa(len(missing)), "complete", strconv.FormatBool(complete))
+		r.logEvent("member returned",
+			LogField{"member", node},
+			LogField{"awayMs", formatMs(away)},
+			LogField{"items", strconv.Itoa(len(missing))},
+			LogField{"complete", strconv.FormatBool(complete)})
 	}
 }
 
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -184,8 +184,10 @@
 	local.identity.EverActive = true
 	local.identity.ActiveEpoch = epoch
 	r.finish(op, nil, nil)
-	r.logEvent("active member of the epoch", "epoch", formatUint(epoch),
-		"registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())), "afterMs", formatMs(now.Sub(local.adoptedAt)))
+	r.logEvent("active member of the epoch",
+		LogField{"epoch", formatUint(epoch)},
+		LogField{"registers", strconv.Itoa(len(r.acceptor.AcceptedEntries()))},
+		LogField{"afterMs", formatMs(now.Sub(local.adoptedAt))})
 	r.noteQuorumChange(now)
 	r.notifyAfter(0)
 }
@@ -199,6 +201,6 @@
 	}
 	r.local.caughtUp = true
 	r.finish(op, nil, nil)
-	r.logEvent("candidate caught up", "registers", strconv.Itoa(len(r.acceptor.AcceptedEntries())))
+	r.logEvent("candidate caught up", LogField{"registers", strconv.Itoa(len(r.acceptor.AcceptedEntries()))})
 	r.notifyAfter(0)
 }
--- a/internal/control/server/driver.go
+++ b/internal/control/server/driver.go
@@ -154,9 +154,9 @@
 // logEntries logs the replica's changes of state.
 func (s *Server) logEntries(entries []replica.LogEntry) {
 	for _, entry := range entries {
-		fields := make([]zap.Field, 0, len(entry.Fields)/2)
-		for i := 0; i+1 < len(entry.Fields); i += 2 {
-			fields = append(fields, zap.String(entry.Fields[i], entry.Fields[i+1]))
+		fields := make([]zap.Field, 0, len(entry.Fields))
+		for _, field := range entry.Fields {
+			fields = append(fields, zap.String(field.Key, field.Value))
 		}
 		s.log.Info(entry.Message, fields...)
 	}
