--- a/internal/control/release/release.go
+++ b/internal/control/release/release.go
@@ -20,11 +20,14 @@
 // RegisterKey returns the key of the register that holds the release of a service.
 func RegisterKey(service string) string { return RegisterKeyPrefix + service }
 
-// Phases of a release, in the protocol's words.
+// Phase is how far a release has come, in the protocol's words. The empty Phase stands for none.
+type Phase string
+
+// Phases of a release.
 const (
-	PhaseInService = "in_service" // it is under way
-	PhaseFinished  = "finished"   // the target has replaced the old build
-	PhaseReverted  = "reverted"   // the old build has all traffic again
+	PhaseInService Phase = "in_service" // it is under way
+	PhaseFinished  Phase = "finished"   // the target has replaced the old build
+	PhaseReverted  Phase = "reverted"   // the old build has all traffic again
 )
 
 // Release is the state of a service's release.
@@ -32,7 +35,7 @@
 //easyjson:json
 type Release struct {
 	Target     string `json:"target"` // the version of the new build
-	Phase      string `json:"phase"`
+	Phase      Phase  `json:"phase"`
 	DurationMs int64  `json:"over"`   // over which the share of the new build rises
 	StartedMs  int64  `json:"began"`  // Unix milliseconds, by the clock of the controller that received the order
 	Number     uint64 `json:"number"` // counts the releases of the service, from 1
@@ -75,7 +78,7 @@
 
 // End returns the update that ends the release with a number, in a phase. A release that has already ended stays as it
 // is, so that of two decisions that race the first is kept.
-func End(number uint64, phase string) quorum.UpdateFunc {
+func End(number uint64, phase Phase) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		release, exists := Read(current)
 		if !exists || release.Number != number || release.Phase != PhaseInService {
--- a/internal/control/release/release_easyjson.go
+++ b/internal/control/release/release_easyjson.go
@@ -128,7 +128,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Phase = string(in.String())
+				out.Phase = Phase(in.String())
 			}
 		case "over":
 			if in.IsNull() {
--- a/internal/control/release/votes.go
+++ b/internal/control/release/votes.go
@@ -12,7 +12,7 @@
 //
 // A single vote to revert ends it: a proxy casts it on the evidence of all proxies, and the sooner it counts, the fewer
 // requests fail. To finish it takes a majority of the proxies that see requests of the service.
-func CountVotes(number uint64, tallies []*replication.ReleaseTally) string {
+func CountVotes(number uint64, tallies []*replication.ReleaseTally) Phase {
 	finishVotes, voters := 0, 0
 	for _, tally := range tallies {
 		if tally.ReleaseNumber != number {
--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -9,7 +9,7 @@
 )
 
 // isGone reports whether a phase is one in which a backend exists no more.
-func isGone(phase string) bool {
+func isGone(phase replication.Phase) bool {
 	return phase == replication.PhaseLeft || phase == replication.PhaseTimedOut
 }
 
@@ -55,7 +55,7 @@
 }
 
 // BackendPhase returns the phase of a backend, or "" where nothing is known of it.
-func (r *Replica) BackendPhase(id string) string {
+func (r *Replica) BackendPhase(id string) replication.Phase {
 	item, _ := r.items.Get(replication.BackendKey + id)
 	backend, ok := replication.ReadBackend(item)
 	if !ok {
--- a/internal/control/replica/releases.go
+++ b/internal/control/replica/releases.go
@@ -48,9 +48,9 @@
 }
 
 // endRelease writes the end of a release. If the write fails, the votes are still there and are counted again.
-func (r *Replica) endRelease(now time.Time, service string, number uint64, phase string) {
+func (r *Replica) endRelease(now time.Time, service string, number uint64, phase release.Phase) {
 	r.decidingReleases[service] = true
-	r.logEvent("release decided by votes", LogField{"service", service}, LogField{"phase", phase})
+	r.logEvent("release decided by votes", LogField{"service", service}, LogField{"phase", string(phase)})
 	updates := map[string]quorum.UpdateFunc{release.RegisterKey(service): release.End(number, phase)}
 	r.startInternalWrite(now, updates, func() { delete(r.decidingReleases, service) })
 }
--- a/internal/control/replication/backend.go
+++ b/internal/control/replication/backend.go
@@ -4,12 +4,15 @@
 
 //go:generate go tool easyjson $GOFILE
 
+// Phase is a backend's state of service, in the protocol's words. The empty Phase stands for an unknown backend.
+type Phase string
+
 // Phases of a backend. It says itself that it is ready or draining; its owner adds the other two.
 const (
-	PhaseReady    = "ready"
-	PhaseDraining = "emptying" // it finishes its requests and gets no new ones
-	PhaseTimedOut = "silent"   // its heartbeats have stopped
-	PhaseLeft     = "left"     // it has signed off
+	PhaseReady    Phase = "ready"
+	PhaseDraining Phase = "emptying" // it finishes its requests and gets no new ones
+	PhaseTimedOut Phase = "silent"   // its heartbeats have stopped
+	PhaseLeft     Phase = "left"     // it has signed off
 )
 
 // Backend is an incarnation of a backend, as it is replicated.
@@ -21,7 +24,7 @@
 	Zone        string `json:"z"`
 	Version     string `json:"v"` // of its build
 	Capacity    int    `json:"c"` // requests that it processes at once
-	Phase       string `json:"p"`
+	Phase       Phase  `json:"p"`
 	WarmAtMs    int64  `json:"w"` // when its warm-up ends: Unix milliseconds, by the clock of Owner; 0: it is warm
 	Owner       string `json:"h"` // the controller that receives its heartbeats
 	HeartbeatMs int64  `json:"t"` // when Owner received the last published heartbeat: Unix milliseconds
@@ -50,7 +53,7 @@
 }
 
 // ItemWithPhase returns the item of the backend in another phase.
-func (b Backend) ItemWithPhase(id, phase string, version uint64) Item {
+func (b Backend) ItemWithPhase(id string, phase Phase, version uint64) Item {
 	b.Phase = phase
 	return b.item(id, version)
 }
--- a/internal/control/replication/backend_easyjson.go
+++ b/internal/control/replication/backend_easyjson.go
@@ -152,7 +152,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Phase = string(in.String())
+				out.Phase = Phase(in.String())
 			}
 		case "w":
 			if in.IsNull() {
--- a/internal/control/replication/heartbeat.go
+++ b/internal/control/replication/heartbeat.go
@@ -22,7 +22,7 @@
 	Zone       string `json:"zone"`
 	Version    string `json:"version"`   // of its build
 	Capacity   int    `json:"capacity"`  // requests that it processes at once
-	Phase      string `json:"phase"`     // PhaseReady or PhaseDraining
+	Phase      Phase  `json:"phase"`     // PhaseReady or PhaseDraining
 	WarmUpLeft string `json:"warmLeft"`  // the rest of its warm-up, as a duration; empty: none
 	CallCount  int64  `json:"callCount"` // rises with every heartbeat of an incarnation
 }
--- a/internal/control/replication/heartbeat_easyjson.go
+++ b/internal/control/replication/heartbeat_easyjson.go
@@ -65,7 +65,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Phase = string(in.String())
+				out.Phase = Phase(in.String())
 			}
 		case "warmLeft":
 			if in.IsNull() {
--- a/internal/control/server/release.go
+++ b/internal/control/server/release.go
@@ -14,8 +14,8 @@
 
 // releaseStatus answers opReleaseRead.
 type releaseStatus struct {
-	Phase  string `json:"phase"`
-	Target string `json:"target"` // the version that is released
+	Phase  release.Phase `json:"phase"`
+	Target string        `json:"target"` // the version that is released
 }
 
 // handleReleaseBegin starts the release of a version of a service. A repetition of the order within the resend window
