--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -14,6 +14,8 @@
 
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
+
+	"sagelever/internal/control/calls"
 )
 
 const (
@@ -65,12 +67,12 @@
 
 func (e *RejectedError) Error() string { return e.Message }
 
-// Call makes an API call and decodes the response into out, unless that is nil. target is what the operation is about;
+// Call makes an API call and decodes the response into out, unless that is nil. target is what the call is about;
 // it may be empty. A call without a definite response (an error, a time-out, a 5xx, 408 or 429) is repeated at the next
 // contact, with a growing pause after each round of all contacts, until ctx ends. Operations are idempotent within the
 // controllers' resend window. Call returns a *RejectedError if the call is rejected.
 func (c *Client) Call(
-	ctx context.Context, operation, target string, body []byte, out easyjson.Unmarshaler,
+	ctx context.Context, call calls.Name, target string, body []byte, out easyjson.Unmarshaler,
 ) error {
 	if len(c.contacts) == 0 {
 		return ErrNoContacts
@@ -87,7 +89,7 @@
 			return errors.Wrap(lastErr, "no definite response in time")
 		}
 		contact := c.contacts[c.next%len(c.contacts)]
-		resp, err := c.post(ctx, contact, operation, target, body)
+		resp, err := c.post(ctx, contact, call, target, body)
 		switch {
 		case err != nil:
 			lastErr = err
@@ -146,8 +148,10 @@
 }
 
 // post sends a call to one controller.
-func (c *Client) post(ctx context.Context, contact, operation, target string, body []byte) (response, error) {
-	address := "http://" + contact + "/api/rpc?call=" + url.QueryEscape(operation)
+func (c *Client) post(
+	ctx context.Context, contact string, call calls.Name, target string, body []byte,
+) (response, error) {
+	address := "http://" + contact + "/api/rpc?call=" + url.QueryEscape(string(call))
 	if target != "" {
 		address += "&of=" + url.QueryEscape(target)
 	}
--- a/internal/control/client/drain.go
+++ b/internal/control/client/drain.go
@@ -9,16 +9,10 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/drain"
 )
 
-// Operations of the control API.
-const (
-	opDrainBegin = "drains.begin"
-	opDrainEnd   = "drains.end"
-	opDrainsRead = "drains.read"
-)
-
 // capacityRetryInterval is how often DrainGradually checks whether the next backend can be spared.
 const capacityRetryInterval = time.Second
 
@@ -48,7 +42,7 @@
 		return nil, err
 	}
 	response := &drain.Response{}
-	err = c.Call(ctx, opDrainBegin, "", body, response)
+	err = c.Call(ctx, calls.DrainBegin, "", body, response)
 	if err == nil {
 		return response, nil
 	}
@@ -65,7 +59,7 @@
 // Undrain withdraws a drain. It also succeeds where there is no such drain, but a controller that was asked before may
 // have withdrawn it.
 func (c *Client) Undrain(ctx context.Context, target string) error {
-	err := c.Call(ctx, opDrainEnd, target, nil, nil)
+	err := c.Call(ctx, calls.DrainEnd, target, nil, nil)
 	rejected, ok := errors.Into[*RejectedError](err)
 	if ok && rejected.Status == http.StatusNotFound && rejected.MaybeApplied {
 		return nil
@@ -76,7 +70,7 @@
 // ListDrains returns the progress of the active drains: of all, or of the one with a target.
 func (c *Client) ListDrains(ctx context.Context, target string) ([]drain.Progress, error) {
 	list := &drain.ProgressList{}
-	err := c.Call(ctx, opDrainsRead, target, nil, list)
+	err := c.Call(ctx, calls.DrainsRead, target, nil, list)
 	return list.Drains, err
 }
 
--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -7,21 +7,8 @@
 	"github.com/go-faster/errors"
 	"github.com/gorilla/mux"
 	"github.com/mailru/easyjson"
-)
 
-// Operations of the API, as named by the query parameter call of POST /api/rpc.
-const (
-	opHeartbeat      = "servers.pulse"
-	opSignOff        = "servers.sign_off"
-	opSettingsChange = "settings.change"
-	opSettingsRead   = "settings.read"
-	opReleaseBegin   = "releases.begin"
-	opReleaseRead    = "releases.read"
-	opClearOutBegin  = "clear_out.begin"
-	opClearOutFinish = "clear_out.finish"
-	opDrainBegin     = "drains.begin"
-	opDrainEnd       = "drains.end"
-	opDrainsRead     = "drains.read"
+	"sagelever/internal/control/calls"
 )
 
 // targetParam names what an operation is about, as a query parameter: a backend, a service, a zone or a drain.
@@ -53,20 +40,20 @@
 	router := mux.NewRouter()
 	router.UseEncodedPath()
 	operations := router.Path("/api/rpc").Methods(http.MethodPost).Subrouter()
-	handle := func(operation string, handler apiFunc) {
-		operations.NewRoute().Queries("call", operation).Handler(handler)
+	handle := func(call calls.Name, handler apiFunc) {
+		operations.NewRoute().Queries("call", string(call)).Handler(handler)
 	}
-	handle(opHeartbeat, s.handleHeartbeat)
-	handle(opSignOff, s.handleSignOff)
-	handle(opSettingsChange, s.handleSettingsChange)
-	handle(opSettingsRead, s.handleSettingsRead)
-	handle(opReleaseBegin, s.handleReleaseBegin)
-	handle(opReleaseRead, s.handleReleaseRead)
-	handle(opClearOutBegin, s.handleClearOutBegin)
-	handle(opClearOutFinish, s.handleClearOutFinish)
-	handle(opDrainBegin, s.handleDrainBegin)
-	handle(opDrainEnd, s.handleDrainEnd)
-	handle(opDrainsRead, s.handleDrainsRead)
+	handle(calls.Heartbeat, s.handleHeartbeat)
+	handle(calls.SignOff, s.handleSignOff)
+	handle(calls.SettingsChange, s.handleSettingsChange)
+	handle(calls.SettingsRead, s.handleSettingsRead)
+	handle(calls.ReleaseBegin, s.handleReleaseBegin)
+	handle(calls.ReleaseRead, s.handleReleaseRead)
+	handle(calls.ClearOutBegin, s.handleClearOutBegin)
+	handle(calls.ClearOutFinish, s.handleClearOutFinish)
+	handle(calls.DrainBegin, s.handleDrainBegin)
+	handle(calls.DrainEnd, s.handleDrainEnd)
+	handle(calls.DrainsRead, s.handleDrainsRead)
 	return router
 }
 
--- a/internal/control/server/clear_out.go
+++ b/internal/control/server/clear_out.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/drain"
 	"sagelever/internal/control/quorum"
 )
@@ -15,16 +16,16 @@
 
 // handleClearOutBegin takes all backends of a zone out of service.
 func (s *Server) handleClearOutBegin(w http.ResponseWriter, r *http.Request) error {
-	return s.changeClearOut(w, r, opClearOutBegin)
+	return s.changeClearOut(w, r, calls.ClearOutBegin)
 }
 
 // handleClearOutFinish withdraws one order to clear out a zone. The zone is in service again once all are withdrawn.
 func (s *Server) handleClearOutFinish(w http.ResponseWriter, r *http.Request) error {
-	return s.changeClearOut(w, r, opClearOutFinish)
+	return s.changeClearOut(w, r, calls.ClearOutFinish)
 }
 
-// changeClearOut carries out opClearOutBegin or opClearOutFinish.
-func (s *Server) changeClearOut(w http.ResponseWriter, r *http.Request, operation string) error {
+// changeClearOut carries out calls.ClearOutBegin or calls.ClearOutFinish.
+func (s *Server) changeClearOut(w http.ResponseWriter, r *http.Request, call calls.Name) error {
 	zone, err := readTarget(r)
 	if err != nil {
 		return err
@@ -38,8 +39,8 @@
 	received := s.now()
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	begin := operation == opClearOutBegin
-	version, err := s.operations.join(ctx, operationKey(operation, zone), 0, func(ctx context.Context) (uint64, error) {
+	begin := call == calls.ClearOutBegin
+	version, err := s.operations.join(ctx, operationKey(call, zone), 0, func(ctx context.Context) (uint64, error) {
 		return s.proposeClearOut(ctx, zone, begin)
 	})
 	if err != nil {
--- a/internal/control/server/configuration.go
+++ b/internal/control/server/configuration.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/config"
 	"sagelever/internal/control/quorum"
 )
@@ -33,7 +34,7 @@
 	timeout := callTimeout + time.Duration(len(values))*timePerItem
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	key := operationKey(opSettingsChange, config.ChangeText(values))
+	key := operationKey(calls.SettingsChange, config.ChangeText(values))
 	err = s.operations.run(ctx, key, len(data), func(ctx context.Context) error {
 		return retryTooFewResponses(ctx, timeout, func(ctx context.Context) error {
 			return s.commitChange(ctx, values)
--- a/internal/control/server/drain.go
+++ b/internal/control/server/drain.go
@@ -8,6 +8,7 @@
 
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/drain"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/replication"
@@ -133,7 +134,7 @@
 	change := drain.AddRecorded(target.zone, target.drain, isEnded, now, s.resendWindow())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	operation := operationKey(opDrainBegin, target.zone, target.name())
+	operation := operationKey(calls.DrainBegin, target.zone, target.name())
 	return s.operations.run(ctx, operation, 0, func(ctx context.Context) error {
 		chosen, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
 		if err != nil {
@@ -189,7 +190,7 @@
 		return errNoSuchDrain
 	}
 	change := drain.RemoveRecorded(drain.ZoneOfListKey(key), active, now, s.resendWindow())
-	return s.operations.run(ctx, operationKey(opDrainEnd, name), 0, func(ctx context.Context) error {
+	return s.operations.run(ctx, operationKey(calls.DrainEnd, name), 0, func(ctx context.Context) error {
 		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{key: change})
 		return err
 	})
--- a/internal/control/server/operations.go
+++ b/internal/control/server/operations.go
@@ -8,6 +8,7 @@
 
 	"github.com/go-faster/errors"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/dedup"
 	"sagelever/internal/control/replica"
 )
@@ -45,9 +46,9 @@
 	err     error
 }
 
-// operationKey identifies an operation by its name and its arguments.
-func operationKey(name string, arguments ...string) string {
-	return name + " " + strings.Join(arguments, "\x00")
+// operationKey identifies an operation by its call and its arguments.
+func operationKey(call calls.Name, arguments ...string) string {
+	return string(call) + " " + strings.Join(arguments, "\x00")
 }
 
 // run is join for an operation without a version.
--- a/internal/control/server/release.go
+++ b/internal/control/server/release.go
@@ -7,12 +7,13 @@
 
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/quorum"
 	"sagelever/internal/control/release"
 	"sagelever/internal/settings"
 )
 
-// releaseStatus answers opReleaseRead.
+// releaseStatus answers calls.ReleaseRead.
 type releaseStatus struct {
 	Phase  release.Phase `json:"phase"`
 	Target string        `json:"target"` // the version that is released
@@ -40,7 +41,7 @@
 	change := release.StartOnce(order.Target, duration, received, s.resendWindow())
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	key := operationKey(opReleaseBegin, order.Service, order.Target, duration.String())
+	key := operationKey(calls.ReleaseBegin, order.Service, order.Target, duration.String())
 	err = s.operations.run(ctx, key, len(data), func(ctx context.Context) error {
 		_, err := s.propose(ctx, map[string]quorum.UpdateFunc{release.RegisterKey(order.Service): change})
 		return err
--- a/internal/testbed/cluster/backend.go
+++ b/internal/testbed/cluster/backend.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"github.com/go-faster/errors"
+
+	"sagelever/internal/control/calls"
 )
 
 // Fault is what a backend or the cluster does wrong on purpose, so that the ledger is seen to find it.
@@ -272,7 +274,7 @@
 	b.cluster.Ledger.RemovalAcknowledged(b.ID, method, time.Now())
 	time.Sleep(options.DrainTime + options.DrainTime/10)
 	b.cancel()
-	b.callController("servers.sign_off", nil)
+	b.callController(calls.SignOff, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	_ = b.server.Shutdown(ctx) // runs in flight come to their end; Kill cuts off what is left after the timeout
--- a/internal/testbed/cluster/configure.go
+++ b/internal/testbed/cluster/configure.go
@@ -7,6 +7,8 @@
 	"net/http"
 
 	"github.com/go-faster/errors"
+
+	"sagelever/internal/control/calls"
 )
 
 // object is a JSON object of the controllers' interface.
@@ -18,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.Operator().Call(ctx, "settings.change", "", body, nil); err != nil {
+	if err := c.Operator().Call(ctx, calls.SettingsChange, "", body, nil); err != nil {
 		return err
 	}
 	for i := range c.options.Proxies {
--- a/internal/testbed/cluster/heartbeat.go
+++ b/internal/testbed/cluster/heartbeat.go
@@ -8,6 +8,7 @@
 
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/replication"
 )
 
@@ -44,16 +45,16 @@
 	}
 	b.mu.Unlock()
 	body, _ := easyjson.Marshal(&heartbeat) // strings and numbers only: it cannot fail
-	return b.callController("servers.pulse", body)
+	return b.callController(calls.Heartbeat, body)
 }
 
 // callController calls the controller that answered last, and then the others until one acknowledges the call.
-func (b *Backend) callController(call string, body []byte) (acknowledged bool) {
+func (b *Backend) callController(call calls.Name, body []byte) (acknowledged bool) {
 	b.mu.Lock()
 	preferred := b.controller
 	b.mu.Unlock()
 	for _, address := range append([]string{preferred}, b.cluster.ControllerAddresses()...) {
-		url := "http://" + address + "/api/rpc?call=" + call + "&of=" + b.ID
+		url := "http://" + address + "/api/rpc?call=" + string(call) + "&of=" + b.ID
 		response, err := b.controlClient.Post(url, "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
--- a/internal/testbed/cluster/stress.go
+++ b/internal/testbed/cluster/stress.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/go-faster/errors"
+
+	"sagelever/internal/control/calls"
 )
 
 // stressLoad is the load of the stress phase, in which a zone is gone and backends are replaced besides.
@@ -66,7 +68,7 @@
 }
 
 func (c *Cluster) beginEvacuation(ctx context.Context, zone string) error {
-	if err := c.Operator().Call(ctx, "clear_out.begin", zone, nil, nil); err != nil {
+	if err := c.Operator().Call(ctx, calls.ClearOutBegin, zone, nil, nil); err != nil {
 		return errors.Wrap(err, "clear out")
 	}
 	for _, backend := range c.allBackends() {
@@ -84,7 +86,7 @@
 			c.Ledger.BackendReturned(backend.ID, time.Now())
 		}
 	}
-	if err := c.Operator().Call(ctx, "clear_out.finish", zone, nil, nil); err != nil {
+	if err := c.Operator().Call(ctx, calls.ClearOutFinish, zone, nil, nil); err != nil {
 		return errors.Wrap(err, "take back")
 	}
 	return nil
--- a/internal/testbed/hollow/backend.go
+++ b/internal/testbed/hollow/backend.go
@@ -10,6 +10,7 @@
 
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/replication"
 )
 
@@ -64,7 +65,7 @@
 	if err != nil {
 		return false
 	}
-	url := "http://" + b.controllerAddress + "/api/rpc?call=servers.pulse&of=" + b.id
+	url := "http://" + b.controllerAddress + "/api/rpc?call=" + string(calls.Heartbeat) + "&of=" + b.id
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return false
--- a/internal/testbed/hollow/load.go
+++ b/internal/testbed/hollow/load.go
@@ -9,6 +9,7 @@
 	"github.com/go-faster/errors"
 	"github.com/mailru/easyjson"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/client"
 	"sagelever/internal/control/config"
 )
@@ -158,5 +159,5 @@
 	if err != nil {
 		return err
 	}
-	return controlClient.Call(ctx, "settings.change", "", body, nil)
+	return controlClient.Call(ctx, calls.SettingsChange, "", body, nil)
 }
--- a/internal/testbed/hollow/testbed.go
+++ b/internal/testbed/hollow/testbed.go
@@ -15,6 +15,7 @@
 
 	"github.com/go-faster/errors"
 
+	"sagelever/internal/control/calls"
 	"sagelever/internal/control/client"
 	"sagelever/internal/control/config"
 )
@@ -100,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, address := range b.controllerAddresses() {
-		if err := client.New([]string{address}).Call(ctx, "settings.read", "", nil, nil); err != nil {
+		if err := client.New([]string{address}).Call(ctx, calls.SettingsRead, "", nil, nil); err != nil {
 			return errors.Wrap(err, "the controllers do not take calls")
 		}
 	}
