--- a/internal/control/drain/progress.go
+++ b/internal/control/drain/progress.go
@@ -11,8 +11,14 @@
 type ProxyReport struct {
 	Proxy         string
 	Zone          string
-	DrainVersions map[string]uint64 // by zone: the version of the register of drains that it has applied
-	InFlight      map[string][2]int // by backend: idempotent and non-idempotent requests in flight
+	DrainVersions map[string]uint64         // by zone: the version of the register of drains that it has applied
+	InFlight      map[string]InFlightCounts // by backend
+}
+
+// InFlightCounts are the numbers of requests that one proxy has in flight at one backend.
+type InFlightCounts struct {
+	Idempotent    int
+	NonIdempotent int
 }
 
 // Progress is how far a drain has come.
@@ -103,8 +109,8 @@
 		draining := DrainingBackend{ID: backend.ID, Service: backend.Service, Zone: backend.Zone}
 		for _, report := range reports {
 			inFlight := report.InFlight[backend.ID]
-			draining.Idempotent += inFlight[0]
-			draining.NonIdempotent += inFlight[1]
+			draining.Idempotent += inFlight.Idempotent
+			draining.NonIdempotent += inFlight.NonIdempotent
 		}
 		p.Idempotent += draining.Idempotent
 		p.NonIdempotent += draining.NonIdempotent
@@ -122,8 +128,8 @@
 		}
 		for _, backend := range p.Backends {
 			inFlight := report.InFlight[backend.ID]
-			proxy.Idempotent += inFlight[0]
-			proxy.NonIdempotent += inFlight[1]
+			proxy.Idempotent += inFlight.Idempotent
+			proxy.NonIdempotent += inFlight.NonIdempotent
 		}
 		if proxy.MaySend || proxy.Idempotent+proxy.NonIdempotent > 0 {
 			p.BlockingProxies = append(p.BlockingProxies, proxy)
--- a/internal/control/message/survey.go
+++ b/internal/control/message/survey.go
@@ -31,9 +31,12 @@
 // ProgressReports converts the survey into the input of the drain progress computation.
 func (s InFlightSurvey) ProgressReports() (reports []drain.ProxyReport, loads []drain.ServiceLoad) {
 	for _, report := range s.Reports {
-		inFlight := make(map[string][2]int, len(report.Backends))
+		inFlight := make(map[string]drain.InFlightCounts, len(report.Backends))
 		for _, row := range report.Backends {
-			inFlight[row.BackendID] = [2]int{row.Idempotent, row.NonIdempotent}
+			inFlight[row.BackendID] = drain.InFlightCounts{
+				Idempotent:    row.Idempotent,
+				NonIdempotent: row.NonIdempotent,
+			}
 		}
 		reports = append(reports, drain.ProxyReport{
 			Proxy:         report.From.Node,
