--- a/internal/proxy/balancer/inflight.go
+++ b/internal/proxy/balancer/inflight.go
@@ -13,15 +13,27 @@
 // negligibleRate is the rate, in requests a second, below which traffic counts as ended: one request a minute.
 const negligibleRate = 1.0 / 60
 
-// InFlightReport returns what this proxy contributes to the in-flight survey of a drain: its requests in flight at
-// draining backends, the load that it carries, and the version of each zone's list of drains that it applies.
-func (b *Balancer) InFlightReport(
-	now time.Time,
-) (rows []replication.BackendInFlight, loads []drain.ServiceLoad, drainVersions map[string]uint64) {
+// InFlightReport is what a proxy contributes to the in-flight survey of a drain.
+type InFlightReport struct {
+	// Backends has the requests in flight at backends that drain or are gone, sorted by backend.
+	Backends []replication.BackendInFlight
+	// Loads is the load that the proxy carries, sorted by service and home regions.
+	Loads []drain.ServiceLoad
+	// DrainVersions is, by zone, the version of the list of drains that the proxy applies. It is nil before the first
+	// routing table and must not be changed.
+	DrainVersions map[string]uint64
+}
+
+// InFlightReport returns this proxy's contribution to the in-flight survey of a drain.
+func (b *Balancer) InFlightReport(now time.Time) InFlightReport {
+	report := InFlightReport{
+		Backends: b.drainingInFlight(),
+		Loads:    b.serviceLoads(now),
+	}
 	if b.table != nil {
-		drainVersions = b.table.DrainVersions
+		report.DrainVersions = b.table.DrainVersions
 	}
-	return b.drainingInFlight(), b.serviceLoads(now), drainVersions
+	return report
 }
 
 // drainingInFlight returns the requests in flight at backends that drain or are gone, sorted by backend.
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -56,8 +56,11 @@
 func (s *subscription) reportInFlight(addr string, surveyID uint64) {
 	report := &message.InFlightReport{From: s.member(), SurveyID: surveyID}
 	s.proxy.mu.Lock()
-	report.Backends, report.Loads, report.DrainVersions = s.proxy.balancer.InFlightReport(time.Now())
+	observed := s.proxy.balancer.InFlightReport(time.Now())
 	s.proxy.mu.Unlock()
+	report.Backends = observed.Backends
+	report.Loads = observed.Loads
+	report.DrainVersions = observed.DrainVersions
 	body, err := easyjson.Marshal(report)
 	if err != nil {
 		return
