--- a/internal/control/server/driver.go
+++ b/internal/control/server/driver.go
@@ -44,8 +44,8 @@
 	return output.LogEntries
 }
 
-// startSaves writes registers, the proposal floor and the identity. The replica answers nobody on the strength of them
-// before HandleSaved has told it that they are on the disk.
+// startSaves writes registers, the least proposal number and the identity. The replica answers nobody on the strength
+// of them before HandleSaved has told it that they are on the disk.
 func (s *Server) startSaves(saves []replica.Save) {
 	for _, save := range saves {
 		write := s.store.PutAsync(encodeSave(save))
--- a/internal/control/server/persistence.go
+++ b/internal/control/server/persistence.go
@@ -17,8 +17,8 @@
 const maxSaveInterval = 5 * time.Second
 
 // saveState is what the store holds of the items and disk generations, which the server writes without waiting for a
-// sync. (Registers, the proposal floor and the identity are written by startSaves, before the replica acknowledges
-// anything.)
+// sync. (Registers, the least proposal number and the identity are written by startSaves, before the replica
+// acknowledges anything.)
 type saveState struct {
 	sequence    uint64            // the replica's items are in the store up to this sequence number
 	savedAt     time.Time         // when the progress was last written
@@ -80,8 +80,8 @@
 }
 
 // loadState reads what the replica goes on with after a restart, and notes in saved what need not be written again and
-// which legacy records are to be deleted. It returns an error if a register, the proposal floor or the identity is
-// malformed; of the other records, malformed ones are left out, as other members have the items too.
+// which legacy records are to be deleted. It returns an error if a register, the least proposal number or the identity
+// is malformed; of the other records, malformed ones are left out, as other members have the items too.
 func loadState(store *storage.Store, saved *saveState) (replica.PersistedState, error) {
 	state := replica.PersistedState{}
 	if err := loadRegisters(store, &state); err != nil {
--- a/internal/control/server/records.go
+++ b/internal/control/server/records.go
@@ -18,7 +18,7 @@
 // the order of their keys. progressKey sorts last, so that a stored progress never claims an item that was cut off.
 const (
 	entryPrefix      = "e/"       // registers, by key: quorum.Entry as JSON
-	floorKey         = "floor"    // the proposal floor: message.PeerRequest as JSON
+	floorKey         = "floor"    // the least proposal number: message.PeerRequest as JSON
 	identityKey      = "identity" // replica.Identity as JSON
 	generationPrefix = "g/"       // disk generations of other replicas, by node: "DISK-ID NUMBER"
 	itemPrefix       = "i/"       // replicated items, by key: "VERSION ORIGIN NUMBER BODY", numbers in hexadecimal
