--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -17,27 +17,27 @@
 // apply applies the response to a pull: the configuration as a new routing table, the backends, and the release tallies
 // of other proxies.
 //
-// It returns errStaleResponse, and applies nothing, if the response lay unread for longer than the pull may take, as it
-// does after the process was stopped: when it was given is unknown then, and the controllers may have forgotten
-// removals since.
+// It returns errStaleResponse and applies nothing if the response is read later than a pull may take, for example after
+// the process was suspended. The age of such a response is unknown, and the controllers may have dropped records of
+// removals that it does not contain.
 func (s *subscription) apply(pull answeredPull, now time.Time) error {
 	maxAge := time.Duration(pull.request.WaitMs)*time.Millisecond + responseTimeout
 	if now.Sub(pull.sentAt) > maxAge {
 		return errStaleResponse
 	}
-	before := s.proxy.holdsAuthority(now)
+	wasAuthoritative := s.proxy.holdsAuthority(now)
 	table, fullSync := s.applyConfiguration(pull)
 	targets := s.updateBalancer(pull, table, fullSync, now)
 	s.proxy.connPool.preconnect(targets)
 	if table != nil && table.Limits != (routing.RequestLimits{}) {
 		s.proxy.listener.applyLimits(table.Limits)
 	}
-	s.proxy.updateAuthority(pull.response, before)
+	s.proxy.updateAuthority(pull.response, wasAuthoritative)
 	return nil
 }
 
-// updateBalancer applies a response to the balancer, in one critical section, so that no request is placed by half of
-// it. It returns the backends to which connections should be opened ahead of time.
+// updateBalancer applies a response to the balancer in one critical section, so that no request is placed while only a
+// part of the response is applied. It returns the backends to which connections should be opened ahead of time.
 func (s *subscription) updateBalancer(pull answeredPull, table *routing.Table, fullSync bool,
 	now time.Time) []balancer.PreconnectTarget {
 	p, response := s.proxy, pull.response
@@ -61,8 +61,8 @@
 	return p.balancer.TakePreconnects()
 }
 
-// applyConfiguration applies what concerns the controllers and the configuration. table is nil if the configuration has
-// not changed. fullSync says that the response replaces all that the proxy knew.
+// applyConfiguration applies the parts of a response that concern the controllers and the configuration. table is nil
+// if the configuration has not changed. fullSync reports whether the response replaces the proxy's entire state.
 func (s *subscription) applyConfiguration(pull answeredPull) (table *routing.Table, fullSync bool) {
 	response := pull.response
 	s.mu.Lock()
@@ -70,7 +70,8 @@
 	fullSync = s.recordProgress(pull)
 	s.updateMembers(response)
 	s.advertVersion = max(s.advertVersion, response.KnownIncarnation+1)
-	// A controller that has restarted may number surveys lower than before, if its clock was set back.
+	// Survey numbers are compared for inequality: a restarted controller whose clock was set back numbers surveys
+	// lower.
 	if response.SurveyID != 0 && response.SurveyID != s.lastSurvey {
 		s.lastSurvey = response.SurveyID
 		go s.reportInFlight(pull.addr, response.SurveyID)
@@ -82,8 +83,8 @@
 	return table, fullSync
 }
 
-// updateMembers takes over the members of the control group that a response lists. Only a controller with quorum can
-// tell who is no member any more. The caller holds s.mu.
+// updateMembers records the members of the control group that a response lists. Only a response with quorum replaces
+// the list; one without quorum can only add members, as its list may be outdated. The caller must hold s.mu.
 func (s *subscription) updateMembers(response *message.PullResponse) {
 	switch {
 	case len(response.Members) == 0:
@@ -94,8 +95,8 @@
 	}
 }
 
-// mergeConfiguration merges the configuration items and returns whether any is newer than what was known. The caller
-// holds s.mu. No key ever goes back to an older version.
+// mergeConfiguration merges configuration items into s.values and reports whether any value has changed. The version of
+// a key never decreases. The caller must hold s.mu.
 func (s *subscription) mergeConfiguration(items []replication.Item) (changed bool) {
 	for _, item := range items {
 		if !strings.HasPrefix(item.Key, replication.RegisterKey) {
@@ -113,8 +114,8 @@
 	return changed
 }
 
-// applyItems applies the items about backends and release tallies. The caller holds the proxy's lock. It returns the
-// ids of the backends that the response contains.
+// applyItems applies the items of backends and release tallies and returns the ids of the backends in the response. The
+// caller must hold Proxy.mu.
 func (s *subscription) applyItems(response *message.PullResponse, now time.Time) (backends map[string]bool) {
 	backends = map[string]bool{}
 	for _, item := range response.Items {
@@ -145,11 +146,12 @@
 	}
 }
 
-// recordProgress records how far the proxy has come with a response, and returns whether the response replaces all that
-// it knew. The caller holds s.mu.
+// recordProgress records the log positions that a response reaches and reports whether the response replaces the
+// proxy's entire state. The caller must hold s.mu.
 //
-// Pulls may overlap. A response to a pull whose progress the proxy has given up since does not advance it. The
-// state counts as known since the time of the request, because when it was answered is unknown.
+// Pulls may overlap. A response does not advance the progress if s.progress no longer covers the positions that its
+// request started from. lastUpdate is the time of the request, because the time at which the controller answered is
+// unknown.
 func (s *subscription) recordProgress(pull answeredPull) (fullSync bool) {
 	response := pull.response
 	stale := len(s.progress) == 0 || pull.sentAt.Sub(s.lastUpdate) >= fullSyncAfter
@@ -177,7 +179,8 @@
 	return false
 }
 
-// advanceProgress adds progress, and forgets origins of which no item is left. The caller holds s.mu.
+// advanceProgress merges progress into s.progress and removes dropped origins, those that have no item left. The caller
+// must hold s.mu.
 func (s *subscription) advanceProgress(progress replication.Vector, droppedOrigins []string) {
 	for origin, seq := range progress {
 		s.progress[origin] = max(s.progress[origin], seq)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,33 +14,32 @@
 	"sagelever/internal/upstream"
 )
 
-// attempt is one send of a request to one backend and how far it has come. Its phase may be read at any time, by any
-// goroutine.
+// attempt is one send of a request to one backend, with its progress. Its phase may be read concurrently.
 type attempt struct {
 	exchange   upstream.Exchange
 	method     string
-	tryID      string                      // the client's id of the try; the response repeats it
-	withheldBy atomic.Pointer[retry.Event] // why nothing was written; nil if writing was permitted
+	tryID      string                      // the client's id of the try, which the response must repeat
+	withheldBy atomic.Pointer[retry.Event] // the event that forbade writing; nil if writing was permitted
 
-	// Of the current connection and what is written on it.
+	// State of the current connection and of the request on it.
 	connected      atomic.Bool
 	reused         atomic.Bool // the connection has carried a request before
 	headerWritten  atomic.Bool
 	requestWritten atomic.Bool
 
-	// Of the response.
+	// State of the response.
 	headerRead atomic.Bool
-	streaming  atomic.Bool // the client has a part of it
+	streaming  atomic.Bool // a part of it has been forwarded to the client
 	complete   atomic.Bool
 }
 
-// newAttempt makes an attempt. checkWrite is asked before the first byte is written and names the event that forbids
-// the write; later bytes are not checked, as the backend may already work on the request.
+// newAttempt returns an attempt. checkWrite is called before the first byte is written and returns the event that
+// forbids the write, if any. Later bytes are not checked, as the backend may already be processing the request.
 func newAttempt(r *http.Request, checkWrite func() (event retry.Event, forbidden bool)) *attempt {
 	a := &attempt{method: r.Method, tryID: r.Header.Get(headerTryID)}
 	a.exchange.MatchesResponse = func(header http.Header) bool {
 		id := header.Get(headerTryID)
-		return id == a.tryID || id == "" // one without an id is rejected by validateResponse
+		return id == a.tryID || id == "" // validateResponse rejects a response without an id
 	}
 	a.exchange.ValidateResponse = a.validateResponse
 	a.exchange.RequestWritten = a.requestWritten.Load
@@ -58,12 +57,12 @@
 }
 
 var (
-	errUnidentifiedResponse = errors.New("response without the id of a try")
-	errMissingSeal          = errors.New("successful response without the backend's seal")
-	errUnknownLength        = errors.New("response without a length: a part of it would look complete")
+	errUnidentifiedResponse = errors.New("response has no try id")
+	errMissingSeal          = errors.New("successful response has no backend seal")
+	errUnknownLength        = errors.New("response has no length, so truncation would go undetected")
 )
 
-// validateResponse returns why a response, judged by its header, cannot be trusted, or nil.
+// validateResponse returns an error if a response must be rejected because of its header.
 func (a *attempt) validateResponse(resp *http.Response) error {
 	switch {
 	case resp.Header.Get(headerTryID) == "":
@@ -76,7 +75,7 @@
 	return nil
 }
 
-// resetConnection makes the attempt ready for another connection. Nothing may have been written on the last one.
+// resetConnection prepares the attempt for another connection. Nothing may have been written on the previous one.
 func (a *attempt) resetConnection() {
 	a.connected.Store(false)
 	a.reused.Store(false)
@@ -84,13 +83,13 @@
 	a.requestWritten.Store(false)
 }
 
-// mayTakeNextConnection reports whether the attempt failed on a connection before anything was written, so that the
-// same attempt can go on with another connection.
+// mayTakeNextConnection reports whether the attempt failed on a connection before anything was written, so that it can
+// continue on another connection.
 func (a *attempt) mayTakeNextConnection() bool {
 	return a.connected.Load() && !a.exchange.WriteStarted() && a.withheldBy.Load() == nil
 }
 
-// clientTrace makes the transport record the progress of the attempt.
+// clientTrace returns the hooks by which the transport records the progress of the attempt.
 func (a *attempt) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -103,7 +102,7 @@
 	}
 }
 
-// phase returns how far the attempt has come. What is still in a buffer before the connection counts as not written.
+// phase returns the phase of the attempt. Bytes that are still buffered before the connection count as not written.
 func (a *attempt) phase() retry.Phase {
 	switch {
 	case a.complete.Load():
@@ -126,8 +125,8 @@
 	return retry.AwaitingResponse
 }
 
-// failureEvent returns the event that ended an attempt without a complete response. ctx is the context of the send, err
-// the error of the transport or of reading the body.
+// failureEvent returns the event that ended an attempt without a complete response. ctx is the context of the send, and
+// err is the error of the transport or of reading the body.
 func (a *attempt) failureEvent(ctx context.Context, err error) retry.Event {
 	if event := a.withheldBy.Load(); event != nil {
 		return *event
@@ -151,7 +150,7 @@
 	return retry.ConnectionClosed
 }
 
-// dialFailureEvent returns the event of a connection that was not established.
+// dialFailureEvent returns the event of a failed dial.
 func dialFailureEvent(err error) retry.Event {
 	if netErr, ok := errors.Into[net.Error](err); ok && netErr.Timeout() {
 		return retry.Timeout
@@ -159,7 +158,7 @@
 	return retry.ConnectionReset
 }
 
-// refusalStatuses are the statuses that tell a client that its request was not executed and never will be.
+// refusalStatuses are the statuses that promise a client that its request was not executed and never will be.
 var refusalStatuses = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -167,8 +166,8 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// responseEvent returns the event of a complete response. Only headerNotExecuted and status 421 say that the request
-// was not executed.
+// responseEvent returns the event of a complete response. Only headerNotExecuted and status 421 confirm that the
+// request was not executed.
 func responseEvent(status int, header http.Header) retry.Event {
 	switch {
 	case header.Get(headerNotExecuted) != "" && status/100 == 4 && !refusalStatuses[status]:
--- a/internal/proxy/authority.go
+++ b/internal/proxy/authority.go
@@ -9,15 +9,15 @@
 	"sagelever/internal/control/message"
 )
 
-// authority says whether the proxy knows the whole configuration, so that what it doesn't know doesn't exist. It is
-// given by a controller that has made sure of it (message.AuthorityConfirmed), and lasts while controllers that keep up
-// with all changes renew the send lease.
+// authority records whether the proxy holds the complete configuration, so that it may treat an unknown route as
+// nonexistent. A controller that has verified completeness grants it (message.AuthorityConfirmed). It lasts while
+// controllers that follow all changes renew the send lease.
 type authority struct {
 	held atomic.Bool // as of the last response
 }
 
-// holdsAuthority reports whether the proxy knows the whole configuration now. Without a valid send lease it may have
-// missed changes.
+// holdsAuthority reports whether the proxy's configuration is complete and current. Without a valid send lease the
+// proxy may have missed changes.
 func (p *Proxy) holdsAuthority(now time.Time) bool {
 	if !p.authority.held.Load() {
 		return false
@@ -27,10 +27,10 @@
 	return p.balancer.LeaseValid(now)
 }
 
-// updateAuthority takes what a response says of the configuration that the proxy has by now. before is whether the proxy
-// knew the whole configuration when the response came.
-func (p *Proxy) updateAuthority(response *message.PullResponse, before bool) {
-	held := response.Authoritative(before)
+// updateAuthority records whether the proxy's configuration is complete after a response was applied, and logs a
+// change. wasAuthoritative is the result of holdsAuthority before the response was applied.
+func (p *Proxy) updateAuthority(response *message.PullResponse, wasAuthoritative bool) {
+	held := response.Authoritative(wasAuthoritative)
 	if held == p.authority.held.Swap(held) {
 		return
 	}
--- a/internal/proxy/backendrequest.go
+++ b/internal/proxy/backendrequest.go
@@ -12,8 +12,8 @@
 	"sagelever/internal/proxy/balancer"
 )
 
-// newBackendRequest makes the request that a backend receives: method, path, query and body are the client's. A body
-// that is buffered completely is set later, before each send (see roundTrip).
+// newBackendRequest returns the request for a backend, with the client's method, path, query and body. roundTrip sets a
+// completely buffered body before each send.
 func newBackendRequest(r *http.Request, request *balancer.Request, body requestBody) *http.Request {
 	outbound := &http.Request{
 		Method: r.Method,
@@ -28,7 +28,7 @@
 	}
 	removeConnectionHeaders(outbound.Header, r.Header)
 	if _, ok := outbound.Header["User-Agent"]; !ok {
-		outbound.Header["User-Agent"] = nil // keeps the transport from adding its own
+		outbound.Header["User-Agent"] = nil // prevents the transport from adding its own
 	}
 	timeLeft := max(0, time.Until(request.Deadline).Milliseconds())
 	outbound.Header[headerTargetServer] = []string{request.SentTo.ID}
@@ -40,10 +40,10 @@
 	return outbound
 }
 
-// backendURL is the URL of a request at a backend, byte for byte as the client wrote path and query.
+// backendURL returns the URL of a request at a backend, with path and query byte for byte as the client sent them.
 func backendURL(r *http.Request, address string) *url.URL {
 	path, query, hasQuery := strings.Cut(r.RequestURI, "?")
-	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") { // Opaque would be read as a URL of its own
+	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") { // as Opaque it would be parsed as an absolute URL
 		return &url.URL{Scheme: "http", Host: address, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -10,12 +10,12 @@
 	"sagelever/internal/upstream"
 )
 
-// preconnectTTL is how long a connection that was opened ahead of time waits for its first request. It is short because
-// requests that move to another backend do so at once.
+// preconnectTTL is how long a connection that was opened ahead of time is kept for its first request. It is short
+// because requests that move to another backend move immediately.
 const preconnectTTL = time.Second
 
-// connPool opens connections to backends for the transport. It counts the open ones by address and keeps those that
-// were opened ahead of time until their first request; idle connections after that are the transport's.
+// connPool opens connections to backends for the transport and counts the open ones by address. It keeps connections
+// that were opened ahead of time until their first request; afterwards the transport manages them.
 type connPool struct {
 	dialer  *net.Dialer
 	options upstream.Options
@@ -23,7 +23,7 @@
 
 	mu           sync.Mutex
 	openCount    map[string]int            // by address
-	preconnected map[string]*preconnection // by address, one for each at most
+	preconnected map[string]*preconnection // by address, at most one each
 }
 
 // preconnection is a connection that was opened ahead of time and has carried no request yet.
@@ -42,18 +42,18 @@
 	}
 }
 
-// dial returns the connection that was opened ahead of time to address, or a new one. It has the signature of
+// dial returns the connection that was opened ahead of time to address, or opens a new one. It has the signature of
 // http.Transport.DialContext.
 func (p *connPool) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	p.mu.Lock()
-	ready := p.preconnected[address]
+	preconnected := p.preconnected[address]
 	delete(p.preconnected, address)
 	p.mu.Unlock()
-	if ready != nil {
-		if time.Now().Before(ready.expiresAt) {
-			return ready.conn, nil
+	if preconnected != nil {
+		if time.Now().Before(preconnected.expiresAt) {
+			return preconnected.conn, nil
 		}
-		ready.conn.Close()
+		preconnected.conn.Close()
 	}
 	return p.connect(ctx, network, address)
 }
@@ -80,12 +80,12 @@
 	}
 }
 
-// preconnect opens a connection to each target that has no idle one. It does not wait for them: each dial ends within
-// dialTimeout, and what is not used is closed by closeExpired.
+// preconnect opens a connection to each target that has no idle one. It does not wait for the dials, each of which ends
+// within dialTimeout. closeExpired closes the connections that are not used.
 func (p *connPool) preconnect(targets []balancer.PreconnectTarget) {
 	for _, target := range targets {
 		if !p.hasIdle(target) {
-			go p.openAhead(target.Address)
+			go p.openPreconnection(target.Address)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	return p.openCount[target.Address] > target.InUse || p.preconnected[target.Address] != nil
 }
 
-// openAhead opens a connection and keeps it for the next request to address.
-func (p *connPool) openAhead(address string) {
+// openPreconnection opens a connection and keeps it for the next request to address.
+func (p *connPool) openPreconnection(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := p.connect(ctx, "tcp4", address)
 	if err != nil {
-		return // the first request to this address meets the same error and handles it
+		return // the first request to this address handles its own dial error
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,14 +114,14 @@
 	p.preconnected[address] = &preconnection{conn, time.Now().Add(preconnectTTL)}
 }
 
-// closeExpired closes the connections that were opened ahead of time and not used before now.
+// closeExpired closes the unused connections whose preconnectTTL has passed by now.
 func (p *connPool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, ready := range p.preconnected {
-		if now.After(ready.expiresAt) {
+	for address, preconnected := range p.preconnected {
+		if now.After(preconnected.expiresAt) {
 			delete(p.preconnected, address)
-			go ready.conn.Close() // in a goroutine because OnClose takes the lock
+			go preconnected.conn.Close() // in a goroutine because OnClose takes the lock
 		}
 	}
 }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -9,26 +9,27 @@
 	"sagelever/internal/telemetry"
 )
 
-// distanceClasses is the number of distances of a backend: in this zone, in this region, beyond it.
+// distanceClasses is the number of distances of a backend: in the same zone, in the same region, in another region.
 const distanceClasses = 3
 
-// counters count requests since the start of the proxy. They are logged at intervals; single requests are not.
+// counters count requests since the start of the proxy. They are logged at intervals; individual requests are not
+// logged.
 type counters struct {
 	received     atomic.Int64 // requests from clients
 	served       atomic.Int64 // responses forwarded that count as a success
-	rejected     atomic.Int64 // answered by the proxy itself, without execution
+	rejected     atomic.Int64 // answered by the proxy itself without being executed
 	noRoute      atomic.Int64 // answered 404, as no route matched
 	failed       atomic.Int64 // other responses forwarded, and errors after the request may have been executed
 	dials        atomic.Int64 // connections opened to backends
 	retries      atomic.Int64
-	queued       atomic.Int64 // requests that had to wait for a backend
-	aborted      atomic.Int64 // responses broken off before their end
+	queued       atomic.Int64 // requests that waited for a backend
+	aborted      atomic.Int64 // responses aborted before their end
 	healthChecks atomic.Int64 // health checks sent to backends
-	withheld     atomic.Int64 // sends moved to another backend because the first began to drain while it was dialed
+	withheld     atomic.Int64 // sends moved to another backend because the first began to drain during the dial
 
-	pullsAnswered atomic.Int64 // pulls that a controller has answered
+	pullsAnswered atomic.Int64 // pulls with a response from a controller
 	pullsFailed   atomic.Int64 // pulls without a response
-	sourceChanges atomic.Int64 // how often another controller answered than the time before
+	sourceChanges atomic.Int64 // responses from a different controller than the previous response
 
 	sendsByDistance [distanceClasses]atomic.Int64
 	bytesByDistance [distanceClasses]atomic.Int64 // of request and response bodies
@@ -56,7 +57,7 @@
 	)
 }
 
-// logPullsTo logs the counters of the subscription. updateAge is how long ago the last answered pull was sent.
+// logPullsTo logs the counters of the subscription. updateAge is the time since the latest answered pull was sent.
 func (c *counters) logPullsTo(log *zap.Logger, source string, updateAge time.Duration) {
 	log.Info("pull counters",
 		zap.String("source", source),
@@ -67,7 +68,7 @@
 	)
 }
 
-// metricsPage returns the page with the counters of a proxy.
+// metricsPage returns the metrics page of a proxy.
 func (p *Proxy) metricsPage() *telemetry.Page {
 	page := telemetry.NewPage()
 	page.AddCounters(map[string]*atomic.Int64{
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -11,7 +11,7 @@
 	"sagelever/internal/proxy/retry"
 )
 
-// minRetryAfter is the shortest pause that a rejected client is asked for.
+// minRetryAfter is the minimum Retry-After of a rejected request.
 const minRetryAfter = 100 * time.Millisecond
 
 // serveClient handles a request from a client.
@@ -51,9 +51,9 @@
 	p.forward(w, r, request, body)
 }
 
-// setCommonHeaders sets the headers that every response has, whoever makes it.
+// setCommonHeaders sets the headers of every response, whether forwarded or written by the proxy itself.
 func (p *Proxy) setCommonHeaders(header http.Header, tryID string) {
-	header["Date"] = nil // keeps the server from adding one
+	header["Date"] = nil // prevents the server from adding one
 	if p.draining.Load() {
 		header.Set("Connection", "close")
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// replyNoRoute answers a request that matches no route. The answer is final only if the configuration is known to be
-// complete and up to date: otherwise the route may have been added, and another proxy may know it.
+// replyNoRoute answers a request that matches no route. The response is a final 404 only if the configuration is known
+// to be complete and up to date; otherwise the route may exist and another proxy may serve it.
 func (p *Proxy) replyNoRoute(w http.ResponseWriter) {
 	if !p.holdsAuthority(time.Now()) {
 		p.replyUnavailable(w, "the configuration may be incomplete or outdated", minRetryAfter)
@@ -73,7 +73,7 @@
 	p.replyRejected(w, http.StatusNotFound, "no route")
 }
 
-// requestTimeout is the time that a request may take: the timeout of its route, or less if the client waits less.
+// requestTimeout returns the timeout of a request: that of its route, or the client's remaining time if it is shorter.
 func requestTimeout(r *http.Request, route *routing.Route) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(headerTimeLeft), 10, 64)
 	if err == nil && ms >= 0 && ms < route.Timeout.Milliseconds() {
@@ -82,10 +82,11 @@
 	return route.Timeout
 }
 
-// forward sends a request to a backend, and again to others while the retry rules allow it, and answers the client.
+// forward sends a request to a backend, retries it on other backends while the retry rules allow it, and responds to
+// the client.
 //
-// The deadline is the request's own. A client that disconnects cancels an idempotent request; one that is not
-// idempotent may have effects, so it is left to finish once it has been written.
+// The send is bounded by the request's deadline. If the client disconnects, an idempotent request is cancelled. A
+// non-idempotent request continues once it has been written, as it may already have had effects.
 func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, request *balancer.Request, body requestBody) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), request.Deadline)
 	defer cancel()
@@ -113,8 +114,8 @@
 	}
 }
 
-// acquireBackend returns the backend for the next send, or nil and the event that ended the wait for one. The event
-// means nothing if there is a backend.
+// acquireBackend returns the backend for the next send, or nil and the event that ended the wait for one. The event is
+// only valid if the backend is nil.
 func (p *Proxy) acquireBackend(ctx context.Context, r *http.Request, request *balancer.Request,
 	queueUntil time.Time) (*balancer.Backend, retry.Event) {
 	now := time.Now()
@@ -133,13 +134,13 @@
 }
 
 // waitForBackend waits until the balancer grants the queued request a backend. It returns nil and the event that ended
-// the wait if queueUntil passes, ctx ends or the client disconnects before.
+// the wait if queueUntil passes, ctx ends or the client disconnects first.
 func (p *Proxy) waitForBackend(ctx context.Context, r *http.Request, request *balancer.Request,
 	queueUntil time.Time) (*balancer.Backend, retry.Event) {
 	p.counters.queued.Add(1)
 	select {
 	case p.requestQueued <- struct{}{}:
-	default: // the ticker has yet to take the last signal
+	default: // the ticker has not yet received the previous signal
 	}
 	timer := time.NewTimer(time.Until(queueUntil))
 	defer timer.Stop()
@@ -158,11 +159,12 @@
 	if removed {
 		return nil, event
 	}
-	return <-request.Granted, event // granted between the end of the wait and the lock
+	return <-request.Granted, event // granted after the wait ended and before the lock was taken
 }
 
-// reportOutcome reports the outcome of a send to the balancer and returns whether the request is sent again: its body
-// can be, the retry rule permits it, and so do the balancer's bounds on attempts, time and the retry budget.
+// reportOutcome reports the outcome of a send to the balancer and returns whether the request is sent again. That
+// requires a replayable body, a retry rule that allows it, and balancer limits on attempts, time and the retry budget
+// that are not exhausted.
 func (p *Proxy) reportOutcome(request *balancer.Request, backend *balancer.Backend, result *sendResult,
 	replayable bool) (retryAllowed bool) {
 	now := time.Now()
@@ -180,8 +182,9 @@
 	return retryAllowed
 }
 
-// queueDeadline is the time until which a request may wait for a backend: 9/40, a little under a quarter, of its
-// latency target, so that a client rejected then can still be served within the target by a retry elsewhere.
+// queueDeadline returns the time until which a request may wait for a backend. The wait is limited to 9/40 (just under
+// a quarter) of the latency target, so that a rejected client can still be served within the target by a retry
+// elsewhere.
 func queueDeadline(request *balancer.Request) time.Time {
 	target := request.Route.LatencyTarget
 	if target <= 0 {
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -7,9 +7,9 @@
 
 // Headers of the protocol between client, proxy and backend.
 const (
-	headerTryID        = "X-Sagelever-Try-Id"       // of one attempt of a client; a backend repeats it in its response
-	headerTimeLeft     = "X-Sagelever-Time-Left-Ms" // how long the sender of a request waits for the response
-	headerTargetServer = "X-Sagelever-Meant-Server" // id of the backend that a request is meant for
+	headerTryID        = "X-Sagelever-Try-Id"       // id of one attempt of a client; a backend repeats it in its response
+	headerTimeLeft     = "X-Sagelever-Time-Left-Ms" // time for which the sender of a request waits for the response
+	headerTargetServer = "X-Sagelever-Meant-Server" // id of the backend to which a request is addressed
 	headerServerSeal   = "X-Sagelever-Server-Seal"  // proof in a 2xx response that a backend made it
 	headerNotExecuted  = "X-Sagelever-Not-Run"      // in a response: the request was not executed
 	headerServerID     = "X-Sagelever-Server-Id"    // id of the backend, in the response to a health check
@@ -29,8 +29,8 @@
 	"Proxy-Authorization": true,
 }
 
-// removeConnectionHeaders removes from header what the Connection header of source names. Content-Length stays, as a
-// message without it could not be framed.
+// removeConnectionHeaders removes from header all headers that the Connection header of source lists. Content-Length is
+// kept, as it delimits the message.
 func removeConnectionHeaders(header, source http.Header) {
 	for _, line := range source["Connection"] {
 		for _, token := range strings.Split(line, ",") {
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -12,18 +12,19 @@
 	"sagelever/internal/upstream"
 )
 
-// healthCheckTimeout is how long a backend may take for its response to a health check.
+// healthCheckTimeout bounds a health check, including the dial.
 const healthCheckTimeout = time.Second
 
-// startHealthChecks sends the health checks and reports their results to the balancer. It does not wait for them; each
-// ends within healthCheckTimeout.
+// startHealthChecks runs the health checks in the background. Each ends within healthCheckTimeout and reports its
+// result to the balancer.
 func (p *Proxy) startHealthChecks(checks []balancer.HealthCheck) {
 	for _, check := range checks {
 		go p.checkHealth(check)
 	}
 }
 
-// checkHealth asks a backend whether it serves. A backend that cannot be reached is reported as such.
+// checkHealth sends a health check to a backend and reports the result to the balancer. A failed request is reported as
+// an unreachable backend.
 func (p *Proxy) checkHealth(check balancer.HealthCheck) {
 	p.counters.healthChecks.Add(1)
 	result := balancer.HealthCheckResult{SentAt: time.Now()}
@@ -31,10 +32,10 @@
 	defer cancel()
 	request, err := newHealthCheckRequest(ctx, check)
 	if err != nil {
-		return // the path in the configuration makes no URL
+		return // the configured path is not a valid URL path
 	}
 	if resp, err := p.transport.RoundTrip(request); err == nil {
-		_, _ = io.CopyN(io.Discard, resp.Body, upstream.MaxHeaderBytes) // only the header counts
+		_, _ = io.CopyN(io.Discard, resp.Body, upstream.MaxHeaderBytes) // the body is ignored
 		_ = resp.Body.Close()
 		parseHealthResponse(&result, check, resp)
 	}
@@ -43,8 +44,8 @@
 	p.mu.Unlock()
 }
 
-// newHealthCheckRequest makes the request of a health check. A response with the id of a try is skipped: it is a late
-// one to a request that the same connection carried before.
+// newHealthCheckRequest returns the request of a health check. Responses with a try id are skipped, because they are
+// late responses to earlier client requests on the same connection.
 func newHealthCheckRequest(ctx context.Context, check balancer.HealthCheck) (*http.Request, error) {
 	exchange := &upstream.Exchange{
 		MatchesResponse: func(header http.Header) bool { return header.Get(headerTryID) == "" },
@@ -56,7 +57,7 @@
 	return http.NewRequestWithContext(ctx, http.MethodGet, "http://"+check.Address+check.Path, nil)
 }
 
-// parseHealthResponse fills in what a backend says about itself.
+// parseHealthResponse fills in result from the response of a backend.
 func parseHealthResponse(result *balancer.HealthCheckResult, check balancer.HealthCheck, resp *http.Response) {
 	id := resp.Header.Get(headerServerID)
 	result.Reachable = true
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// maxDrainNotice bounds the time for which a draining proxy still accepts connections, because clients learn only
-	// with a delay that they should go elsewhere.
+	// maxDrainNotice bounds the time for which a draining proxy still accepts connections, as clients learn with a
+	// delay that they should use another proxy.
 	maxDrainNotice = 2 * time.Second
 
-	// acceptRetryDelay is the pause after a failed accept. Accept fails while the process has no descriptor left.
+	// acceptRetryDelay is the pause after a failed accept. Accept fails while the process has no file descriptor left.
 	acceptRetryDelay = 20 * time.Millisecond
 
-	// maxHeaderLimit bounds the configured size of a request's header.
+	// maxHeaderLimit bounds the configurable maximum size of a request header, in bytes.
 	maxHeaderLimit = 1 << 20
 )
 
-// defaultLimits hold until the first configuration arrives.
+// defaultLimits apply until the first configuration arrives.
 var defaultLimits = routing.RequestLimits{
 	MaxHeaderBytes: 16 << 10,
 	MaxBodyBytes:   1 << 20,
@@ -33,8 +33,8 @@
 	IdleTimeout:    15 * time.Second,
 }
 
-// listener accepts connections from clients. An http.Server takes its limits when it is made, so that changed limits
-// put a new server in its place; the previous server keeps the connections that it has.
+// listener accepts connections from clients and hands them to the current http.Server. The limits of an http.Server are
+// fixed when it starts, so changed limits start a new server; the previous one keeps its existing connections.
 type listener struct {
 	handler       http.Handler
 	shutdownGrace time.Duration
@@ -42,13 +42,13 @@
 	acceptDone    chan struct{} // closed when the accept loop has ended
 
 	mu      sync.Mutex
-	current *serverListener // of the last of servers
+	current *serverListener // listener of the newest server
 	servers []*http.Server
-	limits  routing.RequestLimits // of the last of servers
+	limits  routing.RequestLimits // limits of the newest server
 }
 
-// serverListener is the net.Listener of one http.Server. It returns the connections that it is offered, until it is
-// closed.
+// serverListener is the net.Listener of one http.Server. Accept returns the connections passed to offer until the
+// listener is closed.
 type serverListener struct {
 	net.Listener
 	conns     chan net.Conn
@@ -86,7 +86,7 @@
 	return &listener{handler: handler, shutdownGrace: shutdownGrace, acceptDone: make(chan struct{})}
 }
 
-// open starts to accept connections, with the default limits.
+// open starts to accept connections with the default limits.
 func (l *listener) open(address string) error {
 	tcpListener, err := userTimeout.Listen(address)
 	if err != nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// handOver gives a connection to the current server. If that has just been replaced its successor gets the connection;
-// if the successor is closed too the proxy is shutting down.
+// handOver hands a connection to the current server. If that server was replaced in the meantime, the connection goes
+// to its successor. If the successor is closed too, the proxy is shutting down and the connection is closed.
 func (l *listener) handOver(conn net.Conn) {
 	const tries = 2
 	for range tries {
@@ -134,7 +134,7 @@
 	return l.current
 }
 
-// applyLimits puts a server with the given limits in place of the current one, unless that has them already.
+// applyLimits replaces the current server by one with the given limits, unless the limits are unchanged.
 func (l *listener) applyLimits(limits routing.RequestLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,17 +150,18 @@
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    int(min(limits.MaxHeaderBytes, maxHeaderLimit)),
-		ErrorLog:          zap.NewStdLog(zap.NewNop()), // malformed requests of clients are not worth a line each
+		ErrorLog:          zap.NewStdLog(zap.NewNop()), // malformed client requests are not logged
 	}
 	l.servers = append(l.servers, server)
-	go func() { _ = server.Serve(current) }() // always ends with an error, once current is closed
+	go func() { _ = server.Serve(current) }() // always returns an error once current is closed
 	if previous != nil {
-		_ = previous.Close() // never fails
+		_ = previous.Close() // always returns nil
 	}
 }
 
-// close shuts down in order: it accepts connections for a while longer, as clients still have the address, then stops
-// listening and waits for requests in flight, both within the shutdown grace period.
+// close shuts the listener down within the shutdown grace period. It accepts connections for a third of that period, at
+// most for maxDrainNotice, as clients still have the address. Then it stops listening and waits for requests in flight,
+// for up to 60% of the period.
 func (l *listener) close(ctx context.Context) {
 	time.Sleep(min(l.shutdownGrace/3, maxDrainNotice))
 	ctx, cancel := context.WithTimeout(ctx, l.shutdownGrace*6/10)
@@ -170,7 +171,7 @@
 	l.mu.Unlock()
 	var shutdowns sync.WaitGroup
 	for _, server := range servers {
-		shutdowns.Go(func() { _ = server.Shutdown(ctx) }) // what is not finished then ends with the process
+		shutdowns.Go(func() { _ = server.Shutdown(ctx) }) // unfinished requests end with the process
 	}
 	l.tcpListener.Close()
 	shutdowns.Wait()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,15 +1,16 @@
-// Package proxy is the data plane of one machine. It accepts requests from clients, asks the balancer for a backend,
-// forwards each request there and the response back.
+// Package proxy is the data plane of one machine. It accepts requests from clients, forwards each to a backend that the
+// balancer selects, and forwards the response to the client.
 //
 // A request passes through serveClient, forward and send to a backend, and its response through respond to the client.
-// What may follow from the end of a send is decided by package retry, where it goes by package balancer.
+// Package retry decides which responses and retries an outcome allows; package balancer decides which backend receives
+// a request.
 //
-// The proxy learns the configuration, the backends and the releases from the controllers by long polling (see
-// subscription). With the same pulls it renews the lease by which clients find it, and the lease without which it sends
-// nothing to a backend unless that confirms by a health check that it serves.
+// The proxy receives the configuration, the backends and the releases from the controllers by long polling (see
+// subscription). The same pulls renew two leases: the one by which clients find the proxy, and the send lease. Without
+// a valid send lease the proxy sends to a backend only if a health check confirms that the backend serves.
 //
-// Proxy.mu may be held when connPool.mu is taken, not the other way round. subscription.mu is never held together with
-// either of them.
+// Lock order: connPool.mu may be taken while Proxy.mu is held, but not vice versa. subscription.mu is never held
+// together with either of them.
 package proxy
 
 import (
@@ -33,24 +34,28 @@
 )
 
 const (
-	// userTimeout bounds the silence of the other machine on every connection of the proxy.
+	// userTimeout is the TCP user timeout of every connection of the proxy.
 	userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
 
 	// dialTimeout covers several round trips between regions, but not a second retransmission of a lost packet.
 	dialTimeout = 600 * time.Millisecond
 
-	// idleConnTimeout is shorter than the idle timeout of backends that do not announce one, so that the proxy and not
-	// the backend closes an idle connection.
+	// idleConnTimeout is shorter than the idle timeout of backends that do not announce one, so that the proxy closes
+	// an idle connection before the backend does.
 	idleConnTimeout = 4 * time.Second
 
 	maxIdleConnsPerBackend = 64
 
-	// transportBufferSize is the size in bytes of the read and of the write buffer of a connection to a backend.
+	// transportBufferSize is the size in bytes of the read and the write buffer of a connection to a backend.
 	transportBufferSize = 2 << 10
 
-	// defaultMemoryLimit is the number of bytes assumed where the settings give no memory limit.
+	// defaultMemoryLimit is the memory limit in bytes if the settings contain none.
 	defaultMemoryLimit = 256 << 20
 
+	// Body buffers may use a quarter of the memory limit, and a single response an eighth.
+	bufferLimitDivisor      = 4
+	maxResponseBytesDivisor = 8
+
 	readyHeaderTimeout = 3 * time.Second
 	readyIdleTimeout   = 30 * time.Second
 )
@@ -59,7 +64,7 @@
 type Options struct {
 	Settings *settings.Settings
 	Log      *zap.Logger
-	Dial     rpc.DialFunc // opens connections to controllers; nil: plain TCP
+	Dial     rpc.DialFunc // opens connections to controllers; nil for plain TCP
 }
 
 // Proxy is the proxy of one machine. Create it with New and serve with Run.
@@ -70,11 +75,11 @@
 	startedAt time.Time
 
 	routingTable atomic.Pointer[routing.Table] // nil until a controller has sent a configuration
-	authority    authority                     // whether what the proxy doesn't know doesn't exist
+	authority    authority                     // whether the configuration is complete
 	draining     atomic.Bool                   // the proxy is shutting down
 
-	bufferedBytes atomic.Int64 // request and response bodies in memory
-	bufferLimit   int64        // of bufferedBytes, above which request bodies are rejected
+	bufferedBytes atomic.Int64 // size of the request and response bodies in memory
+	bufferLimit   int64        // requests with a body are rejected while bufferedBytes is above this limit
 
 	mu       sync.Mutex // guards balancer
 	balancer *balancer.Balancer
@@ -86,10 +91,10 @@
 	requestQueued chan struct{} // wakes the ticker when a request is queued; capacity 1
 	counters      counters
 
-	onAttempt func(*http.Request, *attempt) // called as each attempt starts; only tests set it
+	onAttempt func(*http.Request, *attempt) // called when an attempt starts; only set by tests
 }
 
-// New makes a proxy. It opens no connection before Run.
+// New returns a proxy. It opens no connections before Run.
 func New(options Options) *Proxy {
 	memoryLimit := int64(options.Settings.Resources.MemoryMB) << 20
 	if memoryLimit <= 0 {
@@ -101,10 +106,10 @@
 		log:           options.Log,
 		startedAt:     time.Now(),
 		balancer:      balancer.New(options.Settings, rand.Float64),
-		bufferLimit:   memoryLimit / 4,
+		bufferLimit:   memoryLimit / bufferLimitDivisor,
 		requestQueued: make(chan struct{}, 1),
 	}
-	connOptions := upstream.Options{MaxResponseBytes: memoryLimit / 8}
+	connOptions := upstream.Options{MaxResponseBytes: memoryLimit / maxResponseBytesDivisor}
 	p.connPool = newConnPool(connOptions, func() { p.counters.dials.Add(1) })
 	p.transport = newTransport(p.connPool)
 	p.subscription = newSubscription(p)
@@ -112,7 +117,7 @@
 	return p
 }
 
-// newTransport makes the HTTP transport to backends. It never decompresses, so that bodies pass unchanged.
+// newTransport returns the HTTP transport to backends. It never decompresses, so that bodies are forwarded unchanged.
 func newTransport(pool *connPool) *http.Transport {
 	return &http.Transport{
 		DisableCompression:     true,
@@ -125,9 +130,9 @@
 	}
 }
 
-// Run serves until ctx ends. It then drains: clients are sent elsewhere, requests in flight finish within the shutdown
-// grace period, and the lease at the controllers is released. Run returns an error only if an address cannot be
-// listened on.
+// Run serves until ctx ends. It then drains: it withdraws the client address from the lease, lets requests in flight
+// finish within the shutdown grace period, and releases the lease at the controllers. Run returns an error only if it
+// cannot listen on an address.
 func (p *Proxy) Run(ctx context.Context) error {
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -135,7 +140,7 @@
 	if err != nil {
 		return errors.Wrap(err, "proxy")
 	}
-	defer func() { _ = readyServer.Close() }() // the process ends soon, whatever it says
+	defer func() { _ = readyServer.Close() }() // the process is about to exit
 	if err := p.listener.open(p.settings.ListenAddresses["front"]); err != nil {
 		return errors.Wrap(err, "proxy")
 	}
@@ -158,12 +163,12 @@
 	return nil
 }
 
-// Reload takes over the seed addresses of changed settings. All other settings apply from the next start on.
+// Reload applies the seed addresses of changed settings. All other settings take effect at the next start.
 func (p *Proxy) Reload(changed *settings.Settings) {
 	p.subscription.addSeeds(changed.SeedAddresses)
 }
 
-// startReadyServer serves the readiness check of the platform.
+// startReadyServer starts the server for the platform's readiness check and the metrics.
 func (p *Proxy) startReadyServer() (*http.Server, error) {
 	readyListener, err := userTimeout.Listen(p.settings.ListenAddresses["readyCheck"])
 	if err != nil {
@@ -174,11 +179,11 @@
 		ReadHeaderTimeout: readyHeaderTimeout,
 		IdleTimeout:       readyIdleTimeout,
 	}
-	go func() { _ = server.Serve(readyListener) }() // always ends with an error, http.ErrServerClosed after Close
+	go func() { _ = server.Serve(readyListener) }() // returns http.ErrServerClosed after Close
 	return server, nil
 }
 
-// ready reports whether the proxy can serve: it has a configuration and is not shutting down.
+// ready reports whether the proxy has a configuration and is not shutting down.
 func (p *Proxy) ready() bool {
 	table := p.routingTable.Load()
 	return table != nil && table.ItemCount > 0 && !p.draining.Load()
--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -17,8 +17,8 @@
 const responseTimeout = time.Second
 
 var (
-	errLeaseReleased = errors.New("the lease is released")
-	errStaleResponse = errors.New("the response is too old")
+	errLeaseReleased = errors.New("lease is already released")
+	errStaleResponse = errors.New("response arrived too late")
 )
 
 // answeredPull is a pull and the response to it.
@@ -27,11 +27,11 @@
 	request  *message.PullRequest
 	response *message.PullResponse
 	sentAt   time.Time
-	transfer *transfer // which the pull continues; nil for none
+	transfer *transfer // the transfer that the pull continues; nil if none
 }
 
-// pull asks the controller at addr for updates and applies them. The controller may hold the pull for the time wait
-// until it has some.
+// pull requests updates from the controller at addr and applies them. The controller may delay its response by up to
+// wait while it has none.
 func (s *subscription) pull(ctx context.Context, addr string, wait time.Duration) (*message.PullResponse, error) {
 	s.mu.Lock()
 	released := s.leaseReleased
@@ -58,8 +58,8 @@
 	return response, nil
 }
 
-// newPullRequest makes a pull: who the proxy is, where clients reach it and which updates it has. It returns the transfer
-// that the pull continues as well.
+// newPullRequest returns a pull request with the proxy's identity, its client address and its progress, and the
+// transfer that the pull continues, if any.
 func (s *subscription) newPullRequest(
 	addr string, wait time.Duration,
 ) (request *message.PullRequest, continued *transfer) {
@@ -96,13 +96,13 @@
 	return request, continued
 }
 
-// member names this proxy to controllers.
+// member returns the identity of this proxy for messages to controllers.
 func (s *subscription) member() message.Member {
 	return message.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}
 }
 
-// advertise sets the client address in the lease. The caller holds s.mu. A changed address gets a version that is later
-// than all before, those of an earlier run of this proxy too.
+// advertise sets the client address in the lease. A changed address gets a version above all previous ones, including
+// those of earlier runs of this proxy. The caller must hold s.mu.
 func (s *subscription) advertise(clientAddr string) {
 	if clientAddr == s.advertisedAddr {
 		return
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -16,15 +16,15 @@
 	releaseTimeout = 300 * time.Millisecond
 )
 
-// announceLease pulls at once, without waiting for the result, so that the controllers learn that the lease has
+// announceLease starts a pull immediately, without waiting for its result, to inform the controllers that the lease has
 // changed.
 func (s *subscription) announceLease(ctx context.Context) {
 	if addr := s.source(); addr != "" {
-		go func() { _, _ = s.pull(ctx, addr, 0) }() // if it fails the next pull says the same
+		go func() { _, _ = s.pull(ctx, addr, 0) }() // on failure the next pull sends the same lease
 	}
 }
 
-// releaseLease ends the lease at the controllers. No pull renews it from then on.
+// releaseLease ends the lease at the controllers and prevents further pulls from renewing it.
 func (s *subscription) releaseLease(ctx context.Context) {
 	s.mu.Lock()
 	addr := s.sourceAddr
@@ -41,18 +41,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	_ = rpc.Post(ctx, s.client, addr, message.PullPath, body, nil) // if it fails the lease expires
+	_ = rpc.Post(ctx, s.client, addr, message.PullPath, body, nil) // on failure the lease expires
 }
 
-// source returns the controller that was pulled from last, or "".
+// source returns the address of the controller that responded last, or "" if there is none.
 func (s *subscription) source() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sourceAddr
 }
 
-// reportInFlight answers an in-flight survey of the controller at addr: the requests in flight at draining backends and
-// the load of each service.
+// reportInFlight answers an in-flight survey of the controller at addr with the requests in flight at draining backends
+// and the load of each service.
 func (s *subscription) reportInFlight(addr string, surveyID uint64) {
 	report := &message.InFlightReport{From: s.member(), SurveyID: surveyID}
 	s.proxy.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_ = rpc.Post(ctx, s.client, addr, message.InFlightReportPath, body, nil) // the survey names a lost report as missing
+	_ = rpc.Post(ctx, s.client, addr, message.InFlightReportPath, body, nil) // the survey lists a lost report as missing
 }
 
 // reportTallies reports the release tallies of this proxy that have changed since the last report.
@@ -96,7 +96,7 @@
 	}
 }
 
-// changedTallies returns the tallies that differ from those last reported, as items, and notes them as reported.
+// changedTallies returns, as items, the tallies that differ from those last reported, and marks them as reported.
 func (s *subscription) changedTallies(tallies map[string]*replication.ReleaseTally) []replication.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// maxBufferedBody is the number of bytes of a body that are kept in memory. A request with a longer body is
+	// maxBufferedBody is the maximum number of bytes of a body that are kept in memory. A request with a longer body is
 	// streamed and cannot be sent twice; a longer response is forwarded as it arrives.
 	maxBufferedBody = 1 << 20
 
-	// bodyReadSlack is the room in a body's buffer beyond its announced length, for the read that finds its end.
+	// bodyReadSlack is the number of bytes in a body's buffer beyond its announced length, so that the read that
+	// returns io.EOF needs no reallocation.
 	bodyReadSlack = 512
 )
 
 // requestBody is the body of a client's request.
 type requestBody struct {
-	buffered  []byte    // the body, or the first part of one that is too long to keep
-	remainder io.Reader // what follows buffered; nil if buffered is complete
+	buffered  []byte    // the body, or the first part of one that is too long to buffer
+	remainder io.Reader // the rest of the body; nil if buffered is complete
 }
 
 // replayable reports whether the body can be sent more than once.
 func (b requestBody) replayable() bool { return b.remainder == nil }
 
-// readRequestBody reads the body of a request within the limits, as far as it is kept. If it fails it has answered the
-// client. On success the caller subtracts the length of the buffered part from p.bufferedBytes after use.
+// readRequestBody reads the body of a request, or the first part of a long one, within the limits. If ok is false, it
+// has already responded to the client. If ok is true, the caller must subtract the length of the buffered part from
+// p.bufferedBytes after use.
 func (p *Proxy) readRequestBody(w http.ResponseWriter, r *http.Request,
 	limits routing.RequestLimits) (body requestBody, ok bool) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
@@ -49,7 +51,7 @@
 	}
 	if limits.IdleTimeout > 0 {
 		control := http.NewResponseController(w)
-		_ = control.SetReadDeadline(time.Now().Add(limits.IdleTimeout)) // a closed connection fails at the read
+		_ = control.SetReadDeadline(time.Now().Add(limits.IdleTimeout)) // if the connection is closed, the read fails
 		defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	}
 	reader := http.MaxBytesReader(w, r.Body, maxBytes)
@@ -62,8 +64,8 @@
 	return body, true
 }
 
-// bufferBody reads up to a little more than maxBufferedBody bytes. contentLength is the announced length, negative if
-// it is not known.
+// bufferBody reads a body into memory, and stops once more than maxBufferedBody bytes are read. contentLength is the
+// announced length, negative if unknown.
 func bufferBody(reader io.Reader, contentLength int64) (requestBody, error) {
 	expected := min(max(contentLength, 0), maxBufferedBody)
 	buffer := make([]byte, 0, expected+bodyReadSlack)
@@ -85,7 +87,7 @@
 	}
 }
 
-// replyBodyError answers a request whose body could not be read.
+// replyBodyError responds to a request whose body could not be read.
 func (p *Proxy) replyBodyError(w http.ResponseWriter, err error) {
 	if _, tooLong := errors.Into[*http.MaxBytesError](err); tooLong {
 		p.replyRejected(w, http.StatusRequestEntityTooLarge, "the body is too long")
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -12,31 +12,31 @@
 	"sagelever/internal/proxy/retry"
 )
 
-// streamChunk is the number of bytes of a long response that are forwarded within one write deadline.
+// streamChunk is the number of bytes of a long response that are forwarded per write deadline.
 const streamChunk = maxBufferedBody / 4
 
-// replyUnavailable answers 503, which promises the client that its request was not executed and never will be, and that
-// it may try again after the given time.
+// replyUnavailable responds with 503, which promises the client that its request was not executed and never will be,
+// and that it may retry after the given time.
 func (p *Proxy) replyUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
 	p.counters.rejected.Add(1)
 	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// replyRejected answers a request that was not executed and that is wrong in itself.
+// replyRejected responds to an invalid request that was not executed.
 func (p *Proxy) replyRejected(w http.ResponseWriter, status int, reason string) {
 	p.counters.rejected.Add(1)
 	http.Error(w, reason, status)
 }
 
-// replyFailed answers a request that may have been executed.
+// replyFailed responds to a request that may have been executed.
 func (p *Proxy) replyFailed(w http.ResponseWriter, status int, reason string) {
 	p.counters.failed.Add(1)
 	http.Error(w, reason, status)
 }
 
-// respond answers the client as the rule of the last send says. A response that promises that the request was not
-// executed is given only if that holds for all sends of the request.
+// respond responds to the client according to the retry rule of the last send. A response that promises that the
+// request was not executed is only sent if that holds for all sends of the request.
 func (p *Proxy) respond(w http.ResponseWriter, request *balancer.Request, result *sendResult) {
 	defer result.close()
 	rule := result.rule
@@ -53,8 +53,8 @@
 	}
 }
 
-// replyNoCapacity rejects a request that was not executed. The client is asked to wait for the service's typical
-// latency, after which requests in flight have usually finished.
+// replyNoCapacity rejects a request that was not executed. Retry-After is the service's typical latency, after which
+// requests in flight have usually finished.
 func (p *Proxy) replyNoCapacity(w http.ResponseWriter, request *balancer.Request) {
 	p.mu.Lock()
 	retryAfter := p.balancer.TypicalLatency(request.Service, time.Now())
@@ -62,12 +62,12 @@
 	p.replyUnavailable(w, "no backend has capacity", max(minRetryAfter, retryAfter))
 }
 
-// forwardResponse forwards the response of the last send to the client. It panics with http.ErrAbortHandler if that
-// fails in between, because a response that ends early must not look complete.
+// forwardResponse forwards the response of the last send to the client. If that fails midway, it panics with
+// http.ErrAbortHandler to close the connection, because a truncated response must not look complete.
 func (p *Proxy) forwardResponse(w http.ResponseWriter, result *sendResult) {
 	copyResponseHeader(w.Header(), result)
 	control := http.NewResponseController(w)
-	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // a closed connection has no next request
+	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // irrelevant if the connection is closed
 	if err := p.writeResponse(w, control, result); err != nil {
 		p.counters.aborted.Add(1)
 		panic(http.ErrAbortHandler)
@@ -94,12 +94,12 @@
 	}
 }
 
-// writeResponse writes a response, a long one as it arrives. Each write has the idle timeout as its deadline, so that a
-// client that stops reading does not hold the request open.
+// writeResponse writes a response to the client, streaming a long one as it arrives. Each write has the idle timeout as
+// its deadline, so that a client that stops reading does not keep the request open.
 func (p *Proxy) writeResponse(w http.ResponseWriter, control *http.ResponseController, result *sendResult) error {
 	idleTimeout := p.clientIdleTimeout()
 	extendDeadline := func() {
-		_ = control.SetWriteDeadline(time.Now().Add(idleTimeout)) // a closed connection fails at the write
+		_ = control.SetWriteDeadline(time.Now().Add(idleTimeout)) // if the connection is closed, the write fails
 	}
 	extendDeadline()
 	w.WriteHeader(result.Status)
@@ -108,20 +108,20 @@
 		return err
 	}
 	result.attempt.streaming.Store(true)
-	stop := result.cancelOnDisconnect() // the request was executed, and nobody can take the rest of the response
+	stop := result.cancelOnDisconnect() // after a disconnect the rest of the response has no recipient
 	defer stop()
 	for err == nil {
 		extendDeadline()
 		_, err = io.CopyN(w, result.remainder, streamChunk)
 	}
-	if err == io.EOF { // the proper end of the response, by its length or its last chunk
+	if err == io.EOF { // the response is complete according to its length or its last chunk
 		result.attempt.complete.Store(true)
 		return nil
 	}
 	return err
 }
 
-// clientIdleTimeout is the configured time without progress after which a client's connection is given up.
+// clientIdleTimeout returns the configured time without progress after which a client's connection is closed.
 func (p *Proxy) clientIdleTimeout() time.Duration {
 	if table := p.routingTable.Load(); table != nil && table.Limits.IdleTimeout > 0 {
 		return table.Limits.IdleTimeout
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -14,30 +14,30 @@
 	"sagelever/internal/upstream"
 )
 
-// maxNewConns is the number of new connections that one send may use up. The first may have been opened ahead of time
-// and closed by the backend since.
+// maxNewConns bounds the new connections that one send may try. It is above 1 because the first may have been opened
+// ahead of time and closed by the backend since.
 const maxNewConns = 2
 
 // sendResult is the result of one send.
 type sendResult struct {
 	balancer.Outcome
-	rule      retry.Rule // what follows from the outcome
+	rule      retry.Rule // the retry rule of the outcome
 	attempt   *attempt   // nil if the request was never sent
 	header    http.Header
 	body      []byte        // the response's body, or the first part of a long one
-	length    int64         // of the response's body in bytes, -1 if it is not known
-	remainder io.ReadCloser // what follows body; nil if body is complete
+	length    int64         // length of the response's body in bytes, -1 if unknown
+	remainder io.ReadCloser // the rest of the body; nil if body is complete
 
-	releaseBuffer func() // returns the memory reserved for body; nil if there is none
+	releaseBuffer func() // releases the memory reserved for body; nil if none is reserved
 
 	// cancelOnDisconnect cancels the send once the client has disconnected, until stop is called.
 	cancelOnDisconnect func() (stop func() bool)
 }
 
-// close releases what the result holds. It may be called more than once.
+// close releases the response's remainder and the reserved memory. It may be called more than once.
 func (r *sendResult) close() {
 	if r.remainder != nil {
-		_ = r.remainder.Close() // nothing more is read from it
+		_ = r.remainder.Close() // the remainder is no longer needed
 	}
 	if r.releaseBuffer != nil {
 		r.releaseBuffer()
@@ -46,7 +46,7 @@
 }
 
 // send sends a request to a backend once and reads the response, up to maxBufferedBody bytes of its body. It never
-// sends twice: whether the request is sent again is for the caller to decide, by the rule in the result.
+// retries; the caller decides on retries by the rule in the result.
 func (p *Proxy) send(ctx context.Context, r *http.Request, request *balancer.Request, backend *balancer.Backend,
 	body requestBody) *sendResult {
 	startedAt := time.Now()
@@ -68,7 +68,7 @@
 	result.header = resp.Header
 	result.ClosesConnection = resp.Close
 	if err := p.readResponseBody(result, resp); err != nil {
-		_ = resp.Body.Close() // the error of the read counts
+		_ = resp.Body.Close() // err is the error to report
 		result.recordFailure(ctx, attempt.failureEvent(ctx, err))
 		return result
 	}
@@ -79,8 +79,9 @@
 	return result
 }
 
-// checkWrite is asked right before the first byte of a send is written. It forbids the write, and names the event, if
-// the client has disconnected or the permission to send to the backend has ended since the backend was picked.
+// checkWrite is called immediately before the first byte of a send is written. It forbids the write and returns the
+// event that forbids it if, since the backend was picked, the client has disconnected or the permission to send to the
+// backend was revoked.
 func (p *Proxy) checkWrite(r *http.Request, backend *balancer.Backend) (event retry.Event, forbidden bool) {
 	p.mu.Lock()
 	permitted := p.balancer.MayWrite(backend, time.Now())
@@ -91,8 +92,8 @@
 	return retry.PermissionRevoked, !permitted
 }
 
-// roundTrip writes a request once and reads the header of the response. A reused connection that turns out to be closed
-// before anything was written on it is replaced by the next, as no backend has seen the request.
+// roundTrip writes a request once and reads the header of the response. If a connection fails before anything was
+// written on it, the request is written on another one, as no backend has received any part of it.
 func (p *Proxy) roundTrip(ctx context.Context, current *attempt, outbound *http.Request,
 	body requestBody) (*http.Response, error) {
 	outbound = outbound.WithContext(httptrace.WithClientTrace(ctx, current.clientTrace()))
@@ -115,8 +116,8 @@
 	}
 }
 
-// readResponseBody reads a response's body if it is short, and the first part of a longer one. Memory for it counts as
-// used from before it is read.
+// readResponseBody reads a response's body if it is short, and the first part of a longer one. It reserves the memory
+// in p.bufferedBytes before reading.
 func (p *Proxy) readResponseBody(result *sendResult, resp *http.Response) error {
 	result.length = resp.ContentLength
 	if result.attempt.method == http.MethodHead {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// recordFailure records what follows from an event that left no complete response.
+// recordFailure records the outcome of a send that ended with event and without a complete response.
 func (r *sendResult) recordFailure(ctx context.Context, event retry.Event) {
 	r.rule = retry.Decide(r.attempt.phase(), event)
 	r.Execution = r.rule.Execution
@@ -159,10 +160,10 @@
 	r.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// recordResponse records what follows from a response.
+// recordResponse records the outcome of a send whose response has the given event.
 func (r *sendResult) recordResponse(event retry.Event) {
 	phase := r.attempt.phase()
-	if !r.attempt.requestWritten.Load() { // the backend has responded early
+	if !r.attempt.requestWritten.Load() { // the backend responded before the request was complete
 		phase = retry.WritingBody
 	}
 	r.rule = retry.Decide(phase, event)
--- a/internal/proxy/subscription.go
+++ b/internal/proxy/subscription.go
@@ -22,50 +22,50 @@
 )
 
 const (
-	// pullRetryDelay is the pause after a pull that returned nothing at once.
+	// pullRetryDelay is the pause after a pull that returned immediately and without items.
 	pullRetryDelay = 100 * time.Millisecond
 
-	// overdueAfter is how long a controller may take for its response, in addition to the time for which it may hold
-	// the pull, until others are asked besides. It covers a few round trips between regions. The send lease outlasts a
-	// pull that is overdue and the search that follows.
+	// overdueAfter is the time after the poll timeout at which a response is overdue and the search for another
+	// controller starts. It covers a few round trips between regions. The send lease must last longer than an overdue
+	// pull and the search that follows.
 	overdueAfter = 300 * time.Millisecond
 
-	// maxSearchPulls bounds the pulls that are in progress in a search for a controller.
+	// maxSearchPulls bounds the concurrent pulls in a search for a controller.
 	maxSearchPulls = 4
 
-	// fullSyncAfter is the time without updates after which the proxy asks for everything again. It is below the
-	// minute after which controllers forget the incarnations that have left.
+	// fullSyncAfter is the time without updates after which the proxy requests the entire state again. It must be below
+	// the minute after which controllers delete the records of incarnations that have left.
 	fullSyncAfter = 30 * time.Second
 )
 
-// subscription pulls updates from one controller at a time, by long polling, and so renews the lease of the proxy. Each
-// pull says how far the proxy has come with the log of every origin, so that any controller can continue where another
+// subscription pulls updates from one controller at a time by long polling, which also renews the lease of the proxy.
+// Each pull contains the proxy's position in the log of every origin, so that any controller can continue where another
 // stopped.
 type subscription struct {
 	proxy       *Proxy
 	client      *http.Client
-	incarnation string        // names this run of the proxy in its release tallies
-	pollTimeout time.Duration // how long a controller may hold a pull until it has updates
+	incarnation string        // identifies this run of the proxy in its release tallies
+	pollTimeout time.Duration // how long a controller may delay its response while it has no updates
 
 	mu         sync.Mutex
-	sources    *source.Selector // which controller to pull from
-	sourceAddr string           // the controller that was pulled from last
+	sources    *source.Selector // selects the controller to pull from
+	sourceAddr string           // address of the controller that responded last
 
-	lastUpdate time.Time          // when the last pull that was answered was sent
+	lastUpdate time.Time          // send time of the latest answered pull
 	progress   replication.Vector // the position in the log of every origin
-	transfer   *transfer          // a response of which parts are still to come; nil for none
+	transfer   *transfer          // a response of which parts are missing; nil if none
 	values     map[string]quorum.Value
 
 	// Positions at controllers of the previous protocol version, which number their updates themselves.
-	legacyProgress map[string]uint64 // by name of the controller
-	legacySources  map[string]string // the name, by address
+	legacyProgress map[string]uint64 // position by controller name
+	legacySources  map[string]string // controller name by address
 
-	advertisedAddr string // the client address in the lease; empty while clients should not come
-	advertVersion  uint64 // grows with each change of advertisedAddr
+	advertisedAddr string // the client address in the lease; empty while the proxy accepts no clients
+	advertVersion  uint64 // increases with each change of advertisedAddr
 	leaseReleased  bool   // the lease is released, and no pull may renew it
 
 	reportedTallies map[string]string // the last reported tally, by service
-	tallyVersion    uint64            // grows with each tally reported
+	tallyVersion    uint64            // increases with each reported tally
 	lastSurvey      uint64            // the last in-flight survey of sourceAddr that was answered
 }
 
@@ -89,13 +89,13 @@
 	return s
 }
 
-// locality says where the proxy is.
+// locality returns the zone and region of the proxy, and the region of each zone.
 func locality(config *settings.Settings) source.Locality {
 	return source.Locality{Zone: config.Zone, Region: config.Region, RegionByZone: config.Zones}
 }
 
-// addSeeds adds controllers by their addresses. Only the host counts: controllers answer proxies on the peer port of
-// the settings.
+// addSeeds adds controllers by their addresses. The port of an address is ignored: controllers serve proxies on the
+// peer port of the settings.
 func (s *subscription) addSeeds(addresses []string) {
 	seeds := make([]string, 0, len(addresses))
 	for _, address := range addresses {
@@ -110,8 +110,8 @@
 	s.sources.AddSeeds(seeds)
 }
 
-// run pulls until ctx ends. A controller that does not answer in time or has no quorum is left for another one, which
-// a search finds.
+// run pulls until ctx ends. It searches for another controller when the current one does not respond in time, returns
+// an error or has no quorum.
 func (s *subscription) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if addr := s.search(ctx); addr != "" {
@@ -120,25 +120,25 @@
 	}
 }
 
-// pullResult is how a pull ended.
+// pullResult is the result of a pull.
 type pullResult struct {
 	addr     string
 	response *message.PullResponse
 	err      error
 }
 
-// usable reports whether the controller answered and has a quorum.
+// usable reports whether the controller responded and has a quorum.
 func (r pullResult) usable() bool { return r.err == nil && r.response.HasQuorum }
 
-// search asks one controller after the other until one with a quorum has answered, and returns its address. A pull that
-// has no answer yet goes on while the next controller is asked, so that controllers that are gone cost a short pause
-// each, not the time after which a call fails. search returns "" if ctx ends first.
+// search pulls from one controller after the other until one with a quorum responds, and returns its address. A pull
+// continues while the next controller is tried, so that an unreachable controller delays the search by the short search
+// delay and not by the timeout of a call. search returns "" if ctx ends first.
 func (s *subscription) search(ctx context.Context) (addr string) {
-	results := make(chan pullResult, maxSearchPulls) // nobody waits for the results that come after the first usable one
+	results := make(chan pullResult, maxSearchPulls) // buffered because results after the first usable one are not read
 	inProgress := 0
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for asked := 0; ; {
+	for attempts := 0; ; {
 		select {
 		case <-ctx.Done():
 			return ""
@@ -150,27 +150,27 @@
 		case <-timer.C:
 			if next, ok := s.nextSource(); ok && inProgress < maxSearchPulls {
 				inProgress++
-				asked++
-				go func() { results <- s.ask(ctx, next, 0) }()
+				attempts++
+				go func() { results <- s.pullAndRecord(ctx, next, 0) }()
 			}
-			timer.Reset(s.searchDelay(asked))
+			timer.Reset(s.searchDelay(attempts))
 		}
 	}
 }
 
-// follow pulls from one controller, each time until it has updates. It returns when that is overdue with an answer,
-// fails or has no quorum, and when ctx ends. As soon as a nearer controller has answered it goes on with that.
+// follow long-polls one controller. It switches to a nearer controller once that has responded with a quorum. It
+// returns when a response is overdue, a pull fails, the controller has no quorum or ctx ends.
 func (s *subscription) follow(ctx context.Context, addr string) {
 	nearer := make(chan pullResult, 1)
 	checkingNearer := false
 	for ctx.Err() == nil {
 		startedAt := time.Now()
-		result, ok := s.askInTime(ctx, addr)
+		result, ok := s.pullUntilOverdue(ctx, addr)
 		if !ok || !result.usable() {
 			return
 		}
 		if len(result.response.Items) == 0 && time.Since(startedAt) < pullRetryDelay {
-			pause(ctx) // a controller that does not hold pulls must not be asked in a tight loop
+			waitRetryDelay(ctx) // avoids a tight loop if the controller does not delay its responses
 		}
 		select {
 		case checked := <-nearer:
@@ -182,67 +182,67 @@
 		}
 		if next, ok := s.nearerSource(addr); ok && !checkingNearer {
 			checkingNearer = true
-			go func() { nearer <- s.ask(ctx, next, 0) }()
+			go func() { nearer <- s.pullAndRecord(ctx, next, 0) }()
 		}
 	}
 }
 
-// askInTime pulls from a controller. ok is false if the answer is overdue; the pull then goes on, and its answer is
-// applied if it comes at all.
-func (s *subscription) askInTime(ctx context.Context, addr string) (result pullResult, ok bool) {
+// pullUntilOverdue pulls from a controller. ok is false if the response is overdue; the pull then continues in the
+// background, and a response that still arrives is applied.
+func (s *subscription) pullUntilOverdue(ctx context.Context, addr string) (result pullResult, ok bool) {
 	results := make(chan pullResult, 1)
-	go func() { results <- s.ask(ctx, addr, s.pollTimeout) }()
+	go func() { results <- s.pullAndRecord(ctx, addr, s.pollTimeout) }()
 	overdue := time.NewTimer(s.pollTimeout + overdueAfter)
 	defer overdue.Stop()
 	select {
 	case result := <-results:
 		return result, true
 	case <-overdue.C:
-		s.noteOverdue(addr)
+		s.recordOverdue(addr)
 		return pullResult{}, false
 	}
 }
 
-// ask pulls from a controller and records how that ended.
-func (s *subscription) ask(ctx context.Context, addr string, wait time.Duration) pullResult {
-	askedAt := time.Now()
+// pullAndRecord pulls from a controller and records the result in the source selector.
+func (s *subscription) pullAndRecord(ctx context.Context, addr string, wait time.Duration) pullResult {
+	startedAt := time.Now()
 	s.mu.Lock()
 	previousAddr := s.sourceAddr
-	s.sources.Asked(addr, askedAt)
+	s.sources.Asked(addr, startedAt)
 	s.mu.Unlock()
 	response, err := s.pull(ctx, addr, wait)
 	if err != nil {
-		s.noteFailure(ctx, addr, err)
+		s.recordFailure(ctx, addr, err)
 	} else {
-		s.noteAnswer(addr, previousAddr, askedAt, response)
+		s.recordResponse(addr, previousAddr, startedAt, response)
 	}
 	return pullResult{addr: addr, response: response, err: err}
 }
 
-// nextSource returns the controller to ask next in a search.
+// nextSource returns the controller to pull from next in a search.
 func (s *subscription) nextSource() (addr string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sources.Next()
 }
 
-// searchDelay returns the pause until the next controller is asked in a search.
-func (s *subscription) searchDelay(asked int) time.Duration {
+// searchDelay returns the pause before the next pull of a search that has started the given number of pulls.
+func (s *subscription) searchDelay(attempts int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sources.SearchDelay(asked)
+	return s.sources.SearchDelay(attempts)
 }
 
-// nearerSource returns a controller that is worth asking instead of the one at addr.
+// nearerSource returns a nearer controller to try instead of the one at addr, if there is one.
 func (s *subscription) nearerSource(addr string) (nearer string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sources.Nearer(addr, time.Now())
 }
 
-// noteFailure records that a pull has failed, and logs the first failure of a controller in a row. The end of ctx is no
-// failure of the controller, and neither is that of the lease.
-func (s *subscription) noteFailure(ctx context.Context, addr string, err error) {
+// recordFailure records a failed pull and logs the first of consecutive failures of a controller. A pull that failed
+// because ctx ended or the lease was released is neither counted nor logged.
+func (s *subscription) recordFailure(ctx context.Context, addr string, err error) {
 	s.mu.Lock()
 	first := s.sources.Failed(addr, time.Now())
 	s.mu.Unlock()
@@ -255,8 +255,8 @@
 	}
 }
 
-// noteOverdue records that the answer of a controller is overdue.
-func (s *subscription) noteOverdue(addr string) {
+// recordOverdue records that the response of a controller is overdue, and logs the first of consecutive failures.
+func (s *subscription) recordOverdue(addr string) {
 	s.mu.Lock()
 	first := s.sources.Overdue(addr, time.Now())
 	s.mu.Unlock()
@@ -265,12 +265,12 @@
 	}
 }
 
-// noteAnswer records an answered pull. It logs when it came from another controller than the one before, and when the
-// present controller has lost its quorum.
-func (s *subscription) noteAnswer(addr, previousAddr string, askedAt time.Time, response *message.PullResponse) {
+// recordResponse records an answered pull. It logs a change of the controller that responds, and the loss of its
+// quorum.
+func (s *subscription) recordResponse(addr, previousAddr string, startedAt time.Time, response *message.PullResponse) {
 	s.proxy.counters.pullsAnswered.Add(1)
 	s.mu.Lock()
-	hadQuorum := s.sources.Answered(addr, askedAt, time.Now(), response.HasQuorum)
+	hadQuorum := s.sources.Answered(addr, startedAt, time.Now(), response.HasQuorum)
 	s.mu.Unlock()
 	if addr == previousAddr && hadQuorum && !response.HasQuorum {
 		s.proxy.log.Warn("controller has no quorum", zap.String("controller", response.Source))
@@ -282,19 +282,20 @@
 	}
 }
 
-// updateAge returns how long ago the last answered pull was sent.
+// updateAge returns the time since the latest answered pull was sent.
 func (s *subscription) updateAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.lastUpdate)
 }
 
-// logCounters logs what has become of the pulls so far.
+// logCounters logs the counters of the pulls.
 func (s *subscription) logCounters(now time.Time) {
 	s.proxy.counters.logPullsTo(s.proxy.log, s.source(), s.updateAge(now))
 }
 
-func pause(ctx context.Context) {
+// waitRetryDelay waits for pullRetryDelay, or until ctx ends.
+func waitRetryDelay(ctx context.Context) {
 	select {
 	case <-time.After(pullRetryDelay):
 	case <-ctx.Done():
--- a/internal/proxy/ticker.go
+++ b/internal/proxy/ticker.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// queueCheckInterval is the pause between dispatches of queued requests while there are any.
+	// queueCheckInterval is the tick interval while requests are queued.
 	queueCheckInterval = 20 * time.Millisecond
 
-	// idleCheckInterval is the pause while no request is queued. It is longer because each tick wakes the process.
+	// idleCheckInterval is the tick interval while no request is queued. It is longer because each tick wakes the
+	// process.
 	idleCheckInterval = 12 * queueCheckInterval
 
 	tallyReportInterval = time.Second
 	countersLogInterval = 10 * time.Second
 )
 
-// tickerState is what the ticker remembers from one tick to the next.
+// tickerState is the state that the ticker keeps between ticks.
 type tickerState struct {
 	lastTallyReport time.Time
 	lastCountersLog time.Time
 	leaseValid      bool
 }
 
-// runTicker does the periodic work of the proxy until ctx ends: it dispatches queued requests, starts health checks,
-// reports release tallies and logs the counters.
+// runTicker runs the periodic tasks of the proxy until ctx ends: it closes expired connections, dispatches queued
+// requests, starts health checks, reports release tallies and logs the counters.
 func (p *Proxy) runTicker(ctx context.Context) {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
@@ -41,7 +42,7 @@
 	}
 }
 
-// tick does the work that is due at now and returns the pause until the next tick.
+// tick runs the tasks that are due at now and returns the interval until the next tick.
 func (p *Proxy) tick(ctx context.Context, state *tickerState, now time.Time) time.Duration {
 	p.mu.Lock()
 	p.connPool.closeExpired(now)
@@ -69,7 +70,7 @@
 	return interval
 }
 
-// logLeaseChange logs when the send lease expires and when it is valid again.
+// logLeaseChange logs a change in the validity of the send lease.
 func (p *Proxy) logLeaseChange(state *tickerState, leaseValid bool) {
 	if leaseValid == state.leaseValid {
 		return
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -6,16 +6,16 @@
 	"sagelever/internal/control/replication"
 )
 
-// transfer is a response to a pull that comes in several parts, each of them pulled by itself from the same controller.
-// The progress of the parts counts with the last one: before, it only says where the next part begins, and proves
-// nothing to other controllers.
+// transfer is the state of a response that a controller sends in several parts, each in a pull of its own. Until the
+// last part has arrived, the progress of the parts is only a cursor into this controller's response. It must not be
+// sent to another controller, which may hold items of the missing parts under a different origin.
 type transfer struct {
 	addr   string             // of the controller
 	base   replication.Vector // the progress of the request for the first part
-	cursor replication.Vector // where the next part begins
+	cursor replication.Vector // the position at which the next part begins
 }
 
-// newTransfer returns the transfer that the first part of a response begins.
+// newTransfer returns the transfer whose first part is the response to pull.
 func newTransfer(pull answeredPull) *transfer {
 	t := &transfer{addr: pull.addr, base: pull.request.Progress, cursor: maps.Clone(pull.request.Progress)}
 	if t.cursor == nil {
@@ -25,15 +25,16 @@
 	return t
 }
 
-// advance adds the progress of a part.
+// advance merges the progress of a part into the cursor.
 func (t *transfer) advance(progress replication.Vector) {
 	for origin, sequence := range progress {
 		t.cursor[origin] = max(t.cursor[origin], sequence)
 	}
 }
 
-// recordPart takes a part of a response. It reports false for a response that is whole. With the last part the progress
-// of all counts, unless the proxy has given up since what the first one builds on. The caller holds s.mu.
+// recordPart records a part of a response that is sent in several parts, and returns false for any other response. The
+// last part adds the progress of all parts to s.progress, provided that s.progress still covers the transfer's base.
+// The caller must hold s.mu.
 func (s *subscription) recordPart(pull answeredPull) bool {
 	continues := pull.transfer != nil && pull.transfer == s.transfer
 	switch {
