--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -46,14 +46,14 @@
 // http.Transport.DialContext.
 func (p *connPool) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	p.mu.Lock()
-	preconnected := p.preconnected[address]
+	preconn := p.preconnected[address]
 	delete(p.preconnected, address)
 	p.mu.Unlock()
-	if preconnected != nil {
-		if time.Now().Before(preconnected.expiresAt) {
-			return preconnected.conn, nil
+	if preconn != nil {
+		if time.Now().Before(preconn.expiresAt) {
+			return preconn.conn, nil
 		}
-		preconnected.conn.Close()
+		preconn.conn.Close()
 	}
 	return p.connect(ctx, network, address)
 }
@@ -118,10 +118,10 @@
 func (p *connPool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, preconnected := range p.preconnected {
-		if now.After(preconnected.expiresAt) {
+	for address, preconn := range p.preconnected {
+		if now.After(preconn.expiresAt) {
 			delete(p.preconnected, address)
-			go preconnected.conn.Close() // in a goroutine because OnClose takes the lock
+			go preconn.conn.Close() // in a goroutine because OnClose takes the lock
 		}
 	}
 }
