--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -12,8 +12,7 @@
 	"sagelever/internal/rpc"
 )
 
-// responseTimeout is how long a controller may take for its response, in addition to the time for which it may hold the
-// pull.
+// responseTimeout bounds the duration of a pull beyond the time for which the controller may delay its response.
 const responseTimeout = time.Second
 
 var (
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,9 +1,9 @@
-// Package upstream is the connection of an HTTP client to a backend. It separates the responses on the connection, so
-// that no byte of one response is taken for a part of another, whatever the backend writes.
+// Package upstream provides the connections of an HTTP client to a backend. A connection delimits the responses itself,
+// so that no byte of one response is taken as part of another, whatever the backend writes.
 //
-// http.Transport keeps a connection for the next request before it looks at what follows a response, and would take
-// that for the next response. A Conn therefore reads each header itself, knows from it where the response ends, and
-// hands the Transport only the response to the exchange that it is assigned to.
+// http.Transport returns a connection to its pool before it examines the bytes that follow a response, and would read
+// those bytes as the next response. A Conn therefore parses each response header, derives the end of the response from
+// it, and passes only the response of its assigned exchange to the Transport.
 package upstream
 
 import (
@@ -18,48 +18,48 @@
 
 // Options are the options of the connections of one client.
 type Options struct {
-	MaxResponseBytes int64 // bound on the announced length of a response's body
+	MaxResponseBytes int64 // maximum announced length of a response body
 
-	// ReuseDelay is the pause between a response and the next request on the same connection. Bytes that a backend
-	// writes after a response take a moment to arrive.
+	// ReuseDelay is the minimum time between a response and the next request on the same connection. It allows
+	// unsolicited bytes that a backend writes after a response to arrive before the connection is reused.
 	ReuseDelay time.Duration
 
-	OnClose func() // called once for each connection that is closed; may be nil
+	OnClose func() // called once for each closed connection; may be nil
 }
 
-// Conn is a connection to a backend that hands http.Transport only the responses to its exchanges. Assign an exchange
-// before each request.
+// Conn is a connection to a backend that passes only the responses of its exchanges to http.Transport. An exchange must
+// be assigned before each request.
 type Conn struct {
 	*net.TCPConn
 	options         *Options
-	exchange        atomic.Pointer[Exchange] // the exchange that the connection is assigned to
+	exchange        atomic.Pointer[Exchange] // the assigned exchange
 	closed          atomic.Bool
-	unusable        atomic.Bool  // no further request may be written on it
-	lastResponseEnd atomic.Int64 // when the last response ended, in Unix nanoseconds
+	unusable        atomic.Bool  // no further request may be started on the connection
+	lastResponseEnd atomic.Int64 // end of the last response, in Unix nanoseconds
 
-	// Only the goroutine that reads uses the following.
+	// The following fields are used only by the reading goroutine.
 	reader        *bufio.Reader
-	pendingHeader []byte // a header that is read and not yet handed on
-	bodyRemaining int64  // bytes of the response's body that are not yet read, or untilClose
-	interimBytes  int    // bytes of the interim (1xx) responses before the awaited one
+	pendingHeader []byte // a header that was read and not yet returned by Read
+	bodyRemaining int64  // unread bytes of the response body, or untilClose
+	interimBytes  int    // bytes of the interim (1xx) responses before the awaited response
 }
 
-// untilClose is the value of bodyRemaining for a body that ends with the connection, or that is in chunks.
+// untilClose is the value of bodyRemaining for a body that is chunked or ends with the connection.
 const untilClose = -1
 
 var (
-	errUnsolicitedData = errors.New("data from the backend that no request asked for")
-	errUnusable        = errors.New("the connection is unusable")
+	errUnsolicitedData = errors.New("unsolicited data from the backend")
+	errUnusable        = errors.New("connection is unusable")
 )
 
-// NewConn takes over a TCP connection.
+// NewConn returns a Conn that takes ownership of a TCP connection.
 func NewConn(tcpConn *net.TCPConn, options *Options) *Conn {
 	return &Conn{TCPConn: tcpConn, options: options, reader: bufio.NewReader(tcpConn)}
 }
 
-// Assign assigns the connection to an exchange, from which on it is the one that the connection reads and writes for.
-// What a backend has written after the last response would be taken for the response to this one; a reused connection
-// with unread data is therefore unusable. Assign waits for the reuse delay first.
+// Assign assigns the connection to an exchange, after waiting for the reuse delay. Reads and writes then belong to this
+// exchange. A reused connection with unread data becomes unusable, because bytes that the backend wrote after the last
+// response would be read as the response of this exchange.
 func (c *Conn) Assign(exchange *Exchange) {
 	lastResponseEnd := time.Unix(0, c.lastResponseEnd.Load())
 	time.Sleep(time.Until(lastResponseEnd.Add(c.options.ReuseDelay)))
@@ -72,8 +72,8 @@
 // AssignedTo reports whether the connection is still assigned to the exchange.
 func (c *Conn) AssignedTo(exchange *Exchange) bool { return c.exchange.Load() == exchange }
 
-// Write writes a part of the request of the current exchange, if the write gate of that permits it. On an unusable
-// connection a request that is begun is written to its end, but none is begun.
+// Write writes a part of the request of the current exchange if the write gate of the exchange permits it. On an
+// unusable connection a started request is completed, but no request is started.
 func (c *Conn) Write(p []byte) (n int, err error) {
 	exchange := c.exchange.Load()
 	if exchange == nil || c.unusable.Load() && !exchange.WriteStarted() {
@@ -90,8 +90,8 @@
 	return n, err
 }
 
-// writeFor writes and records that the exchange has written. The record is made first, so that an exchange without it
-// has certainly written nothing. A closed connection is not recorded as written.
+// writeFor writes p and sets exchange.writeStarted. It sets the flag before the write, so that an exchange without it
+// has certainly written nothing. It does not set the flag on a closed connection.
 func (c *Conn) writeFor(exchange *Exchange, p []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, errUnusable
@@ -103,7 +103,7 @@
 	return c.TCPConn.Write(p)
 }
 
-// Read reads from the response of the current exchange. After an error the connection is unusable.
+// Read reads from the response of the current exchange. An error makes the connection unusable.
 func (c *Conn) Read(p []byte) (n int, err error) {
 	switch {
 	case len(c.pendingHeader) > 0:
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -7,49 +7,50 @@
 	"sync/atomic"
 )
 
-// Exchange is one request and the response to it, on the connection that is assigned to it. The functions are set
-// before it is assigned, and each may be nil.
+// Exchange is a request and its response on the connection that is assigned to it. The function fields must be set
+// before the assignment; each may be nil.
 type Exchange struct {
-	// WriteGate is called for each write of the request. It calls write, or returns false to forbid it, which makes the
-	// connection unusable. If it is nil all is permitted.
+	// WriteGate is called for each write of the request. It must either call write and return true, or return false to
+	// forbid the write, which makes the connection unusable. If WriteGate is nil, all writes are permitted.
 	WriteGate func(write func()) bool
 
-	// MatchesResponse reports, from the header, whether a response is to this request. Others are skipped. If it is nil
-	// all are.
+	// MatchesResponse reports whether a response with the given header belongs to this request. Other responses are
+	// skipped. If MatchesResponse is nil, all responses match.
 	MatchesResponse func(http.Header) bool
 
-	// ValidateResponse returns why a response, judged by its header, cannot be trusted. If it is nil all can.
+	// ValidateResponse returns an error if a response must be rejected because of its header. If ValidateResponse is
+	// nil, all responses are accepted.
 	ValidateResponse func(*http.Response) error
 
-	// RequestWritten reports whether the request has been written completely. If it is nil it has once there is a
-	// response.
+	// RequestWritten reports whether the request has been written completely. If RequestWritten is nil, a request
+	// counts as written once its response arrives.
 	RequestWritten func() bool
 
-	noResponseBody   bool        // the response has no body, whatever its header says; set before writeStarted
-	writeStarted     atomic.Bool // something has been written
-	responseStarted  atomic.Bool // something of a response has arrived
+	noResponseBody   bool        // the response has no body, whatever its header announces; set before writeStarted
+	writeStarted     atomic.Bool // a part of the request may have been written
+	responseStarted  atomic.Bool // a part of a response has arrived
 	responseComplete atomic.Bool // the response has been read completely
 }
 
-// WriteStarted reports whether anything of the request may have been written.
+// WriteStarted reports whether any part of the request may have been written.
 func (e *Exchange) WriteStarted() bool { return e.writeStarted.Load() }
 
-// ResponseStarted reports whether anything of a response has arrived.
+// ResponseStarted reports whether any part of a response has arrived.
 func (e *Exchange) ResponseStarted() bool { return e.responseStarted.Load() }
 
-// awaitsResponse reports whether a response may arrive now.
+// awaitsResponse reports whether a response to the exchange is outstanding.
 func (e *Exchange) awaitsResponse() bool {
 	return e.writeStarted.Load() && !e.responseComplete.Load()
 }
 
-// SetNonReplayableBody gives a request a body that cannot be read again, even if it is empty. http.Transport sends a
-// request without a body, or with one that it can read again, a second time by itself when a connection fails;
-// whether a request is sent again is not for the Transport to decide.
+// SetNonReplayableBody sets a request body, possibly empty, that cannot be read a second time. It prevents
+// http.Transport from retrying the request by itself after a connection failure, which it does for requests whose body
+// is absent or can be read again. Only the caller decides on retries.
 func SetNonReplayableBody(req *http.Request, body []byte) {
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	req.GetBody = nil
 	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
-		req.TransferEncoding = []string{"identity"} // a body of unknown length would be sent in chunks
+		req.TransferEncoding = []string{"identity"} // otherwise the body would be sent in chunks
 	}
 }
--- a/internal/upstream/readable_other.go
+++ b/internal/upstream/readable_other.go
@@ -4,6 +4,6 @@
 
 import "net"
 
-// readable reports whether a read would not wait. These systems do not tell, so that only what has been read together
-// with a response is seen after it.
+// readable reports whether a read would not block. It is not implemented on these systems and always returns false, so
+// that only unsolicited bytes that were buffered together with a response are detected.
 func readable(*net.TCPConn) bool { return false }
--- a/internal/upstream/readable_unix.go
+++ b/internal/upstream/readable_unix.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// readable reports whether a read would not wait, because there is data, the end of the connection or an error.
+// readable reports whether a read would return without blocking: with data, the end of the connection or an error.
 func readable(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// MaxHeaderBytes bounds the header of a response and the interim responses before it. Those of the protocol have some
-// hundred bytes.
+// MaxHeaderBytes bounds the total size of the header of a response and the interim responses before it. Typical headers
+// of the protocol have a few hundred bytes.
 const MaxHeaderBytes = 16 << 10
 
-// statusLinePrefix is how every response begins.
+// statusLinePrefix is the start of every response.
 const statusLinePrefix = "HTTP/1."
 
-// ErrMalformedResponse is the error of a response that cannot be read, cannot be trusted or may not be complete.
+// ErrMalformedResponse is the error for a response that cannot be parsed, was rejected or may be incomplete.
 var ErrMalformedResponse = errors.New("malformed response")
 
 var (
-	errHeaderTooLong    = errors.New("the header is too long")
+	errHeaderTooLong    = errors.New("response header exceeds the size limit")
 	errBodyTooLong      = errors.New("the body is too long")
-	errProtocolSwitched = errors.New("the response switches protocols")
-	errUnskippable      = errors.New("the response to another request precedes it, too long or of unknown length")
+	errProtocolSwitched = errors.New("response switches protocols")
+	errUnskippable      = errors.New("cannot skip a preceding response to another request: too long or of unknown length")
 )
 
-// malformed makes an error that is ErrMalformedResponse and cause.
+// malformed returns an error that wraps ErrMalformedResponse and cause.
 func malformed(cause error) error { return fmt.Errorf("%w: %w", ErrMalformedResponse, cause) }
 
-// readHeader reads the header of the next response. Responses to other requests are skipped. Data that arrives while no
-// response is awaited is an error.
+// readHeader reads the header of the next response and skips responses to other requests. It returns an error if data
+// arrives while no response is awaited.
 func (c *Conn) readHeader() error {
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return c.startBody(exchange, header, resp.ContentLength)
 }
 
-// readHeaderBytes reads up to and with the empty line that ends a header.
+// readHeaderBytes reads a header up to and including the empty line that ends it.
 func (c *Conn) readHeaderBytes() ([]byte, error) {
 	var header []byte
 	for {
@@ -83,7 +83,7 @@
 	}
 }
 
-// validate returns why the response to an exchange cannot be accepted, or nil.
+// validate returns an error if the response to an exchange must be rejected.
 func (c *Conn) validate(exchange *Exchange, resp *http.Response) error {
 	if resp.ContentLength > c.options.MaxResponseBytes {
 		return errBodyTooLong
@@ -94,8 +94,8 @@
 	return exchange.ValidateResponse(resp)
 }
 
-// startBody hands on the header of the awaited response and makes ready to read its body, of contentLength bytes, or -1
-// if the length is not known.
+// startBody sets the header of the awaited response as pending and prepares to read its body. contentLength is -1 if
+// the length is unknown.
 func (c *Conn) startBody(exchange *Exchange, header []byte, contentLength int64) error {
 	c.pendingHeader = header
 	c.interimBytes = 0
@@ -105,7 +105,7 @@
 		return c.finishResponse()
 	case contentLength < 0:
 		c.bodyRemaining = untilClose
-		c.unusable.Store(true) // its end is not recognized here, so that it is the last response on the connection
+		c.unusable.Store(true) // Conn does not detect the end of this body, so no response may follow it
 	default:
 		c.bodyRemaining = contentLength
 	}
@@ -122,8 +122,8 @@
 	return n, err
 }
 
-// skipResponse reads a late response to an earlier request, in front of the awaited one, and goes on to the next
-// header. One without a known end cannot be skipped. The connection carries no further request.
+// skipResponse discards a late response to an earlier request and reads the next header. A response of unknown length
+// cannot be skipped. The connection carries no further request afterwards.
 func (c *Conn) skipResponse(resp *http.Response) error {
 	if resp.ContentLength < 0 || resp.ContentLength > c.options.MaxResponseBytes {
 		return malformed(errUnskippable)
@@ -135,17 +135,17 @@
 	return c.readHeader()
 }
 
-// finishResponse looks at what follows a response, before the last bytes of the response are handed on. If another
-// header follows, the response was complete and only the connection is unusable. Anything else may be the rest of a
-// response whose announced length is too short, so that the response counts as malformed.
+// finishResponse checks the bytes that follow a response, before Read returns the last bytes of the response. If
+// another response follows, this one is complete and only the connection becomes unusable. Any other bytes may belong
+// to a response whose announced length is too short, so the response counts as malformed.
 func (c *Conn) finishResponse() error {
 	exchange := c.exchange.Load()
 	if exchange.RequestWritten != nil && !exchange.RequestWritten() {
-		c.unusable.Store(true) // what the backend makes of the rest of the request is unknown
+		c.unusable.Store(true) // how the backend treats the rest of the request is unknown
 	}
 	if c.reader.Buffered() > 0 || readable(c.TCPConn) {
 		c.unusable.Store(true)
-		_, _ = c.reader.Peek(1) // fills the buffer, without waiting: there is data, or the end of the connection
+		_, _ = c.reader.Peek(1) // fills the buffer without blocking, as data or the end of the connection is available
 		trailing, _ := c.reader.Peek(min(c.reader.Buffered(), len(statusLinePrefix)))
 		if len(trailing) > 0 && string(trailing) != statusLinePrefix {
 			return ErrMalformedResponse
