--- a/internal/tcp/usertimeout.go
+++ b/internal/tcp/usertimeout.go
@@ -1,5 +1,5 @@
-// Package tcp makes TCP listeners and dialers whose connections end within a bounded time after the other machine has
-// disappeared, for example because it lost power.
+// Package tcp provides TCP listeners and dialers whose connections fail within a bounded time after the remote machine
+// has become unreachable, for example because it lost power.
 package tcp
 
 import (
@@ -11,18 +11,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout is the time after which a connection ends if the other machine gives no sign: it acknowledges no data
-// (TCP_USER_TIMEOUT, see RFC 5482 and tcp(7)) or answers no keep-alive probe. A machine that is only slow still
-// acknowledges, so that its connections stay.
+// UserTimeout is the time after which a connection fails if the remote machine acknowledges no data (TCP_USER_TIMEOUT,
+// see RFC 5482 and tcp(7)) or answers no keep-alive probe. Connections to a machine that is only slow are kept, because
+// its kernel still sends acknowledgements.
 type UserTimeout time.Duration
 
-// Listen listens on a TCP address. Accepted connections have the user timeout.
+// Listen listens on a TCP address. The user timeout applies to accepted connections.
 func (t UserTimeout) Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: t.control, KeepAliveConfig: t.keepAliveConfig()}
 	return config.Listen(context.Background(), "tcp4", address)
 }
 
-// Dialer returns a dialer that gives up after timeout. Its connections have the user timeout.
+// Dialer returns a dialer with the given dial timeout. The user timeout applies to its connections.
 func (t UserTimeout) Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, Control: t.control, KeepAliveConfig: t.keepAliveConfig()}
 }
@@ -40,14 +40,14 @@
 	return optionErr
 }
 
-// keepAliveConfig makes the probe of an idle connection and its loss fit into the user timeout, as far as the unit of
-// one second allows.
+// keepAliveConfig returns keep-alive settings by which an idle connection to an unreachable machine fails within the
+// user timeout, as far as the resolution of one second allows.
 func (t UserTimeout) keepAliveConfig() net.KeepAliveConfig {
 	interval := roundUpToSeconds(time.Duration(t) / 2)
 	return net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: 1}
 }
 
-// roundUpToSeconds rounds up to whole seconds, the unit of keep-alive times, and to at least one.
+// roundUpToSeconds rounds d up to whole seconds, the resolution of keep-alive times, and to at least one second.
 func roundUpToSeconds(d time.Duration) time.Duration {
 	return max(time.Second, (d + time.Second - 1).Truncate(time.Second))
 }
