--- a/internal/rpc/compression.go
+++ b/internal/rpc/compression.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// minCompressBytes is the size from which a message is compressed: a smaller one fits into a packet or two as it
-	// is.
+	// minCompressBytes is the minimum size of a message that is compressed. A smaller message fits into one or two
+	// packets uncompressed.
 	minCompressBytes = 1400
 
 	gzipEncoding = "gzip"
 )
 
-// ErrTooLarge is returned for a message of more than MaxMessageBytes.
+// ErrTooLarge is the error for a message of more than MaxMessageBytes.
 var ErrTooLarge = errors.New("the message is too large")
 
-// Compress returns a message as it is to be sent, and its Content-Encoding: empty if it is not compressed.
+// Compress compresses a message unless it is small. encoding is its Content-Encoding, empty if it is not compressed.
 func Compress(body []byte) (compressed []byte, encoding string) {
 	if len(body) < minCompressBytes {
 		return body, ""
@@ -38,8 +38,8 @@
 	return buffer.Bytes(), gzipEncoding
 }
 
-// Decompress reads a message to its end. An encoding other than gzip means that it is not compressed. It returns
-// ErrTooLarge if there is more than MaxMessageBytes.
+// Decompress reads a message to its end and decompresses it if encoding is gzip. It returns ErrTooLarge if the message
+// has more than MaxMessageBytes.
 func Decompress(r io.Reader, encoding string) ([]byte, error) {
 	if encoding == gzipEncoding {
 		decompressor, err := gzip.NewReader(r)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,5 @@
-// Package rpc carries messages between nodes: controllers and proxies call the peer port of controllers with it. A call
-// is an HTTP POST of a JSON message; both directions are compressed where that is worth it, as traffic between zones
-// and regions is expensive.
+// Package rpc implements the calls of controllers and proxies to the peer port of controllers. A call is an HTTP POST
+// of a JSON message. Large requests and responses are compressed, as traffic between zones and regions is expensive.
 package rpc
 
 import (
@@ -17,14 +16,14 @@
 )
 
 const (
-	// MaxMessageBytes bounds a message, decompressed: some ten thousand routes.
+	// MaxMessageBytes bounds the decompressed size of a message. It is enough for some ten thousand routes.
 	MaxMessageBytes = 32 << 20
 
-	// userTimeout is TCP_USER_TIMEOUT of the connections between nodes: how long sent data may remain unacknowledged.
+	// userTimeout is the TCP user timeout of the connections between nodes.
 	userTimeout = tcp.UserTimeout(1500 * time.Millisecond)
 
-	// maxConnsPerHost bounds the connections to one node, and with them the calls in flight: more wait for one of them
-	// until their time is over. A few long polls and rounds of proposals need less than half of it.
+	// maxConnsPerHost bounds the connections to one node, and thereby the calls in flight. Further calls wait for a
+	// connection until they time out. A few long polls and rounds of proposals need less than half of the connections.
 	maxConnsPerHost = 16
 
 	dialTimeout         = time.Second
@@ -35,15 +34,16 @@
 // DialFunc opens a connection, as net.Dialer's DialContext does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// StatusError is a response other than 200.
+// StatusError is the error for a response with a status other than 200.
 type StatusError struct {
 	Path   string
-	Status string // code and text
+	Status string // status code and text
 }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Status) }
 
-// NewClient returns an HTTP client for Post. It connects by dial; by TCP with a user timeout if that is nil.
+// NewClient returns an HTTP client for Post. It opens connections with dial, or by TCP with a user timeout if dial is
+// nil.
 func NewClient(dial DialFunc) *http.Client {
 	if dial == nil {
 		dial = userTimeout.Dialer(dialTimeout).DialContext
@@ -53,12 +53,12 @@
 		MaxConnsPerHost:     maxConnsPerHost,
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
-		DisableCompression:  true, // Post decompresses by itself, and bounds the result
+		DisableCompression:  true, // Post decompresses and bounds the result itself
 	}}
 }
 
-// Post sends a message to the peer port at an address and decodes the response into out, unless that is nil. It returns
-// a *StatusError if the response is not 200. ctx bounds the whole call.
+// Post sends a message to the peer port at an address and decodes the response into out, unless out is nil. It returns
+// a *StatusError if the status of the response is not 200. ctx bounds the call, including the read of the response.
 func Post(ctx context.Context, client *http.Client, address, path string, body []byte, out easyjson.Unmarshaler) error {
 	compressed, encoding := Compress(body)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(compressed))
@@ -87,7 +87,7 @@
 	return easyjson.Unmarshal(data, out)
 }
 
-// ReadRequest decodes the message of a request. Where it can't, it responds with 400 and returns false.
+// ReadRequest decodes the message of a request. If it cannot, it responds with 400 and returns false.
 func ReadRequest(w http.ResponseWriter, r *http.Request, message easyjson.Unmarshaler) bool {
 	body := http.MaxBytesReader(w, r.Body, MaxMessageBytes)
 	data, err := Decompress(body, r.Header.Get("Content-Encoding"))
@@ -101,7 +101,7 @@
 	return true
 }
 
-// WriteResponse responds with a message. It returns the size of the body as sent.
+// WriteResponse responds with a message. It returns the size of the body in bytes, after compression.
 func WriteResponse(w http.ResponseWriter, message easyjson.Marshaler) (size int) {
 	body, err := easyjson.Marshal(message)
 	if err != nil {
