--- a/internal/proxy/outcome_test.go
+++ b/internal/proxy/outcome_test.go
@@ -38,7 +38,7 @@
 	waitFor(t, "the drain ends", func() bool { return proxy.backendInState("i1", draining.Drained) })
 }
 
-// Requests that arrive with no time left must not cause their backend to be ejected for other requests.
+// Requests that arrive with no time left must not make their backend unavailable to other requests.
 func TestExpiredRequestsDoNotAffectOthers(t *testing.T) {
 	address, _ := startBackend(t, serveSealed)
 	proxy := startProxy(t, backendItem("i1", address))
