--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -18,7 +18,7 @@
 func (r *Replica) RecordHeartbeat(
 	now time.Time, id string, heartbeat *replication.Heartbeat,
 ) (redirect message.Member) {
-	current, known := r.items.Get(replication.BackendKey + id)
+	current, known := r.items.Get(replication.BackendKeyPrefix + id)
 	// Otherwise the heartbeat is late, or of an incarnation that has left.
 	if !known || current.Version < replication.BackendVersion(heartbeat.CallCount, false) {
 		r.updateBackend(now, id, heartbeat, current, known)
@@ -56,7 +56,7 @@
 
 // BackendPhase returns the phase of a backend, or "" where nothing is known of it.
 func (r *Replica) BackendPhase(id string) replication.Phase {
-	item, _ := r.items.Get(replication.BackendKey + id)
+	item, _ := r.items.Get(replication.BackendKeyPrefix + id)
 	backend, ok := replication.ReadBackend(item)
 	if !ok {
 		return ""
@@ -73,9 +73,9 @@
 // Backends returns the backends that are known and have not left, by ID.
 func (r *Replica) Backends() map[string]*replication.Backend {
 	backends := map[string]*replication.Backend{}
-	r.items.ForEach(replication.BackendKey, func(item replication.Item) {
+	r.items.ForEach(replication.BackendKeyPrefix, func(item replication.Item) {
 		if backend, ok := replication.ReadBackend(item); ok && backend.Phase != replication.PhaseLeft {
-			backends[strings.TrimPrefix(item.Key, replication.BackendKey)] = backend
+			backends[strings.TrimPrefix(item.Key, replication.BackendKeyPrefix)] = backend
 		}
 	})
 	return backends
@@ -83,7 +83,7 @@
 
 // DeregisterBackend records that a backend has left for good.
 func (r *Replica) DeregisterBackend(now time.Time, id string) {
-	key := replication.BackendKey + id
+	key := replication.BackendKeyPrefix + id
 	current, known := r.items.Get(key)
 	backend, ok := replication.ReadBackend(current)
 	if !known || !ok {
@@ -91,14 +91,14 @@
 	}
 	r.mergeLocal(backend.ItemWithPhase(id, replication.PhaseLeft, replication.LeftVersion))
 	r.addTombstone(key, now)
-	r.liveness.ForgetBackend(id)
+	r.liveness.StopTrackingBackend(id)
 	delete(r.backends, id)
 }
 
 // expireBackends marks the backends as timed out whose heartbeats came here and have stopped.
 func (r *Replica) expireBackends(now time.Time) {
 	for _, id := range r.liveness.ExpireBackends(r.config.BackendTimeout, now) {
-		key := replication.BackendKey + id
+		key := replication.BackendKeyPrefix + id
 		item, known := r.items.Get(key)
 		backend, ok := replication.ReadBackend(item)
 		delete(r.backends, id)
@@ -118,13 +118,13 @@
 		return
 	}
 	var timedOut []replication.Item
-	r.items.ForEach(replication.BackendKey, func(item replication.Item) {
+	r.items.ForEach(replication.BackendKeyPrefix, func(item replication.Item) {
 		backend, ok := replication.ReadBackend(item)
 		if !ok || backend.Phase != replication.PhaseReady && backend.Phase != replication.PhaseDraining {
 			return
 		}
 		if since, lost := r.ownerLostSince(now, backend.Owner); lost && now.Sub(since) > r.config.BackendTimeout {
-			id := strings.TrimPrefix(item.Key, replication.BackendKey)
+			id := strings.TrimPrefix(item.Key, replication.BackendKeyPrefix)
 			timedOut = append(timedOut, backend.TimedOut(id, item.Version))
 		}
 	})
--- a/internal/control/replica/full_pull.go
+++ b/internal/control/replica/full_pull.go
@@ -66,10 +66,10 @@
 // replica was away.
 func (r *Replica) finishFullPull(pull *fullPull) {
 	r.fullPull = nil
-	isRegister := func(item replication.Item) bool { return strings.HasPrefix(item.Key, replication.RegisterKey) }
+	isRegister := func(item replication.Item) bool { return strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) }
 	for _, key := range r.items.ReplaceReceived(pull.received, pull.progress, isRegister) {
 		r.forget(key)
-		if id, ok := strings.CutPrefix(key, replication.BackendKey); ok {
+		if id, ok := strings.CutPrefix(key, replication.BackendKeyPrefix); ok {
 			delete(r.backends, id)
 		}
 	}
--- a/internal/control/replica/leases.go
+++ b/internal/control/replica/leases.go
@@ -76,7 +76,7 @@
 // RecentProxies lists the proxies that may have requests in flight: those that hold a lease, and those whose lease
 // expired within proxyRetention without having been ended by the proxy.
 func (r *Replica) RecentProxies(now time.Time) (nodes []string) {
-	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
 		if ok && lease.Role == message.RoleProxy && !leaseEndedByProxy(item.Version) &&
 			r.liveness.IsActive(item.Key, now) {
@@ -92,7 +92,7 @@
 func (r *Replica) ListenerAddrs(now time.Time, zone, region string, limit int) []string {
 	var sameZone, sameRegion, elsewhere []string
 	r.expireLeases(now)
-	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
 		if !ok || !r.listens(now, item.Key, lease) {
 			return
--- a/internal/control/replica/maintenance.go
+++ b/internal/control/replica/maintenance.go
@@ -47,7 +47,7 @@
 
 // observeLeases counts the proxies whose leases were granted by members that are reachable.
 func (r *Replica) observeLeases(now time.Time) {
-	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
 		if ok && !lease.Ended && lease.Role == message.RoleProxy && r.reachable(lease.Grantor, now) {
 			r.liveness.ObserveLease(item.Key, lease.Zone, now)
@@ -57,7 +57,7 @@
 
 // expireTallies adds tombstones for the tallies of releases that have ended or were followed by another.
 func (r *Replica) expireTallies(now time.Time) {
-	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
+	r.items.ForEach(replication.ReleaseTallyKeyPrefix, func(item replication.Item) {
 		if _, noted := r.tombstones[item.Key]; noted {
 			return
 		}
@@ -81,7 +81,7 @@
 			continue
 		}
 		delete(r.tombstones, key)
-		if strings.HasPrefix(key, replication.ReleaseTallyKey) || r.backendIsGone(key) {
+		if strings.HasPrefix(key, replication.ReleaseTallyKeyPrefix) || r.backendIsGone(key) {
 			r.items.Delete(key)
 			r.forget(key)
 		}
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -19,7 +19,7 @@
 	}
 	for _, item := range r.items.Since(since, nil) {
 		origin, sequence := r.items.OriginOf(item.Key)
-		if strings.HasPrefix(item.Key, replication.RegisterKey) {
+		if strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) {
 			item.Body = "" // it is saved with the register
 		}
 		items = append(items, PersistedItem{item, origin, sequence})
@@ -34,7 +34,7 @@
 	expired := now.Sub(persisted.ProgressAt) > incrementalPullWindow
 	lost := replication.Vector{}
 	for _, saved := range persisted.Items {
-		isRegister := strings.HasPrefix(saved.Item.Key, replication.RegisterKey)
+		isRegister := strings.HasPrefix(saved.Item.Key, replication.RegisterKeyPrefix)
 		switch {
 		case expired && !isRegister && saved.Origin != "":
 			r.forget(saved.Item.Key)
@@ -57,7 +57,7 @@
 // restoreRegisterBody completes the item of a register, which is saved without its body. It reports false where the
 // register holds another value by now that is not known to be chosen.
 func (r *Replica) restoreRegisterBody(item *replication.Item) bool {
-	entry := r.acceptor.Get(strings.TrimPrefix(item.Key, replication.RegisterKey))
+	entry := r.acceptor.Get(strings.TrimPrefix(item.Key, replication.RegisterKeyPrefix))
 	if !entry.Chosen || entry.Value.Version != item.Version {
 		return false
 	}
@@ -73,7 +73,7 @@
 	} else {
 		r.items.Receive(item, saved.Origin, saved.Sequence)
 	}
-	if strings.HasPrefix(item.Key, replication.LeaseKey) {
+	if strings.HasPrefix(item.Key, replication.LeaseKeyPrefix) {
 		lease, ok := replication.ReadLease(item)
 		if ok && !lease.Ended && lease.Role == message.RoleProxy {
 			r.liveness.ObserveLease(item.Key, lease.Zone, now) // it may be sending, although it has not pulled yet
@@ -85,7 +85,7 @@
 // restoreBackend makes a ready backend count as warming up until its next heartbeat: it may have gone, or have been
 // restarted, while this replica was down. Other items are returned as they are.
 func (r *Replica) restoreBackend(now time.Time, item replication.Item) replication.Item {
-	id, ok := strings.CutPrefix(item.Key, replication.BackendKey)
+	id, ok := strings.CutPrefix(item.Key, replication.BackendKeyPrefix)
 	if !ok {
 		return item
 	}
@@ -94,6 +94,6 @@
 		return item
 	}
 	backend.HeartbeatMs = now.UnixMilli()
-	backend.WarmAtMs = now.Add(r.config.BackendTimeout).UnixMilli()
+	backend.WarmUpEndMs = now.Add(r.config.BackendTimeout).UnixMilli()
 	return backend.ItemWithPhase(id, replication.PhaseReady, item.Version)
 }
--- a/internal/control/replica/pull_answer.go
+++ b/internal/control/replica/pull_answer.go
@@ -88,7 +88,7 @@
 func (r *Replica) newPullResponse(now time.Time, pending *PendingPull) *message.PullResponse {
 	request := pending.request
 	response := &message.PullResponse{
-		Source:           r.items.Source,
+		Source:           r.items.LegacySource,
 		ProtocolVersion:  message.ProtocolVersion,
 		LocalSequence:    r.items.LocalSequence(),
 		HasQuorum:        r.HasQuorum(now),
@@ -115,7 +115,7 @@
 	case request.MembersOnly:
 		return true
 	case request.ProtocolVersion < message.ProtocolVersion:
-		since, known := request.LegacyVector[r.items.Source]
+		since, known := request.LegacyVector[r.items.LegacySource]
 		response.Items = r.items.Since(since, itemFilter(request.Role))
 		response.Complete = since == 0
 		return !known
@@ -138,7 +138,7 @@
 		return nil
 	}
 	return func(key string) bool {
-		return !strings.HasPrefix(key, replication.LeaseKey) && key != replication.RegisterKey+membership.RegisterKey
+		return !strings.HasPrefix(key, replication.LeaseKeyPrefix) && key != replication.RegisterKeyPrefix+membership.RegisterKey
 	}
 }
 
--- a/internal/control/replica/pull_response.go
+++ b/internal/control/replica/pull_response.go
@@ -75,7 +75,7 @@
 func (r *Replica) mergeItem(
 	now time.Time, item replication.Item, origin string, sequence uint64,
 ) (changed []quorum.Entry) {
-	if strings.HasPrefix(item.Key, replication.RegisterKey) {
+	if strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) {
 		return r.mergeRegister(now, item, origin, sequence)
 	}
 	merged := false
@@ -124,14 +124,14 @@
 // notifyDelay returns how long an item may wait to be sent together with others.
 func notifyDelay(item replication.Item) time.Duration {
 	switch {
-	case strings.HasPrefix(item.Key, replication.RegisterKey):
+	case strings.HasPrefix(item.Key, replication.RegisterKeyPrefix):
 		return urgentNotifyDelay
-	case strings.HasPrefix(item.Key, replication.BackendKey):
+	case strings.HasPrefix(item.Key, replication.BackendKeyPrefix):
 		backend, ok := replication.ReadBackend(item)
 		if ok && (backend.Phase == replication.PhaseDraining || backend.Phase == replication.PhaseLeft) {
 			return urgentNotifyDelay
 		}
-	case strings.HasPrefix(item.Key, replication.ReleaseTallyKey):
+	case strings.HasPrefix(item.Key, replication.ReleaseTallyKeyPrefix):
 		if tally, ok := replication.ReadReleaseTally(item); ok && tally.Vote != "" {
 			return urgentNotifyDelay
 		}
@@ -143,14 +143,14 @@
 // trackItem has this replica watch over a lease or backend that came from elsewhere or from its disk, and that it
 // granted or owned in an earlier incarnation.
 func (r *Replica) trackItem(now time.Time, item replication.Item) {
-	if strings.HasPrefix(item.Key, replication.LeaseKey) {
+	if strings.HasPrefix(item.Key, replication.LeaseKeyPrefix) {
 		lease, ok := replication.ReadLease(item)
 		if ok && lease.Grantor == r.config.Self.Node && !lease.Ended {
 			r.liveness.RestoreLease(item.Key, lease.Zone, now)
 		}
 		return
 	}
-	id, ok := strings.CutPrefix(item.Key, replication.BackendKey)
+	id, ok := strings.CutPrefix(item.Key, replication.BackendKeyPrefix)
 	if !ok {
 		return
 	}
@@ -163,7 +163,7 @@
 		r.addTombstone(item.Key, now)
 	}
 	if gone || backend.Owner != r.config.Self.Node {
-		r.liveness.ForgetBackend(id)
+		r.liveness.StopTrackingBackend(id)
 		delete(r.backends, id)
 	} else {
 		r.liveness.RecordHeartbeat(id, now)
--- a/internal/control/replica/registers.go
+++ b/internal/control/replica/registers.go
@@ -146,7 +146,7 @@
 // publishEntry publishes a chosen register as an item.
 func (r *Replica) publishEntry(entry quorum.Entry) {
 	r.mergeLocal(replication.Item{
-		Key:     replication.RegisterKey + entry.Key,
+		Key:     replication.RegisterKeyPrefix + entry.Key,
 		Version: entry.Value.Version,
 		Body:    entryBody(entry),
 	})
--- a/internal/control/replica/releases.go
+++ b/internal/control/replica/releases.go
@@ -14,7 +14,7 @@
 // MergeTallies takes what a proxy has observed of releases, and decides the releases on which there are enough votes.
 func (r *Replica) MergeTallies(now time.Time, items []replication.Item) {
 	for _, item := range items {
-		if strings.HasPrefix(item.Key, replication.ReleaseTallyKey) {
+		if strings.HasPrefix(item.Key, replication.ReleaseTallyKeyPrefix) {
 			r.mergeLocal(item)
 		}
 	}
@@ -23,14 +23,14 @@
 
 // tallyService returns the service that the key of a tally names.
 func tallyService(key string) string {
-	service, _, _ := strings.Cut(strings.TrimPrefix(key, replication.ReleaseTallyKey), "/")
+	service, _, _ := strings.Cut(strings.TrimPrefix(key, replication.ReleaseTallyKeyPrefix), "/")
 	return service
 }
 
 // decideReleases ends the releases in service that the votes of the proxies decide.
 func (r *Replica) decideReleases(now time.Time) {
 	tallies := map[string][]*replication.ReleaseTally{}
-	r.items.ForEach(replication.ReleaseTallyKey, func(item replication.Item) {
+	r.items.ForEach(replication.ReleaseTallyKeyPrefix, func(item replication.Item) {
 		if tally, ok := replication.ReadReleaseTally(item); ok {
 			service := tallyService(item.Key)
 			tallies[service] = append(tallies[service], tally)
--- a/internal/control/replica/replicated.go
+++ b/internal/control/replica/replicated.go
@@ -21,7 +21,7 @@
 	previous, known := r.pullProgress[node]
 	r.pullProgress[node] = peerProgress{
 		vector:         request.Progress,
-		legacySequence: request.LegacyVector[r.items.Source],
+		legacySequence: request.LegacyVector[r.items.LegacySource],
 		at:             now,
 	}
 	if away := now.Sub(previous.at); known && away > PeerTimeout+LeaseTerm {
--- a/internal/control/replica/survey.go
+++ b/internal/control/replica/survey.go
@@ -76,7 +76,7 @@
 	for _, node := range slices.Sorted(maps.Keys(r.survey.reports)) {
 		survey.Reports = append(survey.Reports, r.survey.reports[node])
 	}
-	r.items.ForEach(replication.LeaseKey, func(item replication.Item) {
+	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
 		if !ok || lease.Ended || lease.Role != message.RoleProxy || lease.Grantor != r.config.Self.Node {
 			return
--- a/internal/control/replication/backend.go
+++ b/internal/control/replication/backend.go
@@ -25,7 +25,7 @@
 	Version     string `json:"v"` // of its build
 	Capacity    int    `json:"c"` // requests that it processes at once
 	Phase       Phase  `json:"p"`
-	WarmAtMs    int64  `json:"w"` // when its warm-up ends: Unix milliseconds, by the clock of Owner; 0: it is warm
+	WarmUpEndMs int64  `json:"w"` // when its warm-up ends: Unix milliseconds, by the clock of Owner; 0: it is warm
 	Owner       string `json:"h"` // the controller that receives its heartbeats
 	HeartbeatMs int64  `json:"t"` // when Owner received the last published heartbeat: Unix milliseconds
 }
@@ -49,7 +49,7 @@
 
 func (b *Backend) item(id string, version uint64) Item {
 	body, _ := easyjson.Marshal(b) // strings and integers always encode
-	return Item{Key: BackendKey + id, Version: version, Body: string(body)}
+	return Item{Key: BackendKeyPrefix + id, Version: version, Body: string(body)}
 }
 
 // ItemWithPhase returns the item of the backend in another phase.
--- a/internal/control/replication/backend_easyjson.go
+++ b/internal/control/replication/backend_easyjson.go
@@ -158,7 +158,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WarmAtMs = int64(in.Int64())
+				out.WarmUpEndMs = int64(in.Int64())
 			}
 		case "h":
 			if in.IsNull() {
@@ -219,7 +219,7 @@
 	{
 		const prefix string = ",\"w\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.WarmAtMs))
+		out.Int64(int64(in.WarmUpEndMs))
 	}
 	{
 		const prefix string = ",\"h\":"
--- a/internal/control/replication/heartbeat.go
+++ b/internal/control/replication/heartbeat.go
@@ -100,7 +100,7 @@
 	}
 	warmUpLeft, _ := settings.ParseDuration(heartbeat.WarmUpLeft) // was checked when the heartbeat was parsed
 	if warmUpLeft > 0 {
-		backend.WarmAtMs = now.Add(warmUpLeft).UnixMilli()
+		backend.WarmUpEndMs = now.Add(warmUpLeft).UnixMilli()
 	}
 	return backend
 }
@@ -109,15 +109,15 @@
 // small shift of the end of its warm-up.
 func (b *Backend) differs(known *Backend) bool {
 	expected := *known
-	expected.WarmAtMs = b.WarmAtMs
+	expected.WarmUpEndMs = b.WarmUpEndMs
 	expected.HeartbeatMs = b.HeartbeatMs
-	return expected != *b || b.warmUpMoved(known.WarmAtMs)
+	return expected != *b || b.warmUpMoved(known.WarmUpEndMs)
 }
 
 func (b *Backend) warmUpMoved(knownWarmAtMs int64) bool {
 	tolerance := warmUpTolerance.Milliseconds()
-	if b.WarmAtMs == 0 { // it says that it is warm
+	if b.WarmUpEndMs == 0 { // it says that it is warm
 		return knownWarmAtMs > b.HeartbeatMs+tolerance
 	}
-	return max(b.WarmAtMs-knownWarmAtMs, knownWarmAtMs-b.WarmAtMs) > tolerance
+	return max(b.WarmUpEndMs-knownWarmAtMs, knownWarmAtMs-b.WarmUpEndMs) > tolerance
 }
--- a/internal/control/replication/item.go
+++ b/internal/control/replication/item.go
@@ -17,10 +17,10 @@
 
 // Prefixes of the keys of items, one for each kind.
 const (
-	BackendKey      = "app/"   // followed by the ID of a backend's incarnation; the body is a Backend
-	LeaseKey        = "lease/" // followed by node and role; the body is a Lease
-	ReleaseTallyKey = "trial/" // followed by service and reporter; the body is a ReleaseTally
-	RegisterKey     = "reg/"   // followed by the key of a register of the quorum; the body is its chosen value
+	BackendKeyPrefix      = "app/"   // followed by the ID of a backend's incarnation; the body is a Backend
+	LeaseKeyPrefix        = "lease/" // followed by node and role; the body is a Lease
+	ReleaseTallyKeyPrefix = "trial/" // followed by service and reporter; the body is a ReleaseTally
+	RegisterKeyPrefix     = "reg/"   // followed by the key of a register of the quorum; the body is its chosen value
 )
 
 // Supersedes reports whether an item prevails over another one with the same key.
@@ -29,7 +29,7 @@
 // Then a lease that is held prevails over one that has ended, and otherwise the greater body, so that all replicas
 // converge.
 func (it Item) Supersedes(other Item) bool {
-	if it.Version != other.Version || it.Body == other.Body || !strings.HasPrefix(it.Key, LeaseKey) {
+	if it.Version != other.Version || it.Body == other.Body || !strings.HasPrefix(it.Key, LeaseKeyPrefix) {
 		return it.Version > other.Version
 	}
 	lease, ok := ReadLease(it)
--- a/internal/control/replication/item_store.go
+++ b/internal/control/replication/item_store.go
@@ -31,7 +31,7 @@
 // while the items of a message are received. Otherwise the replica could not claim to have the item when it passes it
 // on.
 type ItemStore struct {
-	Source        string // the replica and its incarnation, in the form by which the version before this one pulls
+	LegacySource  string // the replica and its incarnation, in the form by which the version before this one pulls
 	Origin        string // the replica's name, a point and its incarnation: under this the store publishes
 	localSequence uint64
 	items         map[string]*storedItem // by key
@@ -42,7 +42,7 @@
 // what an earlier one has published and lost. Number 1 goes to no item: a vector that has it tells that its owner has
 // heard of the origin, even if it lacks nothing.
 func NewItemStore(source, origin string) *ItemStore {
-	return &ItemStore{Source: source, Origin: origin, items: map[string]*storedItem{}, vector: Vector{origin: 1}}
+	return &ItemStore{LegacySource: source, Origin: origin, items: map[string]*storedItem{}, vector: Vector{origin: 1}}
 }
 
 // LocalSequence returns the local sequence number of the item that was stored last.
--- a/internal/control/replication/lease.go
+++ b/internal/control/replication/lease.go
@@ -19,7 +19,7 @@
 // Item returns the lease as an item.
 func (l *Lease) Item(version uint64) Item {
 	body, _ := easyjson.Marshal(l) // strings and booleans always encode
-	return Item{Key: LeaseKey + l.Node + "/" + l.Role, Version: version, Body: string(body)}
+	return Item{Key: LeaseKeyPrefix + l.Node + "/" + l.Role, Version: version, Body: string(body)}
 }
 
 // ReadLease reads the body of a lease's item. ok is false if it can't be read; the lease is never nil.
--- a/internal/control/replication/member_table.go
+++ b/internal/control/replication/member_table.go
@@ -101,8 +101,8 @@
 // RecordHeartbeat records a heartbeat of a backend that was received here.
 func (m *MemberTable) RecordHeartbeat(id string, now time.Time) { m.lastHeartbeat[id] = now }
 
-// ForgetBackend stops waiting for the heartbeats of a backend: it sends them elsewhere, or has left.
-func (m *MemberTable) ForgetBackend(id string) { delete(m.lastHeartbeat, id) }
+// StopTrackingBackend stops waiting for the heartbeats of a backend: it sends them elsewhere, or has left.
+func (m *MemberTable) StopTrackingBackend(id string) { delete(m.lastHeartbeat, id) }
 
 // ExpireBackends removes the backends that have sent no heartbeat here for longer than a time-out, and returns their
 // IDs, sorted.
--- a/internal/control/replication/release_tally_easyjson.go
+++ b/internal/control/replication/release_tally_easyjson.go
@@ -75,7 +75,7 @@
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(out.Payoffs)[v2] = float64(in.Float64())
+							(out.Rewards)[v2] = float64(in.Float64())
 						}
 						v2++
 					} else {
@@ -185,11 +185,11 @@
 		const prefix string = ",\"p\":"
 		out.RawString(prefix)
 		out.RawByte('[')
-		for v6 := range in.Payoffs {
+		for v6 := range in.Rewards {
 			if v6 > 0 {
 				out.RawByte(',')
 			}
-			out.Float64(float64((in.Payoffs)[v6]))
+			out.Float64(float64((in.Rewards)[v6]))
 		}
 		out.RawByte(']')
 	}
--- a/internal/control/routing/capacity.go
+++ b/internal/control/routing/capacity.go
@@ -25,7 +25,7 @@
 			Slots:   backend.Capacity,
 			Serving: isServing(table, id, backend),
 		}
-		if service := table.Services[backend.Service]; service != nil && backend.WarmAtMs > now.UnixMilli() {
+		if service := table.Services[backend.Service]; service != nil && backend.WarmUpEndMs > now.UnixMilli() {
 			capacity.WarmUpRate = service.WarmUpRate
 		}
 		capacities = append(capacities, capacity)
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -71,5 +71,5 @@
 func (s *Server) awaitBackend(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return s.awaitReplication(ctx, replication.BackendKey+id)
+	return s.awaitReplication(ctx, replication.BackendKeyPrefix+id)
 }
--- a/internal/control/server/pull.go
+++ b/internal/control/server/pull.go
@@ -174,5 +174,5 @@
 func (s *Server) awaitPropagation(ctx context.Context, register string) {
 	ctx, cancel := context.WithTimeout(ctx, replica.RemovalReplicationWait)
 	defer cancel()
-	_ = s.awaitReplication(ctx, replication.RegisterKey+register) // see above: late members change nothing
+	_ = s.awaitReplication(ctx, replication.RegisterKeyPrefix+register) // see above: late members change nothing
 }
--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -98,7 +98,7 @@
 // holds s.mu. No key ever goes back to an older version.
 func (s *subscription) mergeConfiguration(items []replication.Item) (changed bool) {
 	for _, item := range items {
-		if !strings.HasPrefix(item.Key, replication.RegisterKey) {
+		if !strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) {
 			continue
 		}
 		entry := quorum.Entry{}
@@ -118,13 +118,13 @@
 func (s *subscription) applyItems(response *message.PullResponse, now time.Time) (backends map[string]bool) {
 	backends = map[string]bool{}
 	for _, item := range response.Items {
-		if id, ok := strings.CutPrefix(item.Key, replication.BackendKey); ok {
+		if id, ok := strings.CutPrefix(item.Key, replication.BackendKeyPrefix); ok {
 			if backend, ok := replication.ReadBackend(item); ok {
 				toLocalTime(backend, response, now)
 				s.proxy.balancer.UpdateBackend(id, item.Version, backend, now)
 				backends[id] = true
 			}
-		} else if key, ok := strings.CutPrefix(item.Key, replication.ReleaseTallyKey); ok {
+		} else if key, ok := strings.CutPrefix(item.Key, replication.ReleaseTallyKeyPrefix); ok {
 			if tally, ok := replication.ReadReleaseTally(item); ok {
 				s.proxy.balancer.UpdateTally(key, tally)
 			}
@@ -140,8 +140,8 @@
 	}
 	offset := now.UnixMilli() - response.NowMs
 	backend.HeartbeatMs += offset
-	if backend.WarmAtMs != 0 {
-		backend.WarmAtMs += offset
+	if backend.WarmUpEndMs != 0 {
+		backend.WarmUpEndMs += offset
 	}
 }
 
--- a/internal/proxy/balancer/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -165,7 +165,7 @@
 		reward = 1
 	}
 	c.tally.Attempts[arm]++
-	c.tally.Payoffs[arm] += reward
+	c.tally.Rewards[arm] += reward
 	if arm == canaryArm && c.underLoad(now) {
 		c.tally.SingleBackend[0]++
 		c.tally.SingleBackend[1] += reward
@@ -191,5 +191,5 @@
 	if arm == stableArm {
 		pulls = tally.ServiceRequests - tally.NewBuildRequests
 	}
-	return bestarm.Arm{Pulls: max(0, pulls), Observations: tally.Attempts[arm], Reward: tally.Payoffs[arm]}
+	return bestarm.Arm{Pulls: max(0, pulls), Observations: tally.Attempts[arm], Reward: tally.Rewards[arm]}
 }
--- a/internal/proxy/balancer/warmup.go
+++ b/internal/proxy/balancer/warmup.go
@@ -12,13 +12,13 @@
 // updateWarmUp applies the end of the warm-up that the backend reports. A report that it is already warm counts only if
 // it is newer than the last refused connection, after which the backend may have restarted.
 func (b *Backend) updateWarmUp(update *replication.Backend, now time.Time) {
-	warmAt := time.UnixMilli(update.WarmAtMs).Add(maxClockSkew)
-	if update.WarmAtMs != 0 && warmAt.After(now) {
+	warmAt := time.UnixMilli(update.WarmUpEndMs).Add(maxClockSkew)
+	if update.WarmUpEndMs != 0 && warmAt.After(now) {
 		b.extendWarmUp(warmAt, now)
 		return
 	}
 	heartbeatAt := time.UnixMilli(update.HeartbeatMs).Add(-maxClockSkew)
-	if update.WarmAtMs == 0 && update.Phase == replication.PhaseReady && b.health.refusedAt.Before(heartbeatAt) {
+	if update.WarmUpEndMs == 0 && update.Phase == replication.PhaseReady && b.health.refusedAt.Before(heartbeatAt) {
 		b.warmingUntil = time.Time{}
 	}
 }
--- a/internal/testbed/hollow/proxy.go
+++ b/internal/testbed/hollow/proxy.go
@@ -151,7 +151,7 @@
 	for _, item := range response.Items {
 		p.items.Add(1)
 		p.bodyBytes.Add(int64(len(item.Key) + len(item.Body)))
-		register, ok := strings.CutPrefix(item.Key, replication.RegisterKey)
+		register, ok := strings.CutPrefix(item.Key, replication.RegisterKeyPrefix)
 		if !ok {
 			continue
 		}
