--- a/internal/control/quorum/acceptor.go
+++ b/internal/control/quorum/acceptor.go
@@ -2,18 +2,18 @@
 
 import "sagelever/internal/control/rangesync"
 
-// Acceptor holds the registers of one member and answers the messages of proposers. It is not safe for concurrent use.
+// Acceptor holds the registers of one member and handles the messages of proposers. It is not safe for concurrent use.
 //
-// Every entry that a method reports as changed, and the minimum proposal number where a method reports a change of it,
-// must be on disk before the reply to the proposer is sent.
+// The caller must write to disk, before it replies to the proposer, every entry that a method reports as changed, and
+// the minimum proposal number if a method reports that it has changed.
 type Acceptor struct {
 	registers     map[string]*Entry
-	index         *rangesync.Index // of the registers in which a value has been accepted
+	index         *rangesync.Index // the registers in which a value has been accepted
 	minProposal   ProposalNumber   // lower proposal numbers are rejected on every register
 	highestNumber uint64           // the highest ProposalNumber.Number that has been observed
 }
 
-// NewAcceptor restores an acceptor from the entries and the minimum proposal number that were read from disk.
+// NewAcceptor restores an acceptor from the entries and the minimum proposal number read from disk.
 func NewAcceptor(entries []Entry, minProposal ProposalNumber) *Acceptor {
 	a := &Acceptor{
 		registers:     map[string]*Entry{},
@@ -29,11 +29,11 @@
 	return a
 }
 
-// Index returns the index by which other members compare their registers with those of this one (package rangesync).
-// It remains valid and is kept up to date by the acceptor.
+// Index returns the index by which other members compare their registers with those of this member (package
+// rangesync). The acceptor keeps it up to date.
 func (a *Acceptor) Index() *rangesync.Index { return a.index }
 
-// Get returns the entry of a register; one without promise and value if the register is unknown.
+// Get returns the entry of a register, or an entry with only the key if the register does not exist.
 func (a *Acceptor) Get(key string) Entry {
 	if e := a.registers[key]; e != nil {
 		return *e
@@ -76,8 +76,8 @@
 }
 
 // Prepare handles a prepare message (phase 1a) for a set of registers. It promises to reject proposals below the given
-// one and returns what has been accepted in the registers so far. If any of the registers is already promised to a
-// higher proposal, it promises nothing and returns that proposal number as rejectedBy, which is zero otherwise.
+// one and returns the entries of the registers. If any of the registers is already promised to a higher proposal,
+// Prepare promises nothing and returns that proposal number as rejectedBy, which is zero otherwise.
 func (a *Acceptor) Prepare(
 	proposal ProposalNumber, keys []string,
 ) (accepted, changed []Entry, rejectedBy ProposalNumber) {
@@ -96,8 +96,9 @@
 	return accepted, changed, ProposalNumber{}
 }
 
-// Accept handles an accept message (phase 2a): it accepts either all of the values or, if one of their registers is
-// promised to a higher proposal, none. It then returns that proposal number as rejectedBy, which is zero otherwise.
+// Accept handles an accept message (phase 2a). It accepts all of the values or, if any of their registers is promised
+// to a higher proposal, none of them. In that case it returns the higher proposal number as rejectedBy, which is zero
+// otherwise.
 func (a *Acceptor) Accept(proposal ProposalNumber, values []Entry) (changed []Entry, rejectedBy ProposalNumber) {
 	a.Observe(proposal)
 	for _, v := range values {
@@ -107,8 +108,8 @@
 	}
 	for _, v := range values {
 		register := a.register(v.Key)
-		// A value that is known to be chosen stays so when a later proposal writes the same value again. Otherwise
-		// members that complete the same round would keep clearing one another's Chosen mark.
+		// Chosen is kept when a later proposal writes the same value again. Otherwise, members that complete the same
+		// round would repeatedly clear the flag that the others have set.
 		chosen := register.Chosen && register.Value == v.Value
 		*register = Entry{Key: v.Key, Promised: proposal, Accepted: proposal, Value: v.Value, Chosen: chosen}
 		a.updateIndex(*register)
@@ -117,10 +118,10 @@
 	return changed, ProposalNumber{}
 }
 
-// Confirm handles the request to accept again what was accepted under a proposal number. It holds for the registers
-// whose last accepted proposal this is and that are promised to no higher one: these count as if the accept message had
-// come once more, and their entries must be on disk before the reply is sent. changed are those whose promise has
-// risen. unconfirmed are the positions of the other keys.
+// Confirm handles a request to confirm the values that were accepted under a proposal number. It confirms a register
+// if the proposal is the last one accepted in it and the register is not promised to a higher one. Confirming has the
+// effect of a repeated accept message: the entry must be on disk before the reply is sent. Confirm returns the entries
+// whose promise it has raised, and the positions in keys of the registers that it does not confirm.
 func (a *Acceptor) Confirm(proposal ProposalNumber, keys []string) (changed []Entry, unconfirmed []int) {
 	a.Observe(proposal)
 	for i, key := range keys {
@@ -129,7 +130,7 @@
 			unconfirmed = append(unconfirmed, i)
 			continue
 		}
-		// The value may have come from another member by Learn, without a promise.
+		// A value stored by Learn comes without a promise.
 		if register.Promised != proposal {
 			register.Promised = proposal
 			changed = append(changed, *register)
@@ -138,8 +139,8 @@
 	return changed, unconfirmed
 }
 
-// Learn merges entries of another member: chosen values, or whatever it has accepted while this member catches up. A
-// value that was accepted here under a higher proposal number is kept, and so are all promises. It returns the entries
+// Learn merges entries of another member: chosen values or, while this member catches up, all values that the other
+// has accepted. It keeps all promises, and values accepted here under a higher proposal number. It returns the entries
 // that have changed.
 func (a *Acceptor) Learn(entries []Entry) (changed []Entry) {
 	for _, learned := range entries {
@@ -147,7 +148,7 @@
 		a.Observe(learned.Accepted)
 		switch {
 		case register.Accepted.Less(learned.Accepted):
-			// Chosen first: it depends on the value that is replaced.
+			// Chosen is set first because it depends on the value being replaced.
 			register.Chosen = learned.Chosen || register.Chosen && register.Value == learned.Value
 			register.Accepted = learned.Accepted
 			register.Value = learned.Value
@@ -162,11 +163,12 @@
 	return changed
 }
 
-// RaiseMinProposal makes the acceptor reject all proposals below the given one, and reports whether this is a change.
+// RaiseMinProposal makes the acceptor reject all proposals below the given one. It reports whether the minimum proposal
+// number has changed.
 //
-// A member that lost its disk has forgotten its promises. Before it counts in a quorum again, it asks f+1 others for
-// this and does the same itself. At least f+2 of the n members then reject every earlier proposal, so that none can
-// reach the accept quorum of n-f any more.
+// A member that lost its disk has lost its promises. Before it counts in a quorum again, it has f+1 other members raise
+// their minimum proposal number, and raises its own. At least f+2 of the n members then reject every earlier proposal,
+// so that no earlier proposal can still reach the accept quorum of n-f.
 func (a *Acceptor) RaiseMinProposal(proposal ProposalNumber) (changed bool) {
 	a.Observe(proposal)
 	if !a.minProposal.Less(proposal) {
@@ -176,7 +178,7 @@
 	return true
 }
 
-// register returns the entry of a register, which is created if it is unknown.
+// register returns the entry of a register, and creates it if it does not exist.
 func (a *Acceptor) register(key string) *Entry {
 	e := a.registers[key]
 	if e == nil {
@@ -194,7 +196,7 @@
 	return a.minProposal
 }
 
-// updateIndex brings the index up to date with an entry.
+// updateIndex sets the fingerprint of an entry in the index, unless no value has been accepted in its register.
 func (a *Acceptor) updateIndex(e Entry) {
 	if e.Accepted == (ProposalNumber{}) {
 		return
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/quorum/quorum.go
@@ -2,20 +2,20 @@
 // Lamport 2001) run independently for each named register, with the flexible quorums of Howard, Malkhi and Spiegelman
 // ("Flexible Paxos", 2016). Any member may propose; there is no leader and no replicated log.
 //
-// The package is a pure state machine. The caller passes messages in, persists the entries that are reported as changed
-// before it sends the reply, and does all other input and output.
+// The package is a pure state machine without input or output. The caller passes messages in, and persists the entries
+// that are reported as changed before it sends the reply.
 //
-// Quorums. A group has n members, of which f may lose their disks at the same time.
+// Quorums. A group has n members, of which up to f may lose their disks at the same time.
 //
 //   - A value is chosen once n-f members have it on disk (the accept quorum, phase 2).
 //   - A round reads from f+1 members (the prepare quorum, phase 1).
 //
-// The two quorums intersect because (n-f) + (f+1) > n. A member that lost its disk belongs to neither quorum until it
-// has recovered: it must first catch up from f+1 others and have them reject the proposals that were in progress before
-// the loss (see Acceptor.RaiseMinProposal).
+// The two quorums intersect because (n-f) + (f+1) > n. A member that lost its disk counts in neither quorum until it
+// has recovered: it must first copy the accepted values of f+1 other members and have them reject the proposals that
+// were in progress before the loss (see Acceptor.RaiseMinProposal).
 //
-// Epochs. A proposal number starts with the epoch of the configuration of members in which it was made (package
-// membership), so that every proposal of an epoch is ordered before those of the next epoch.
+// Epochs. A proposal number begins with the epoch of the membership configuration in which it was made (package
+// membership), so that every proposal of an epoch is ordered before all proposals of the next epoch.
 package quorum
 
 import (
@@ -27,10 +27,10 @@
 
 // ProposalNumber identifies and totally orders proposals. The zero value is ordered before all others.
 type ProposalNumber struct {
-	// Epoch is the epoch of the configuration of members that decides the proposal. It is compared first, so that a
-	// promise or an accepted value of an earlier configuration never prevails over a later one.
+	// Epoch is the epoch of the membership configuration in which the proposal is made. It is compared first, so that
+	// a promise or an accepted value of an earlier configuration never takes precedence over a later one.
 	Epoch uint64 `json:"e,omitempty"`
-	// Number grows with each proposal that a member makes or observes.
+	// Number is greater than that of every proposal that the proposer had made or observed before.
 	Number uint64 `json:"n"`
 	// Proposer is the name of the proposing member. It breaks ties between members that use the same number.
 	Proposer string `json:"w,omitempty"`
@@ -47,14 +47,14 @@
 	return a.Proposer < b.Proposer
 }
 
-// Value is the content of a register. Its version is assigned by the writer and never decreases. Under one version
-// Deleted and Body never change, whereas Annotation may.
+// Value is the content of a register. The writer assigns the version, which never decreases. While the version stays
+// the same, Deleted and Body do not change, but Annotation may.
 type Value struct {
 	Version uint64 `json:"v"`
 	// Deleted marks the value as a tombstone.
 	Deleted bool   `json:"g,omitempty"`
 	Body    string `json:"b,omitempty"`
-	// Annotation belongs to the writer and is replicated unchanged. Writers use it to recognize a repeated request.
+	// Annotation is set by the writer and replicated unchanged. Writers use it to recognize repeated requests.
 	Annotation string `json:"n,omitempty"`
 }
 
@@ -63,12 +63,12 @@
 //easyjson:json
 type Entry struct {
 	Key string `json:"k"`
-	// Promised is the highest proposal number that the member has promised to; it rejects lower ones.
+	// Promised is the highest proposal number to which the member has made a promise; it rejects lower ones.
 	Promised ProposalNumber `json:"p"`
-	// Accepted is the proposal number under which Value was accepted; zero if nothing has been accepted.
+	// Accepted is the proposal number under which Value was accepted, or zero if no value has been accepted.
 	Accepted ProposalNumber `json:"a"`
 	Value    Value          `json:"x"`
-	// Chosen is set when the member knows that Value has been chosen, under Accepted or an earlier proposal number.
+	// Chosen is set if Value is known to have been chosen, under Accepted or an earlier proposal number.
 	Chosen bool `json:"c,omitempty"`
 }
 
@@ -79,7 +79,7 @@
 // from the result keeps its value. It must be deterministic.
 type DecideFunc func(current map[string]Value) map[string]Value
 
-// UpdateEach returns the keys, in order, and the DecideFunc of a round that updates each register independently.
+// UpdateEach returns the sorted keys and the DecideFunc of a round that updates each register independently.
 func UpdateEach(updates map[string]UpdateFunc) (keys []string, decide DecideFunc) {
 	decide = func(current map[string]Value) map[string]Value {
 		updated := make(map[string]Value, len(updates))
--- a/internal/control/quorum/round.go
+++ b/internal/control/quorum/round.go
@@ -1,8 +1,9 @@
 package quorum
 
 // Round is the proposer's side of one proposal for a set of registers. The caller sends a prepare message to the
-// members and passes their promises in; once HandlePromise returns values, it sends these in accept messages and passes
-// the replies in until HandleAccepted reports that the values are chosen. It is not safe for concurrent use.
+// members and passes their promises to HandlePromise. Once that returns values, the caller sends these in accept
+// messages and passes the replies to HandleAccepted until it reports that the values are chosen. A Round is not safe
+// for concurrent use.
 type Round struct {
 	Proposal         ProposalNumber
 	prepareQuorum    int
@@ -10,13 +11,13 @@
 	keys             []string
 	decide           DecideFunc
 	promisedBy       map[string]bool  // names of the members that have promised
-	acceptedBy       map[string]bool  // names of the members that have accepted
-	highestAccepted  map[string]Entry // by key: the entry with the highest accepted proposal among the promises
+	acceptedBy       map[string]bool  // names of the members that have accepted the values
+	highestAccepted  map[string]Entry // by key: the entry with the highest Accepted among the promises
 	values           []Entry          // proposed in phase 2; nil until the prepare quorum is reached
 	highestRejection ProposalNumber
 }
 
-// NewRound begins a round among a number of members, of which at most maxFailures may lose their disks.
+// NewRound begins a round among the given number of members, of which at most maxFailures may lose their disks.
 func NewRound(proposal ProposalNumber, members, maxFailures int, keys []string, decide DecideFunc) *Round {
 	return &Round{
 		Proposal:        proposal,
@@ -33,8 +34,8 @@
 // Keys returns the keys of the registers of the round.
 func (r *Round) Keys() []string { return r.keys }
 
-// HandlePromise handles the promise of a member (phase 1b) and what it has accepted so far. On the promise that
-// completes the prepare quorum it returns the values to be sent in accept messages, and nil otherwise. Repeated
+// HandlePromise handles the promise of a member (phase 1b), which comes with the member's entries. On the promise that
+// completes the prepare quorum it returns the values to be sent in accept messages; otherwise it returns nil. Repeated
 // promises of one member are ignored.
 func (r *Round) HandlePromise(member string, accepted []Entry) (values []Entry) {
 	if r.promisedBy[member] || r.values != nil {
@@ -53,8 +54,8 @@
 	return r.values
 }
 
-// chooseValues returns the values that the round proposes. A register that the DecideFunc leaves out is proposed with
-// its current value, as the value may have been accepted without being chosen yet.
+// chooseValues returns the values that the round proposes. For a register that the DecideFunc leaves out, it proposes
+// the current value, which may have been accepted without having been chosen.
 func (r *Round) chooseValues() []Entry {
 	current := make(map[string]Value, len(r.keys))
 	for _, key := range r.keys {
@@ -66,7 +67,7 @@
 		value, updated := decided[key]
 		if !updated {
 			if r.highestAccepted[key].Accepted == (ProposalNumber{}) {
-				continue // no value to complete; the promises already prevent earlier proposals from being chosen
+				continue // no value to propose; the promises already prevent earlier proposals from being chosen
 			}
 			value = current[key]
 		}
@@ -75,15 +76,15 @@
 	return values
 }
 
-// HandleAccepted handles the confirmation of a member that it has the values on disk (phase 2b), and reports whether
-// they are chosen.
+// HandleAccepted handles a member's reply that it has accepted the values and has them on disk (phase 2b). It reports
+// whether the values are chosen.
 func (r *Round) HandleAccepted(member string) (chosen bool) {
 	r.acceptedBy[member] = true
 	return len(r.acceptedBy) >= r.acceptQuorum
 }
 
-// CannotSucceed reports whether the current phase can no longer reach its quorum when only the given number of replies
-// is still outstanding.
+// CannotSucceed reports whether the current phase can no longer reach its quorum, given the number of outstanding
+// replies.
 func (r *Round) CannotSucceed(outstanding int) bool {
 	if r.values == nil {
 		return len(r.promisedBy)+outstanding < r.prepareQuorum
@@ -91,18 +92,18 @@
 	return len(r.acceptedBy)+outstanding < r.acceptQuorum
 }
 
-// HandleRejection handles the rejection of a member, with the higher proposal number that the member has promised to.
+// HandleRejection handles the rejection of a member, which contains the higher proposal number that it has promised.
 func (r *Round) HandleRejection(promised ProposalNumber) {
 	if r.highestRejection.Less(promised) {
 		r.highestRejection = promised
 	}
 }
 
-// HighestRejection returns the highest proposal number in favour of which the round was rejected; zero if it was not.
+// HighestRejection returns the highest proposal number passed to HandleRejection, or zero if there was no rejection.
 func (r *Round) HighestRejection() ProposalNumber { return r.highestRejection }
 
-// ChosenEntries returns the proposed values marked as chosen, to be learned by all members. It is only meaningful after
-// HandleAccepted has reported that the values are chosen.
+// ChosenEntries returns the proposed values with Chosen set, for Acceptor.Learn on all members. It must only be called
+// after HandleAccepted has reported that the values are chosen.
 func (r *Round) ChosenEntries() []Entry {
 	entries := make([]Entry, len(r.values))
 	for i, entry := range r.values {
