--- a/internal/control/membership/configuration.go
+++ b/internal/control/membership/configuration.go
@@ -1,11 +1,12 @@
-// Package membership decides which members form the control group: the configuration of an epoch, its quorums, and
-// which configuration follows it.
+// Package membership determines which members form the control group: the configuration of each epoch, its quorums, and
+// the configuration that follows it.
 //
-// A configuration is itself the value of a quorum register (RegisterKey) whose version is the epoch. The next one is
-// chosen by a round among the members of the epoch before (package replica), so that neither a log nor a leader is
-// needed. The argument that the quorums intersect across epochs is in docs/control-hardening.md.
+// A configuration is stored as the value of a quorum register (RegisterKey); the version of the value is the epoch. The
+// members of one epoch choose the configuration of the next epoch by a round of package quorum (run by package
+// replica), so that neither a log nor a leader is needed. docs/control-hardening.md shows that the quorums intersect
+// across epochs.
 //
-// The package is pure: the caller passes in what is known of members and candidates.
+// The package does no input or output: the caller passes in the state of members and candidates.
 package membership
 
 import (
@@ -23,18 +24,18 @@
 // RegisterKey is the key of the quorum register that holds the configuration.
 const RegisterKey = "members"
 
-// Member is a controller with one particular disk. The same node with another disk is a different member, because it
-// does not know what it promised while it had the first one.
+// Member is a controller with one particular disk. The same node with another disk is a different member, because the
+// promises that it made are stored on the first disk.
 type Member struct {
 	Node string `json:"n"`
 	Zone string `json:"z"`
-	// Addr is the host:port at which its peers call it.
+	// Addr is the host:port at which its peers connect to it.
 	Addr string `json:"a"`
-	// DiskID is a random identity that was written to the disk on its first use.
+	// DiskID is a random ID that is written to the disk on its first use.
 	DiskID string `json:"d,omitempty"`
 }
 
-// SameReplica reports whether both are the same node with the same disk. Zone and address may differ.
+// SameReplica reports whether both members are the same node with the same disk. Zone and address may differ.
 func (m Member) SameReplica(other Member) bool {
 	return m.Node == other.Node && m.DiskID == other.DiskID
 }
@@ -50,13 +51,13 @@
 	MaxFailures int `json:"f"`
 	// Members is ordered by node name.
 	Members []Member `json:"m"`
-	// Previous is the members of the epoch before, from which this one takes over the registers.
+	// Previous holds the members of the previous epoch, from which this epoch takes over the registers.
 	Previous []Member `json:"p,omitempty"`
-	// PreviousMaxFailures is MaxFailures of the epoch before.
+	// PreviousMaxFailures is MaxFailures of the previous epoch.
 	PreviousMaxFailures int `json:"q,omitempty"`
 }
 
-// NewConfiguration returns the configuration of an epoch. MaxFailures is reduced if the members are too few for it.
+// NewConfiguration returns the configuration of an epoch. It reduces MaxFailures if there are too few members for it.
 func NewConfiguration(epoch uint64, members []Member, maxFailures int) Configuration {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Node, b.Node) })
@@ -64,7 +65,7 @@
 	return Configuration{Epoch: epoch, MaxFailures: min(maxFailures, tolerable), Members: members}
 }
 
-// Successor returns a configuration of the next epoch, which takes over from this one.
+// Successor returns a configuration of the next epoch, which takes over the registers from this one.
 func (c Configuration) Successor(members []Member, maxFailures int) Configuration {
 	next := NewConfiguration(c.Epoch+1, members, maxFailures)
 	next.Previous = c.Members
@@ -81,19 +82,20 @@
 	return c.Members[i], true
 }
 
-// Contains reports whether a replica, with its present disk, is a member.
+// Contains reports whether a replica is a member with the same disk.
 func (c Configuration) Contains(m Member) bool { return slices.ContainsFunc(c.Members, m.SameReplica) }
 
 // IsMajority reports whether the given number of members is more than half of the configuration.
 func (c Configuration) IsMajority(members int) bool { return 2*members > len(c.Members) }
 
-// TakeoverQuorum returns how many members of the epoch before must report their registers before a member of this epoch
-// may serve: one more than the number that may lack a chosen value.
+// TakeoverQuorum returns how many members of the previous epoch must report their registers before a member of this
+// epoch may serve: one more than the number of members that may lack a chosen value.
 func (c Configuration) TakeoverQuorum() int { return c.PreviousMaxFailures + 1 }
 
-// GenerationQuorum returns how many other members must confirm the generation of a restarted member, so that the
-// members asked intersect those that know its last generation. It is smaller in configurations that could not reach it
-// with MaxFailures members gone; there, a member with an outdated disk may go undetected.
+// GenerationQuorum returns how many other members must confirm the generation of a restarted member. A majority of them
+// includes at least one that has recorded the member's last generation. The quorum is smaller in configurations that
+// could not reach a majority with MaxFailures members unavailable; there, a member with an outdated disk may remain
+// undetected.
 func (c Configuration) GenerationQuorum() int {
 	others := len(c.Members) - 1
 	majority := others/2 + 1
@@ -106,7 +108,8 @@
 	return quorum.Value{Version: c.Epoch, Body: string(body)}
 }
 
-// ErrInvalidConfiguration is returned by ParseConfiguration for a value without members or of another epoch.
+// ErrInvalidConfiguration is returned by ParseConfiguration if the configuration has no members, or if its epoch is not
+// the version of the value.
 var ErrInvalidConfiguration = errors.New("invalid membership configuration")
 
 // ParseConfiguration decodes a configuration from the value of its register.
@@ -121,8 +124,8 @@
 	return configuration, nil
 }
 
-// ReplaceWith returns the update that replaces this configuration with its successor, unless the register already holds
-// a later one.
+// ReplaceWith returns the update that replaces this configuration with a successor, unless the register already holds
+// a configuration of a later epoch.
 func (c Configuration) ReplaceWith(next Configuration) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		if current.Version > c.Epoch {
--- a/internal/control/membership/reconfigure.go
+++ b/internal/control/membership/reconfigure.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// minMembers is the size below which removeUnreachable never reduces a configuration.
+// minMembers is the smallest size to which removeUnreachable reduces a configuration.
 const minMembers = 3
 
-// MemberStatus is what the deciding member knows about a member of the configuration.
+// MemberStatus is the state of a member of the configuration as observed by the member that decides.
 type MemberStatus struct {
 	Member
-	// SinceLastHeartbeat is zero while the member is reachable.
+	// SinceLastHeartbeat is the time since the last heartbeat, or zero while the member is reachable.
 	SinceLastHeartbeat time.Duration
 	// Leaving is set once the member has announced its shutdown.
 	Leaving bool
 }
 
-// Candidate is a replica that is not a member and asks to become one.
+// Candidate is a replica that is not a member and requests to become one.
 type Candidate struct {
 	Member
-	// CaughtUp is set when the replica has everything that an active member had at the time of its request.
+	// CaughtUp is set if the replica has all values that an active member had at the time of the request.
 	CaughtUp bool
 }
 
-// Target is the size of the control group that the operator asks for.
+// Target is the size of the control group as set by the operator.
 type Target struct {
 	MembersPerZone int
 	Zones          int
@@ -36,15 +36,15 @@
 // Size returns the number of members that the group should have.
 func (t Target) Size() int { return t.MembersPerZone * t.Zones }
 
-// Timeouts are the times without a heartbeat after which a member is given up.
+// Timeouts are the durations without a heartbeat after which a member is replaced or removed.
 type Timeouts struct {
-	// ReplaceAfter applies if a candidate in the same zone has caught up.
+	// ReplaceAfter applies if there is a candidate in the same zone that has caught up.
 	ReplaceAfter time.Duration
 	// RemoveAfter applies if there is no such candidate.
 	RemoveAfter time.Duration
 }
 
-// Reason says why a configuration follows another; it is meant for logs.
+// Reason is the reason for a change of configuration, for logs.
 type Reason string
 
 // The reasons for a change of configuration.
@@ -59,8 +59,8 @@
 )
 
 // Next returns the configuration that should follow the current one, if any. It replaces, adds or removes one member at
-// a time. An unreachable or leaving member stays until its replacement has caught up, so that a restart alone never
-// changes the configuration.
+// a time. An unreachable or leaving member is not replaced until a candidate for its place has caught up, so that a
+// restart alone never changes the configuration.
 func Next(
 	current Configuration, target Target, timeouts Timeouts, members []MemberStatus, candidates []Candidate,
 ) (Configuration, Reason, bool) {
@@ -76,7 +76,7 @@
 	return r.removeUnreachable()
 }
 
-// reconfiguration is the input of one decision about the next configuration.
+// reconfiguration is the input to one decision about the next configuration, apart from the candidates.
 type reconfiguration struct {
 	current  Configuration
 	target   Target
@@ -84,7 +84,7 @@
 	members  []MemberStatus
 }
 
-// place returns the configuration in which the candidate is a member; reasonNone if there is no place for it.
+// place returns a configuration that has the candidate as a member, or reasonNone if there is no place for it.
 func (r *reconfiguration) place(candidate Member) (Configuration, Reason) {
 	if _, sameNode := r.current.Find(candidate.Node); sameNode {
 		return r.replace(candidate.Node, candidate), ReasonDiskReplaced
@@ -106,15 +106,15 @@
 	return Configuration{}, reasonNone
 }
 
-// replace exchanges a member for the candidate in one step. Adding the candidate first would raise the accept quorum by
-// one while the replaced member cannot contribute to it.
+// replace returns the configuration in which the candidate takes the place of a member. It does so in one step because
+// adding the candidate first would raise the accept quorum by one while the replaced member cannot contribute to it.
 func (r *reconfiguration) replace(node string, candidate Member) Configuration {
 	members := slices.DeleteFunc(slices.Clone(r.current.Members), func(m Member) bool { return m.Node == node })
 	return r.current.Successor(append(members, candidate), r.target.MaxFailures)
 }
 
-// removeUnreachable removes a member that has been unreachable for RemoveAfter, provided that the remaining members
-// tolerate as many failures as before.
+// removeUnreachable returns the configuration without a member that has been unreachable for RemoveAfter, if the
+// remaining members tolerate as many failures as before.
 func (r *reconfiguration) removeUnreachable() (Configuration, Reason, bool) {
 	remaining := len(r.current.Members) - 1
 	if remaining < minMembers || remaining < 2*r.current.MaxFailures+1 {
@@ -130,9 +130,10 @@
 	return Configuration{}, reasonNone, false
 }
 
-// Bootstrap returns the first configuration of a system, once enough candidates are present: one for each place of the
-// target or, after waiting, at least all but MaxFailures. It takes over from its own members.
-func Bootstrap(target Target, candidates []Candidate, waited bool) (Configuration, bool) {
+// Bootstrap returns the first configuration of a system if enough candidates are present: one for each place of the
+// target or, once the time to wait for all of them has expired, at least all but MaxFailures. The configuration takes
+// over the registers from its own members.
+func Bootstrap(target Target, candidates []Candidate, waitExpired bool) (Configuration, bool) {
 	var members []Member
 	membersPerZone := map[string]int{}
 	for _, c := range sortedByNode(candidates) {
@@ -143,7 +144,7 @@
 		members = append(members, c.Member)
 	}
 	required := target.Size()
-	if waited {
+	if waitExpired {
 		required -= target.MaxFailures
 	}
 	if len(members) < required {
@@ -151,12 +152,12 @@
 	}
 	configuration := NewConfiguration(1, members, target.MaxFailures)
 	configuration.Previous = configuration.Members
-	// Data of releases without configurations was confirmed by all but MaxFailures of the target's members.
+	// Releases without configurations stored each value on all but MaxFailures of the target's members.
 	configuration.PreviousMaxFailures = target.MaxFailures
 	return configuration, true
 }
 
-// sortedByNode returns a copy of the candidates ordered by node name, so that all members decide alike.
+// sortedByNode returns a copy of the candidates ordered by node name, so that all members make the same decision.
 func sortedByNode(candidates []Candidate) []Candidate {
 	byNode := func(a, b Candidate) int { return strings.Compare(a.Node, b.Node) }
 	return slices.SortedFunc(slices.Values(candidates), byNode)
