--- a/internal/control/rangesync/digest.go
+++ b/internal/control/rangesync/digest.go
@@ -22,7 +22,7 @@
 	digestTextBytes = 22 // of the unpadded base64 encoding
 )
 
-// Add returns the digest of two disjoint sets together.
+// Add returns the digest of the union of two disjoint sets.
 func (d Digest) Add(other Digest) Digest {
 	low, carry := bits.Add64(d.low, other.low, 0)
 	high, _ := bits.Add64(d.high, other.high, carry)
@@ -44,7 +44,7 @@
 	w.String(base64.RawURLEncoding.EncodeToString(raw[:]))
 }
 
-// UnmarshalEasyJSON reads what MarshalEasyJSON writes.
+// UnmarshalEasyJSON reads a digest in the format of MarshalEasyJSON.
 func (d *Digest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	text := l.String()
 	if !l.Ok() {
--- a/internal/control/rangesync/fingerprint.go
+++ b/internal/control/rangesync/fingerprint.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// Fingerprint identifies a key together with what a replica knows of its value. If the fingerprints of a key are equal
-// on two replicas, neither has anything to send to the other.
+// Fingerprint identifies a key together with the state of its value on a replica. If two replicas have equal
+// fingerprints for a key, neither needs to send its entry to the other.
 type Fingerprint struct {
 	digest Digest
 }
@@ -18,26 +18,27 @@
 	Proposer string
 }
 
-// RegisterState is what a replica knows of the value of a register.
+// RegisterState is the state of a register on a replica (see quorum.Entry).
 type RegisterState struct {
 	Chosen     bool
 	Version    uint64 // of the value
-	Annotation string // of the value; it may change under one version
+	Annotation string // of the value; it may change while the version stays the same
 	Accepted   ProposalNumber
 }
 
-// fingerprintBufferSize keeps the hash input of usual keys on the stack.
+// fingerprintBufferSize is the initial capacity of the hash input, in bytes; with keys of usual length, the input stays
+// on the stack.
 const fingerprintBufferSize = 128
 
-// First byte of a register's state in the hash input.
+// The first byte of a register's state in the hash input.
 const (
 	notChosenTag = 0
 	chosenTag    = 1
 )
 
 // NewFingerprint returns the fingerprint of a register. A chosen value is identified by its version and annotation,
-// under whichever proposal it was accepted; a value that is not known to be chosen is identified by its proposal
-// number.
+// regardless of the proposal under which it was accepted. A value that is not known to be chosen is identified by its
+// proposal number.
 func NewFingerprint(key string, state RegisterState) Fingerprint {
 	input := make([]byte, 0, fingerprintBufferSize)
 	input = binary.AppendUvarint(input, uint64(len(key)))
--- a/internal/control/rangesync/history.go
+++ b/internal/control/rangesync/history.go
@@ -1,10 +1,10 @@
 package rangesync
 
-// historyCapacity is how many changes an index remembers: what a restarted replica lacks after changes of hundreds of
-// items, or half a minute of a hundred changes a second. A full history takes about 400 kB.
+// historyCapacity is the number of changes that an index keeps. It covers what a replica misses during a restart:
+// changes of hundreds of items, or 100 changes per second for half a minute. A full history takes about 400 kB.
 const historyCapacity = 4096
 
-// history is the latest changes of an index, from which its earlier summaries can be computed.
+// history holds the latest changes of an index, from which its earlier summaries can be computed.
 type history struct {
 	entries []change // a ring buffer once it is full
 	oldest  int      // index of the oldest entry
@@ -17,7 +17,7 @@
 	after  Summary // of the key alone
 }
 
-// record appends a change, in place of the oldest one if the history is full.
+// record appends a change. If the history is full, the change replaces the oldest one.
 func (h *history) record(c change) {
 	switch {
 	case c.before == c.after:
@@ -29,7 +29,7 @@
 	}
 }
 
-// walkBackward visits the changes in a range, latest first, until visit returns false.
+// walkBackward visits the changes of keys in a range, latest first, until visit returns false.
 func (h *history) walkBackward(r Range, visit func(c change) (keepGoing bool)) {
 	for i := len(h.entries) - 1; i >= 0; i-- {
 		c := h.entries[(h.oldest+i)%len(h.entries)]
@@ -39,8 +39,8 @@
 	}
 }
 
-// keysChangedSince returns the keys in a range that have changed since its summary was the given one, latest change
-// first. The result is not known if the summary is not one of those that the history reaches back to.
+// keysChangedSince returns the keys in a range that have changed since the range had an earlier summary, latest change
+// first. known is false if the history does not reach back to that summary.
 func (x *Index) keysChangedSince(r Range, earlier Summary) (keys []string, known bool) {
 	current := x.Summary(r)
 	if current == earlier {
@@ -62,7 +62,7 @@
 	return keys, true
 }
 
-// recentlyChangedKeys returns at most limit keys of a range, latest change first.
+// recentlyChangedKeys returns at most limit keys of a range that have changed, latest change first.
 func (x *Index) recentlyChangedKeys(r Range, limit int) (keys []string) {
 	seen := map[string]bool{}
 	x.history.walkBackward(r, func(c change) bool {
--- a/internal/control/rangesync/index.go
+++ b/internal/control/rangesync/index.go
@@ -1,7 +1,7 @@
 package rangesync
 
-// Index is an ordered set of keys with their fingerprints, which can summarize any range of keys. Set, Remove and
-// Summary take time logarithmic in the number of keys. It is not safe for concurrent use.
+// Index is an ordered set of keys with their fingerprints that can summarize any range of keys. Set, Remove and Summary
+// take time logarithmic in the number of keys. An Index is not safe for concurrent use.
 type Index struct {
 	root    *node
 	history history
@@ -13,7 +13,7 @@
 // Len returns the number of keys.
 func (x *Index) Len() int { return x.root.summary.Count }
 
-// Set adds a key or changes its fingerprint. The key must be valid UTF-8, as it may be sent in messages.
+// Set adds a key or changes its fingerprint. The key must be valid UTF-8 because it may be sent in messages.
 func (x *Index) Set(key string, fingerprint Fingerprint) {
 	e := entry{key: key, digest: fingerprint.digest}
 	before := x.root.set(e)
@@ -26,8 +26,8 @@
 	x.root = &node{children: []*node{left, right}, summary: left.summary.add(right.summary)}
 }
 
-// Remove removes a key if it is present. It also clears the history of changes, which relies on the replica never
-// losing an entry.
+// Remove removes a key if it is present. It also clears the history, which is only valid as long as the replica never
+// loses an entry.
 func (x *Index) Remove(key string) {
 	x.root.remove(key)
 	x.history = history{}
@@ -38,14 +38,14 @@
 
 // Summary returns the summary of a range.
 func (x *Index) Summary(r Range) Summary {
-	upTo := x.root.summary
+	beforeEnd := x.root.summary
 	if r.To != "" {
-		upTo = x.root.summaryBefore(r.To)
+		beforeEnd = x.root.summaryBefore(r.To)
 	}
-	return upTo.sub(x.root.summaryBefore(r.From))
+	return beforeEnd.sub(x.root.summaryBefore(r.From))
 }
 
-// Keys returns the first keys of a range in order, at most limit.
+// Keys returns the first keys of a range in order, but not more than limit.
 func (x *Index) Keys(r Range, limit int) (keys []string) {
 	x.each(r, func(key string) bool {
 		if len(keys) == limit {
--- a/internal/control/rangesync/message_size.go
+++ b/internal/control/rangesync/message_size.go
@@ -11,12 +11,12 @@
 	quotesSize       = len(`""`)
 )
 
-// size returns an upper bound of the bytes that the query takes in a request.
+// size returns an upper bound of the size of the query in a request, in bytes.
 func (q RangeQuery) size() int {
 	return rangeQueryBytes + jsonStringSize(q.From) + jsonStringSize(q.To)
 }
 
-// jsonStringSize returns an upper bound of the bytes of a string in JSON.
+// jsonStringSize returns an upper bound of the size of a string in JSON, in bytes.
 func jsonStringSize(text string) int {
 	size := quotesSize
 	for i := range len(text) {
@@ -25,11 +25,11 @@
 	return size
 }
 
-// firstByteOfSeparators is the first byte in UTF-8 of U+2028 and U+2029, the only multi-byte characters that are
-// escaped.
+// firstByteOfSeparators is the first byte in UTF-8 of U+2028 and U+2029, the only multi-byte characters that the JSON
+// encoder escapes.
 const firstByteOfSeparators = 0xe2
 
-// jsonByteSize returns an upper bound of what one byte of a string contributes to its JSON.
+// jsonByteSize returns an upper bound of the size that one byte of a string takes in JSON, in bytes.
 func jsonByteSize(b byte) int {
 	switch {
 	case b < ' ', b == '<', b == '>', b == '&', b == '"', b == '\\', b == 0x7f, b == firstByteOfSeparators:
--- a/internal/control/rangesync/messages.go
+++ b/internal/control/rangesync/messages.go
@@ -4,7 +4,7 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// Request asks the responder in what some ranges differ.
+// Request asks the responder for the differences in some ranges.
 //
 //easyjson:json
 type Request struct {
@@ -15,33 +15,34 @@
 	Ranges []RangeQuery `json:"r"`
 }
 
-// RangeQuery is a range with the initiator's summary of it.
+// RangeQuery is a range with its summary on the initiator.
 type RangeQuery struct {
 	Range
 	Summary
-	// WantAll asks for all entries of the range without a comparison.
+	// WantAll requests all entries of the range without a comparison.
 	WantAll bool `json:"a,omitempty"`
 }
 
-// Response is the reply to a request, with which it shares Session and Number. If the message is full it covers only
-// the first ranges of the request; the initiator requests the others again.
+// Response is the reply to the request with the same Session and Number. If the message is full, the response covers
+// only the first ranges of the request; the initiator requests the others again.
 //
 //easyjson:json
 type Response struct {
 	Session uint64 `json:"s"`
 	Number  uint64 `json:"n"`
-	// Ranges are in the order of those of the request.
+	// Ranges are in the order of the ranges of the request.
 	Ranges []RangeResult `json:"r"`
-	// Keys are those whose entries are sent with the response. The caller adds the entries to the message in its own form.
+	// Keys are the keys of the entries to send with the response. The caller adds the entries to the message in its own
+	// encoding.
 	Keys []string `json:"-"`
 }
 
-// RangeResult is the reply for one range. Its zero value completes the range: either both sides have the same entries,
-// or all entries of the responder are sent with the response.
+// RangeResult is the reply for one range. Its zero value completes the range: both sides have the same entries, or all
+// entries of the responder that the initiator may lack are sent with the response.
 type RangeResult struct {
 	// Truncated is set if only some of the changed entries are sent; the range must be requested again.
 	Truncated bool `json:"a,omitempty"`
-	// ResumeFrom is set if only the entries before this key are sent; the rest of the range must be requested.
+	// ResumeFrom is set if only the entries before this key are sent; the range from this key on must be requested.
 	ResumeFrom string `json:"m,omitempty"`
 	// SplitKeys are the keys at which the range is split: n keys yield n+1 parts.
 	SplitKeys   []string `json:"b,omitempty"`
@@ -49,15 +50,16 @@
 	PartDigests []Digest `json:"d,omitempty"`
 }
 
-// Limits bound the size of messages and set when entries are sent instead of compared further.
+// Limits bound the size of messages and determine when entries are sent without comparing further.
 type Limits struct {
-	// MaxMessageBytes bounds a request, and a response with its entries. A single larger entry is sent alone.
+	// MaxMessageBytes bounds the size of a request, and that of a response with its entries. A larger entry is sent in a
+	// response of its own.
 	MaxMessageBytes int
-	// MaxRanges bounds the ranges of a request.
+	// MaxRanges bounds the number of ranges in a request.
 	MaxRanges int
 	// SplitParts is the number of parts into which a range is split.
 	SplitParts int
-	// SendThreshold is the count up to which all entries of a range are sent instead of splitting it.
+	// SendThreshold is the largest count of a range whose entries are all sent instead of splitting it.
 	SendThreshold int
 	// FillThreshold is the same for ranges in which the initiator has no entries.
 	FillThreshold int
@@ -65,7 +67,7 @@
 	RecentKeys int
 }
 
-// DefaultLimits were chosen by the measurements in docs/rangesync.md.
+// DefaultLimits are the limits of the control group. docs/rangesync.md compares their cost with that of other limits.
 var DefaultLimits = Limits{
 	MaxMessageBytes: 256 << 10,
 	MaxRanges:       256,
@@ -75,7 +77,7 @@
 	RecentKeys:      16,
 }
 
-// ErrMalformed is returned for a message that no correct peer sends.
+// ErrMalformed is returned for a message that a correct peer never sends.
 var ErrMalformed = errors.New("malformed range synchronization message")
 
 // valid reports whether a correct initiator may have sent the request.
--- a/internal/control/rangesync/node.go
+++ b/internal/control/rangesync/node.go
@@ -15,8 +15,8 @@
 //
 // Invariant: summary is the summary of all entries below the node.
 type node struct {
-	// minKey separates the node from its left neighbour: every key of the neighbour is smaller, and no key below the node
-	// is. It is not used in the first child of a node.
+	// minKey separates the node from its left neighbour: every key below the neighbour is less than minKey, and no key
+	// below this node is. It is not used in the first child of a node.
 	minKey   string
 	summary  Summary
 	entries  []entry // of a leaf, ordered by key
@@ -34,19 +34,19 @@
 // size returns the number of entries or children.
 func (n *node) size() int { return len(n.entries) + len(n.children) }
 
-// search returns the position of a key among the entries of a leaf, or that at which it would be inserted.
+// search returns the position of a key among the entries of a leaf, or the position at which it would be inserted.
 func (n *node) search(key string) (position int, found bool) {
 	position = sort.Search(len(n.entries), func(i int) bool { return n.entries[i].key >= key })
 	return position, position < len(n.entries) && n.entries[position].key == key
 }
 
-// childIndex returns the index of the child below which a key is, or would be inserted.
+// childIndex returns the index of the child that contains a key or into which it would be inserted.
 func (n *node) childIndex(key string) int {
-	rest := n.children[1:]
-	return sort.Search(len(rest), func(i int) bool { return rest[i].minKey > key })
+	separated := n.children[1:] // the children whose minKey is used
+	return sort.Search(len(separated), func(i int) bool { return separated[i].minKey > key })
 }
 
-// set inserts or replaces an entry and returns the summary of the one it replaces; zero if there was none.
+// set inserts or replaces an entry and returns the summary of the replaced entry, or zero if there was none.
 func (n *node) set(e entry) (before Summary) {
 	if n.children == nil {
 		return n.setInLeaf(e)
@@ -111,8 +111,8 @@
 	n.children = slices.Delete(n.children, index+1, index+2)
 }
 
-// split moves the upper half of the node into a new one. Both halves are copied to arrays of their own, since the part
-// that is cut off would be kept in memory otherwise.
+// split moves the upper half of the node into a new node, which it returns. Both halves are copied to new arrays; a
+// shared array would keep both halves in memory as long as either is used.
 func (n *node) split() *node {
 	right := &node{}
 	if n.children == nil {
@@ -142,7 +142,7 @@
 	return sum
 }
 
-// summaryBefore returns the summary of the entries whose keys are smaller than the given one.
+// summaryBefore returns the summary of the entries whose keys are less than the given one.
 func (n *node) summaryBefore(key string) (sum Summary) {
 	if n.children == nil {
 		position, _ := n.search(key)
@@ -158,7 +158,8 @@
 	return sum.add(n.children[index].summaryBefore(key))
 }
 
-// keyAt returns the key that has rank smaller ones. The rank must be less than the count of the node.
+// keyAt returns the key with the given rank, which is the number of smaller keys below the node. The rank must be less
+// than the count of the node's summary.
 func (n *node) keyAt(rank int) string {
 	if n.children == nil {
 		return n.entries[rank].key
@@ -172,7 +173,8 @@
 	panic("rangesync: rank out of range")
 }
 
-// each visits the keys of a range in order until visit returns false; it then returns false too.
+// each visits the keys of a range in order until visit returns false. It returns true if the walk must continue with
+// the next node: visit has not returned false, and no key at or beyond the end of the range was reached.
 func (n *node) each(r Range, visit func(key string) (keepGoing bool)) (keepGoing bool) {
 	if n.children == nil {
 		position, _ := n.search(r.From)
--- a/internal/control/rangesync/responder.go
+++ b/internal/control/rangesync/responder.go
@@ -6,7 +6,7 @@
 type Responder struct {
 	Index  *Index
 	Limits Limits
-	// EntrySize returns an upper bound of the bytes that the entry of a key takes in a message.
+	// EntrySize returns an upper bound of the size of a key's entry in a message, in bytes.
 	EntrySize func(key string) int
 }
 
@@ -19,7 +19,7 @@
 	remaining := p.Limits.MaxMessageBytes - headerBytes
 	for i, query := range request.Ranges {
 		fragment := p.respondRange(query, remaining, len(request.Ranges))
-		// The first fragment is sent in any case, so that every response makes progress.
+		// The first fragment is sent even if it is too large, so that every response makes progress.
 		if fragment.size > remaining && i > 0 {
 			break
 		}
@@ -33,12 +33,12 @@
 // responseFragment is the part of a response that covers one range.
 type responseFragment struct {
 	result RangeResult
-	keys   []string // whose entries are sent
-	size   int      // upper bound of its bytes in the message
+	keys   []string // the keys of the entries to send
+	size   int      // upper bound of the size in the message, in bytes
 }
 
-// respondRange replies for one range of a request with rangeCount ranges. The fragment may be larger than the remaining
-// bytes of the message.
+// respondRange replies for one range of a request with rangeCount ranges. The size of the fragment may exceed the
+// remaining size of the message.
 func (p *Responder) respondRange(query RangeQuery, remaining, rangeCount int) responseFragment {
 	local := p.Index.Summary(query.Range)
 	switch {
@@ -47,15 +47,16 @@
 	case p.shouldSend(query, local):
 		return p.sendEntries(query.Range, remaining)
 	case rangeCount > 1 || query.Count == 0:
-		// Recent changes are only sent when a session starts, which is with a single range. They are not sent to an
-		// initiator without entries, because parts are sent whole (FillThreshold) only while it has none in them.
+		// Recent changes are only sent at the start of a session, when a single range is requested. They are not sent to
+		// an initiator without entries: it would then have entries in the parts, so that FillThreshold would not apply to
+		// them.
 		return p.splitRange(query.Range, local)
 	default:
 		return p.sendRecentChanges(query, local, remaining)
 	}
 }
 
-// shouldSend reports whether the entries of a range are sent rather than compared further.
+// shouldSend reports whether all entries of a range are sent without comparing further.
 func (p *Responder) shouldSend(query RangeQuery, local Summary) bool {
 	if query.WantAll || local.Count <= p.Limits.SendThreshold {
 		return true
@@ -63,7 +64,8 @@
 	return query.Count == 0 && local.Count <= p.Limits.FillThreshold
 }
 
-// sendEntries sends as many entries as fit from the beginning of a range, at least one, and where to resume.
+// sendEntries sends as many entries from the beginning of a range as fit, but at least one. If they do not all fit, it
+// sets ResumeFrom.
 func (p *Responder) sendEntries(r Range, remaining int) responseFragment {
 	fragment := responseFragment{size: rangeResultBytes}
 	p.Index.each(r, func(key string) bool {
@@ -81,10 +83,10 @@
 	return fragment
 }
 
-// sendRecentChanges replies for a range that is queried alone, as the first one of a session is. If the initiator's
-// summary is an earlier one of this side, only the entries that have changed since are sent. They are sent in the order
-// of the changes, so that the initiator's next summary is found in the history again if they do not all fit. Otherwise
-// the range is split, and the latest changes are sent with the split.
+// sendRecentChanges replies for a range that is the only one of its request, as at the start of a session. If the
+// initiator's summary equals an earlier one of the responder, only the entries that have changed since are sent. They
+// are sent in the order of the changes, so that, if they do not all fit, the initiator's next summary is found in the
+// history again. Otherwise the range is split, and the latest changes are sent with the split.
 func (p *Responder) sendRecentChanges(query RangeQuery, local Summary, remaining int) responseFragment {
 	if keys, known := p.Index.keysChangedSince(query.Range, query.Summary); known {
 		slices.Reverse(keys)
@@ -98,7 +100,7 @@
 	return p.appendEntries(p.splitRange(query.Range, local), recent, remaining)
 }
 
-// appendEntries adds the entries of keys to a fragment, in order, as far as they fit.
+// appendEntries adds the entries of keys to a fragment, in order, until one does not fit.
 func (p *Responder) appendEntries(fragment responseFragment, keys []string, remaining int) responseFragment {
 	for _, key := range keys {
 		size := p.EntrySize(key)
--- a/internal/control/rangesync/session.go
+++ b/internal/control/rangesync/session.go
@@ -1,43 +1,43 @@
 package rangesync
 
-// Bounds on the length of a session. Keys that are added all the while could otherwise keep it splitting a range
-// forever.
+// Bounds on the length of a session. Without them, a session would keep splitting a range as long as keys are added to
+// it.
 const (
-	// extraSplits is how many times more a range is split than the responder's count at the first split requires. After
-	// that, all of its entries are requested.
+	// extraSplits is the number of splits of a range beyond those that the responder's count at the first split requires.
+	// After that, all entries of the range are requested.
 	extraSplits = 2
-	// maxRepeats is how often a range is requested again before the first split: more often than the history of the
-	// responder can fill messages.
+	// maxRepeats is the number of repeated requests for a range before the first split. It exceeds the number of messages
+	// that the history of the responder can fill.
 	maxRepeats = 64
-	// maxLookBackRanges is the number of ranges in a request up to which results are compared with earlier summaries of
-	// the initiator too, which walks the history for each part.
+	// maxLookBackRanges is the maximum number of ranges in a request for which results are also compared with earlier
+	// summaries of the initiator. The comparison walks the history for each part.
 	maxLookBackRanges = 4
 )
 
-// Session is the initiator's side of one reconciliation. The caller sends the requests of NextRequest and passes in the
-// responses, in any order, late or repeated; a request whose response does not come is given up with Abandon and its
-// ranges are requested again. The caller must store the entries of a response and update its index before it calls
-// HandleResponse. A Session is not safe for concurrent use.
+// Session is the initiator's side of one reconciliation. The caller sends the requests returned by NextRequest and
+// passes the responses to HandleResponse; these may come late, repeatedly and in any order. If a request gets no
+// response, the caller calls Abandon, so that its ranges are requested again. The caller must store the entries of a
+// response and update its index before it calls HandleResponse. A Session is not safe for concurrent use.
 type Session struct {
 	id         uint64
-	lastNumber uint64 // of the requests
+	lastNumber uint64 // Number of the latest request
 	index      *Index
 	limits     Limits
-	maxSteps   int  // pendingRange.steps from which all entries are requested
+	maxSteps   int  // value of pendingRange.steps from which all entries are requested
 	hasSplit   bool // the first split has been received
-	// pending is a stack of the ranges that are to be requested. Going depth first keeps it short.
+	// pending is a stack of the ranges to request. Requesting them depth first keeps it short.
 	pending  []pendingRange
-	inFlight map[uint64][]pendingRange // ranges by the number of their request
+	inFlight map[uint64][]pendingRange // the ranges of each request without a response, by the number of the request
 }
 
 // pendingRange is a range in which the sides may differ.
 type pendingRange struct {
 	Range
-	steps       int // how often it was split off or repeated
-	remoteCount int // the responder's count when the range was split off
+	steps       int // number of splits and repeats that led to this range
+	remoteCount int // the responder's count at the split that produced this range
 }
 
-// NewSession begins a reconciliation of a range. The id must differ from those of earlier sessions with the responder.
+// NewSession begins a reconciliation of a range. The ID must differ from those of earlier sessions with the responder.
 func NewSession(id uint64, index *Index, r Range, limits Limits) *Session {
 	return &Session{
 		id:       id,
@@ -55,7 +55,7 @@
 // InFlight returns the number of requests without a response.
 func (s *Session) InFlight() int { return len(s.inFlight) }
 
-// NextRequest returns the next request to send; nil if there is none before the next response. It may be called
+// NextRequest returns the next request to send, or nil if there is none until the next response. It may be called
 // repeatedly to have several requests in flight.
 func (s *Session) NextRequest() *Request {
 	if len(s.pending) == 0 {
@@ -64,7 +64,8 @@
 	s.lastNumber++
 	request := &Request{Session: s.id, Number: s.lastNumber}
 	remaining := s.limits.MaxMessageBytes - headerBytes
-	// Entries for ranges without any fill the response: further ranges would only go unanswered.
+	// If the initiator has no entries in a range, the responder sends all of its own. Once these fill the response,
+	// further ranges of the request would not be answered.
 	fillBudget := s.limits.FillThreshold
 	for len(s.pending) > 0 && len(request.Ranges) < s.limits.MaxRanges {
 		next := s.pending[len(s.pending)-1]
@@ -86,14 +87,14 @@
 	return request
 }
 
-// Abandon gives up a request: its ranges will be requested again, and its response is ignored.
+// Abandon stops waiting for the response to a request: its ranges will be requested again, and its response is ignored.
 func (s *Session) Abandon(number uint64) {
 	s.pending = append(s.pending, s.inFlight[number]...)
 	delete(s.inFlight, number)
 }
 
-// HandleResponse handles a response. One to a request that is not in flight is ignored. For a malformed one it returns
-// ErrMalformed and abandons the request.
+// HandleResponse handles a response. It ignores a response to a request that is not in flight. If the response is
+// malformed, it abandons the request and returns ErrMalformed.
 func (s *Session) HandleResponse(response *Response) error {
 	queried, expected := s.inFlight[response.Number]
 	if response.Session != s.id || !expected {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// matches reports whether a correct responder may have replied so to a request for the given ranges.
+// matches reports whether a correct responder may have sent the response to a request for the given ranges.
 func (r *Response) matches(queried []pendingRange) bool {
 	if len(r.Ranges) == 0 || len(r.Ranges) > len(queried) {
 		return false
@@ -125,7 +126,7 @@
 	return true
 }
 
-// applyResult adds to the pending ranges what may still differ after the result for a range.
+// applyResult handles the result for a range. It adds to the pending ranges those parts of it that may still differ.
 func (s *Session) applyResult(queried pendingRange, result RangeResult, lookBack bool) {
 	switch {
 	case result.Truncated:
@@ -139,7 +140,7 @@
 	}
 }
 
-// applySplit adds the parts of a range that may still differ.
+// applySplit adds the parts of a split range that may still differ to the pending ranges.
 func (s *Session) applySplit(queried pendingRange, result RangeResult, lookBack bool) {
 	if !s.hasSplit {
 		s.hasSplit = true
@@ -160,8 +161,9 @@
 	}
 }
 
-// covers reports whether the initiator has everything that the responder has in a range: its summary is the same or, if
-// lookBack is set, was the same before its latest changes. Entries never revert, so that the latter suffices.
+// covers reports whether the initiator has all entries that the responder has in a range: its summary equals the remote
+// one or, if lookBack is set, did so before its latest changes. An earlier summary suffices because entries never
+// revert.
 func (s *Session) covers(r Range, remote Summary, lookBack bool) bool {
 	if !lookBack {
 		return s.index.Summary(r) == remote
@@ -170,8 +172,8 @@
 	return known
 }
 
-// splitLevels returns how often a range must be split, including the parts with the given counts, until each part has a
-// single entry.
+// splitLevels returns how often the parts with the given counts must be split until each part has a single entry,
+// including the split that produced these parts.
 func (l Limits) splitLevels(counts []int) (levels int) {
 	entries := 0
 	for _, count := range counts {
