--- a/internal/control/rangesync/injected_faults_test.go
+++ b/internal/control/rangesync/injected_faults_test.go
@@ -16,8 +16,8 @@
 	mismatchedNumber bool // responses are delivered with the number of another request
 }
 
-// fingerprintByVersion is a weak fingerprint: two registers with the versions 20 and 11 have the same digest as with the
-// versions 21 and 10.
+// fingerprintByVersion is a weak fingerprint: two registers with the versions 20 and 11 have the same digest as with
+// the versions 21 and 10.
 func fingerprintByVersion(_ string, version uint64) Fingerprint {
 	return Fingerprint{digest: Digest{low: version}}
 }
--- a/internal/control/replication/backend.go
+++ b/internal/control/replication/backend.go
@@ -4,18 +4,20 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// Phase is a backend's state of service, in the protocol's words. The empty Phase stands for an unknown backend.
+// Phase is a phase in the life of a backend. The values are those of the protocol. The empty Phase stands for a backend
+// that is not known.
 type Phase string
 
-// Phases of a backend. It says itself that it is ready or draining; its owner adds the other two.
+// Phases of a backend. The backend reports in its heartbeats whether it is ready or draining; its owner sets the other
+// two phases.
 const (
 	PhaseReady    Phase = "ready"
-	PhaseDraining Phase = "emptying" // it finishes its requests and gets no new ones
+	PhaseDraining Phase = "emptying" // it completes its requests and gets no new ones
 	PhaseTimedOut Phase = "silent"   // its heartbeats have stopped
-	PhaseLeft     Phase = "left"     // it has signed off
+	PhaseLeft     Phase = "left"     // it has deregistered
 )
 
-// Backend is an incarnation of a backend, as it is replicated.
+// Backend is the replicated state of an incarnation of a backend.
 //
 //easyjson:json
 type Backend struct {
@@ -23,22 +25,22 @@
 	Address     string `json:"a"`
 	Zone        string `json:"z"`
 	Version     string `json:"v"` // of its build
-	Capacity    int    `json:"c"` // requests that it processes at once
+	Capacity    int    `json:"c"` // requests that it processes concurrently
 	Phase       Phase  `json:"p"`
-	WarmUpEndMs int64  `json:"w"` // when its warm-up ends: Unix milliseconds, by the clock of Owner; 0: it is warm
+	WarmUpEndMs int64  `json:"w"` // end of its warm-up: Unix milliseconds, by the clock of Owner; 0 if it is warm
 	Owner       string `json:"h"` // the controller that receives its heartbeats
 	HeartbeatMs int64  `json:"t"` // when Owner received the last published heartbeat: Unix milliseconds
 }
 
-// timedOutBit marks the version of an item that says that no heartbeat followed.
+// timedOutBit is set in the version of an item that records a timeout.
 const timedOutBit = 1
 
-// LeftVersion is the version of the item of a backend that has left. It is above that of every heartbeat, so that one
-// that arrives late does not prevail.
+// LeftVersion is the version of the item of a backend that has left. It is above the version of every heartbeat, so
+// that a late heartbeat does not supersede the item.
 const LeftVersion = uint64(1) << 62
 
-// BackendVersion returns the version of a backend's item: it rises with the call count of the heartbeat, and between
-// two heartbeats with the time-out that follows the first.
+// BackendVersion returns the version of a backend's item. Versions are ordered by the call count of the latest
+// heartbeat. The version of a timeout lies between those of the last heartbeat before it and of the next one.
 func BackendVersion(callCount int64, timedOut bool) uint64 {
 	version := uint64(callCount) << 1
 	if timedOut {
@@ -48,18 +50,18 @@
 }
 
 func (b *Backend) item(id string, version uint64) Item {
-	body, _ := easyjson.Marshal(b) // strings and integers always encode
+	body, _ := easyjson.Marshal(b) // cannot fail: the fields are strings and integers
 	return Item{Key: BackendKeyPrefix + id, Version: version, Body: string(body)}
 }
 
-// ItemWithPhase returns the item of the backend in another phase.
+// ItemWithPhase returns the item of the backend with another phase.
 func (b Backend) ItemWithPhase(id string, phase Phase, version uint64) Item {
 	b.Phase = phase
 	return b.item(id, version)
 }
 
-// TimedOut returns the item of the backend after its heartbeats have stopped, given the version of its last item. One
-// that was draining counts as left: a backend that has timed out might get work again.
+// TimedOut returns the item of the backend after its heartbeats have stopped, given the version of its last item. A
+// backend that was draining is marked as left, because one in PhaseTimedOut might get requests again.
 func (b Backend) TimedOut(id string, version uint64) Item {
 	phase := PhaseTimedOut
 	if b.Phase == PhaseDraining {
@@ -68,14 +70,15 @@
 	return b.ItemWithPhase(id, phase, version|timedOutBit)
 }
 
-// ReadBackend reads the body of a backend's item. ok is false if it can't be read; the backend is never nil.
+// ReadBackend decodes the body of a backend's item. It returns ok = false if the body is invalid; the backend is never
+// nil.
 func ReadBackend(item Item) (backend *Backend, ok bool) {
 	backend = &Backend{}
 	err := easyjson.Unmarshal([]byte(item.Body), backend)
 	return backend, err == nil
 }
 
-// BackendInFlight is the number of requests that a proxy has in flight at a backend that is draining.
+// BackendInFlight counts the requests that a proxy has in flight at a draining backend.
 //
 //easyjson:json
 type BackendInFlight struct {
--- a/internal/control/replication/heartbeat.go
+++ b/internal/control/replication/heartbeat.go
@@ -13,7 +13,7 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// Heartbeat is what a backend says of itself.
+// Heartbeat is the state that a backend reports to a controller.
 //
 //easyjson:json
 type Heartbeat struct {
@@ -21,20 +21,20 @@
 	Address    string `json:"address"` // IP address and port
 	Zone       string `json:"zone"`
 	Version    string `json:"version"`   // of its build
-	Capacity   int    `json:"capacity"`  // requests that it processes at once
+	Capacity   int    `json:"capacity"`  // requests that it processes concurrently
 	Phase      Phase  `json:"phase"`     // PhaseReady or PhaseDraining
-	WarmUpLeft string `json:"warmLeft"`  // the rest of its warm-up, as a duration; empty: none
-	CallCount  int64  `json:"callCount"` // rises with every heartbeat of an incarnation
+	WarmUpLeft string `json:"warmLeft"`  // remaining duration of its warm-up; empty if it is warm
+	CallCount  int64  `json:"callCount"` // increases with every heartbeat of an incarnation
 }
 
 const (
-	// maxTextBytes bounds the texts of a heartbeat together.
+	// maxTextBytes bounds the total size of service, zone and version.
 	maxTextBytes = 512
 	maxCapacity  = math.MaxInt16
 	maxCallCount = 1 << 52
 )
 
-// ParseHeartbeat reads and checks a heartbeat.
+// ParseHeartbeat decodes and validates a heartbeat.
 func ParseHeartbeat(data []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := easyjson.Unmarshal(data, heartbeat); err != nil {
@@ -71,17 +71,17 @@
 	return nil
 }
 
-// warmUpTolerance is by how much the end of a warm-up may move without being published again.
+// warmUpTolerance is the largest shift of the end of a warm-up that is not published.
 const warmUpTolerance = 250 * time.Millisecond
 
-// UpdateFromHeartbeat returns the backend with an ID after a heartbeat that its owner received now, given what was
-// known of it, or nil. If anything but the time of the heartbeat has changed, changed is true and item is to be
-// published: only the owner needs to know the time of the last heartbeat.
+// UpdateFromHeartbeat returns the state of a backend after a heartbeat that its owner received now. previous is its
+// state before, or nil if the backend is new. If the state has changed (see differs), changed is true and the item must
+// be published. The time of the heartbeat alone is not published, as only the owner uses it.
 func UpdateFromHeartbeat(
-	id string, heartbeat *Heartbeat, known *Backend, owner string, now time.Time,
+	id string, heartbeat *Heartbeat, previous *Backend, owner string, now time.Time,
 ) (item Item, backend *Backend, changed bool) {
 	backend = newBackend(heartbeat, owner, now)
-	if known != nil && !backend.differs(known) {
+	if previous != nil && !backend.differs(previous) {
 		return Item{}, backend, false
 	}
 	return backend.item(id, BackendVersion(heartbeat.CallCount, false)), backend, true
@@ -98,26 +98,26 @@
 		Owner:       owner,
 		HeartbeatMs: now.UnixMilli(),
 	}
-	warmUpLeft, _ := settings.ParseDuration(heartbeat.WarmUpLeft) // was checked when the heartbeat was parsed
+	warmUpLeft, _ := settings.ParseDuration(heartbeat.WarmUpLeft) // cannot fail: ParseHeartbeat has validated it
 	if warmUpLeft > 0 {
 		backend.WarmUpEndMs = now.Add(warmUpLeft).UnixMilli()
 	}
 	return backend
 }
 
-// differs reports whether a backend differs from what was known of it, but for the time of the heartbeat and for a
-// small shift of the end of its warm-up.
-func (b *Backend) differs(known *Backend) bool {
-	expected := *known
+// differs reports whether a backend differs from its previous state. It ignores the time of the heartbeat, and shifts
+// of the end of the warm-up by up to warmUpTolerance.
+func (b *Backend) differs(previous *Backend) bool {
+	expected := *previous
 	expected.WarmUpEndMs = b.WarmUpEndMs
 	expected.HeartbeatMs = b.HeartbeatMs
-	return expected != *b || b.warmUpMoved(known.WarmUpEndMs)
+	return expected != *b || b.warmUpEndMoved(previous.WarmUpEndMs)
 }
 
-func (b *Backend) warmUpMoved(knownWarmAtMs int64) bool {
+func (b *Backend) warmUpEndMoved(previousEndMs int64) bool {
 	tolerance := warmUpTolerance.Milliseconds()
-	if b.WarmUpEndMs == 0 { // it says that it is warm
-		return knownWarmAtMs > b.HeartbeatMs+tolerance
+	if b.WarmUpEndMs == 0 { // the backend reports that it is warm
+		return previousEndMs > b.HeartbeatMs+tolerance
 	}
-	return max(b.WarmUpEndMs-knownWarmAtMs, knownWarmAtMs-b.WarmUpEndMs) > tolerance
+	return max(b.WarmUpEndMs-previousEndMs, previousEndMs-b.WarmUpEndMs) > tolerance
 }
--- a/internal/control/replication/item_store.go
+++ b/internal/control/replication/item_store.go
@@ -1,13 +1,14 @@
-// Package replication spreads data that needs no consensus between controllers and proxies: which backends and proxies
-// there are, what proxies have seen of releases, and the chosen values of the quorum's registers.
+// Package replication replicates data that needs no consensus between controllers and proxies: the backends and
+// proxies, the proxies' measurements of releases, and the chosen values of the quorum registers.
 //
-// The data are items, each with a version of its own. Any controller accepts items, and replicas merge them key by key,
-// so that all converge whatever the order in which items arrive. Every origin, a controller's incarnation, numbers the
-// items that it publishes. A replica pulls what it lacks by its version vector, which has the last number it knows of
-// every origin, from whichever controller it asks (anti-entropy by version vectors, as in Petersen et al., Flexible
-// Update Propagation for Weakly Consistent Replication, SOSP 1997).
+// The data consists of items, each with its own version. Every controller accepts items, and replicas merge them key by
+// key, so that all replicas converge whatever the order in which items arrive. Each incarnation of a controller is an
+// origin, which numbers the items that it publishes. A replica's version vector has, for each origin, the sequence
+// number up to which the replica has received the origin's items. With it, the replica can pull the items that it lacks
+// from any controller (anti-entropy by version vectors, as in Petersen et al., Flexible Update Propagation for Weakly
+// Consistent Replication, SOSP 1997).
 //
-// The package does no I/O; clocks are handed in.
+// The package does no I/O; the caller passes in the time.
 package replication
 
 import (
@@ -20,27 +21,28 @@
 // storedItem is an item in a store.
 type storedItem struct {
 	item          Item
-	localSequence uint64 // the store's own order, by which the item was stored
-	origin        string
-	sequence      uint64 // under which the origin has published it
+	localSequence uint64 // position in the order in which this store has stored its items
+	origin        string // the origin that has published the item
+	sequence      uint64 // the sequence number that the origin has given it
 }
 
-// ItemStore is the items that a replica knows, and its progress. It is not safe for concurrent use.
+// ItemStore holds the items and the version vector of a replica. It is not safe for concurrent use.
 //
-// Invariant: no item is beyond the vector, that is, has a sequence above the vector's entry for its origin, except
-// while the items of a message are received. Otherwise the replica could not claim to have the item when it passes it
-// on.
+// Invariant: the vector covers every item, that is, no item has a sequence number above the vector's entry for its
+// origin. The exception is while the items of a message are received, until Advance is called. Without the invariant,
+// the vector that the replica sends with an item would not include the item.
 type ItemStore struct {
-	LegacySource  string // the replica and its incarnation, in the form by which the version before this one pulls
-	Origin        string // the replica's name, a point and its incarnation: under this the store publishes
+	LegacySource  string // the replica and its incarnation, in the format of the previous protocol version
+	Origin        string // the origin of published items: the replica's name, a period and its incarnation
 	localSequence uint64
 	items         map[string]*storedItem // by key
 	vector        Vector
 }
 
-// NewItemStore returns an empty store. Every incarnation is a new origin and numbers anew, so that it does not claim
-// what an earlier one has published and lost. Number 1 goes to no item: a vector that has it tells that its owner has
-// heard of the origin, even if it lacks nothing.
+// NewItemStore returns an empty store. Each incarnation must have a new origin, whose sequence numbers start from the
+// beginning, so that its vector does not include items that an earlier incarnation has published and lost. No item gets
+// sequence number 1: a vector contains it if its replica has received the vector of the origin, even if the origin has
+// not published any item.
 func NewItemStore(source, origin string) *ItemStore {
 	return &ItemStore{LegacySource: source, Origin: origin, items: map[string]*storedItem{}, vector: Vector{origin: 1}}
 }
@@ -48,13 +50,14 @@
 // LocalSequence returns the local sequence number of the item that was stored last.
 func (s *ItemStore) LocalSequence() uint64 { return s.localSequence }
 
-// Vector returns a copy of the replica's progress.
+// Vector returns a copy of the replica's version vector.
 func (s *ItemStore) Vector() Vector { return maps.Clone(s.vector) }
 
-// OwnSequence returns the number of the item that this store has published last.
+// OwnSequence returns the sequence number of the item that this store has published last.
 func (s *ItemStore) OwnSequence() uint64 { return s.vector[s.Origin] }
 
-// Publish stores an item that enters the system here. It reports whether the item was new.
+// Publish stores a new item and publishes it under this store's origin, unless the store has an item with the key that
+// the new one does not supersede. It reports whether it has stored the item.
 func (s *ItemStore) Publish(item Item) bool {
 	if stored := s.items[item.Key]; stored != nil && !item.Supersedes(stored.item) {
 		return false
@@ -63,23 +66,24 @@
 	return true
 }
 
-// publishNext stores an item under the next number of this origin.
+// publishNext stores an item under the next sequence number of this origin.
 func (s *ItemStore) publishNext(item Item) {
 	s.vector[s.Origin]++
 	s.store(item, s.Origin, s.vector[s.Origin])
 }
 
-// Receive stores an item that another replica has sent, with the origin that published it and its number. It reports
-// whether the item was new. When all items of a message are received, Advance must be called with its vector.
+// Receive stores an item that another replica has sent, with the origin that published it and its sequence number,
+// unless the store has an item with the key that the received one does not supersede. It reports whether it has stored
+// the item. After all items of a message are received, the caller must call Advance with the message's vector.
 func (s *ItemStore) Receive(item Item, origin string, sequence uint64) bool {
 	stored := s.items[item.Key]
 	if stored == nil || item.Supersedes(stored.item) {
 		s.store(item, origin, sequence)
 		return true
 	}
-	same := stored.item.Version == item.Version && stored.item.Body == item.Body
-	if same && origin > stored.origin && nodeOf(origin) == nodeOf(stored.origin) {
-		// A later incarnation of the origin has published the item again, see RepublishOldIncarnations.
+	sameItem := stored.item.Version == item.Version && stored.item.Body == item.Body
+	if sameItem && origin > stored.origin && nodeOf(origin) == nodeOf(stored.origin) {
+		// A later incarnation of the origin has published the item again (see RepublishOldIncarnations).
 		s.store(stored.item, origin, sequence)
 	}
 	return false
@@ -98,8 +102,8 @@
 	s.items[item.Key] = &storedItem{item: item, localSequence: s.localSequence, origin: origin, sequence: sequence}
 }
 
-// Advance records that nothing is lacking up to the progress of another replica, once all items that came with it are
-// received.
+// Advance raises the vector to the progress of another replica. It must be called after all items that were sent with
+// this progress are received.
 func (s *ItemStore) Advance(progress Vector) {
 	for origin, sequence := range progress {
 		if origin != s.Origin {
@@ -108,9 +112,9 @@
 	}
 }
 
-// Retract withdraws the claim to have the items with these numbers, because they were lost: any replica that has them
-// will send them again. Later items of the same origins are published again by this store, to keep the invariant; their
-// origins may have ended and would never bring the vector up to them again.
+// Retract lowers the vector below the given sequence numbers, whose items this replica has lost, so that any replica
+// that has them will send them again. To keep the invariant, the store publishes later items of the same origins again
+// under its own origin: their origins may no longer exist, and the vector might never reach these items again.
 func (s *ItemStore) Retract(lost Vector) {
 	for origin, sequence := range lost {
 		if reached, ok := s.vector[origin]; ok && reached >= sequence && origin != s.Origin {
@@ -125,17 +129,17 @@
 	return stored.sequence > s.vector[stored.origin]
 }
 
-// republish publishes the wanted items under numbers of this origin. It returns how many there were.
-func (s *ItemStore) republish(wanted func(*storedItem) bool) int {
-	keys := s.selectKeys(wanted)
+// republish publishes the matching items again under sequence numbers of this origin. It returns their number.
+func (s *ItemStore) republish(match func(*storedItem) bool) int {
+	keys := s.selectKeys(match)
 	for _, key := range keys {
 		s.publishNext(s.items[key].item)
 	}
 	return len(keys)
 }
 
-// Prune drops from the vector the origins that are not live and of which no item is left. A replica that has one of
-// their items will send it again.
+// Prune removes from the vector the origins that are not live and have no items in the store. If another replica has
+// items of such an origin, it will send them again.
 func (s *ItemStore) Prune(live map[string]bool) {
 	kept := map[string]bool{s.Origin: true}
 	for _, stored := range s.items {
@@ -144,11 +148,11 @@
 	maps.DeleteFunc(s.vector, func(origin string, _ uint64) bool { return !kept[origin] && !live[origin] })
 }
 
-// keptIncarnations is how many earlier incarnations of its own replica a store keeps as the origins of items.
+// keptIncarnations is the number of earlier incarnations of a store's own replica that it keeps as origins of items.
 const keptIncarnations = 2
 
-// RepublishOldIncarnations publishes again what incarnations of this replica before the last keptIncarnations have
-// published, so that vectors do not grow with every restart. It returns the number of items.
+// RepublishOldIncarnations publishes again, under this store's origin, the items of this replica's earlier incarnations
+// except the last keptIncarnations, so that vectors do not grow with every restart. It returns the number of items.
 func (s *ItemStore) RepublishOldIncarnations() int {
 	var origins []string
 	for _, stored := range s.items {
@@ -166,11 +170,11 @@
 	return republished
 }
 
-// selectKeys returns the keys of the wanted items, in the order in which they were stored.
-func (s *ItemStore) selectKeys(wanted func(*storedItem) bool) []string {
+// selectKeys returns the keys of the matching items, in the order in which they were stored.
+func (s *ItemStore) selectKeys(match func(*storedItem) bool) []string {
 	var keys []string
 	for key, stored := range s.items {
-		if wanted(stored) {
+		if match(stored) {
 			keys = append(keys, key)
 		}
 	}
@@ -186,8 +190,8 @@
 	return Item{}, false
 }
 
-// OriginOf returns which origin has published the item with a key, and under which number, or zero values if there is
-// no such item.
+// OriginOf returns the origin that has published the item with a key, and its sequence number, or zero values if there
+// is no such item.
 func (s *ItemStore) OriginOf(key string) (origin string, sequence uint64) {
 	if stored := s.items[key]; stored != nil {
 		return stored.origin, stored.sequence
@@ -203,15 +207,15 @@
 	return 0
 }
 
-// Delete deletes an item here. It is not replicated, and the vector still claims the item.
+// Delete deletes an item from this store only. The deletion is not replicated, and the vector still covers the item.
 func (s *ItemStore) Delete(key string) { delete(s.items, key) }
 
-// Missing returns the items that a replica with some progress lacks, in the order in which they were stored, and the
-// origins that their OriginIndex refers to. Items of other origins are left out if their local sequence is above
-// maxLocalSequence: they came later and are on their way to every replica already. wanted selects items by key; nil
-// selects all.
+// Missing returns the items that a replica with the given progress lacks, in the order in which they were stored, and
+// the origins to which their OriginIndex refers. It omits items of other origins with a local sequence number above
+// maxLocalSequence: these arrived recently and are already being sent to every replica. match selects items by key;
+// nil selects all.
 func (s *ItemStore) Missing(
-	progress Vector, maxLocalSequence uint64, wanted func(key string) bool,
+	progress Vector, maxLocalSequence uint64, match func(key string) bool,
 ) (items []Item, origins []string) {
 	missing := func(stored *storedItem) bool {
 		if stored.sequence <= progress[stored.origin] {
@@ -220,7 +224,7 @@
 		if stored.origin != s.Origin && stored.localSequence > maxLocalSequence {
 			return false
 		}
-		return wanted == nil || wanted(stored.item.Key)
+		return match == nil || match(stored.item.Key)
 	}
 	origins = []string{s.Origin}
 	originIndex := map[string]int{s.Origin: 0}
@@ -238,11 +242,11 @@
 	return items, origins
 }
 
-// Since returns the items with local sequence numbers above a given one, in order. The version before this one pulls by
-// it. wanted selects items by key; nil selects all.
-func (s *ItemStore) Since(localSequence uint64, wanted func(key string) bool) []Item {
+// Since returns the items with local sequence numbers above the given one, in order. It serves pulls of the previous
+// protocol version. match selects items by key; nil selects all.
+func (s *ItemStore) Since(localSequence uint64, match func(key string) bool) []Item {
 	keys := s.selectKeys(func(stored *storedItem) bool {
-		return stored.localSequence > localSequence && (wanted == nil || wanted(stored.item.Key))
+		return stored.localSequence > localSequence && (match == nil || match(stored.item.Key))
 	})
 	items := make([]Item, len(keys))
 	for i, key := range keys {
@@ -251,9 +255,10 @@
 	return items
 }
 
-// ReplaceReceived replaces everything that came from other origins by a complete answer of another replica: it deletes
-// the items whose keys the answer does not have, except those that keep selects, and adopts the answer's progress. What
-// the answer lacks was deleted, or will be sent again by any replica that has it. It returns the deleted keys, sorted.
+// ReplaceReceived replaces the items of other origins by those of a complete response of another replica, which must
+// have been received: it deletes the items whose keys are not in the response, except those that keep selects, and sets
+// the vector to the response's progress. Items that the response lacks have been deleted there, or will be sent again
+// by any replica that has them. It returns the deleted keys, sorted.
 func (s *ItemStore) ReplaceReceived(
 	received map[string]bool, progress Vector, keep func(Item) bool,
 ) (deleted []string) {
--- a/internal/control/replication/member_table.go
+++ b/internal/control/replication/member_table.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// MemberTable tracks which nodes hold a lease and which backends send heartbeats here. Nodes are known by the keys of
-// their leases, wherever these were granted. It is not safe for concurrent use.
+// MemberTable tracks the nodes that hold a lease of any controller, and the backends that send heartbeats to this
+// controller. Nodes are identified by the keys of their leases. A MemberTable is not safe for concurrent use.
 type MemberTable struct {
 	leaseDuration time.Duration
-	// retention is for how long a node whose lease has expired still counts as active: it may be partitioned from the
-	// controllers and still send requests.
+	// retention is how long a node counts as active after its lease was last known to be held. Such a node may be
+	// partitioned from the controllers and still send requests.
 	retention     time.Duration
-	granted       map[string]time.Time // leases granted here, by key: when each was last renewed
-	unrenewed     map[string]bool      // leases granted here by an earlier incarnation, and not renewed since
-	lastSeen      map[string]time.Time // leases wherever granted, by key: when each was last known to be held
-	zones         map[string]string    // of the nodes in lastSeen
-	lastHeartbeat map[string]time.Time // by backend
+	granted       map[string]time.Time // when each lease granted by this controller was last renewed, by key
+	unrenewed     map[string]bool      // leases that an earlier incarnation has granted and this one has not renewed
+	lastSeen      map[string]time.Time // when each lease of any controller was last known to be held, by key
+	zones         map[string]string    // zones of the nodes in lastSeen, by key
+	lastHeartbeat map[string]time.Time // when the last heartbeat of each backend was received, by ID
 }
 
 // NewMemberTable returns an empty table.
@@ -32,23 +32,23 @@
 	}
 }
 
-// RenewLease grants or renews a node's lease here.
+// RenewLease grants or renews a lease of this controller.
 func (m *MemberTable) RenewLease(key, zone string, now time.Time) {
 	m.granted[key] = now
 	m.ObserveLease(key, zone, now)
 	delete(m.unrenewed, key)
 }
 
-// RestoreLease takes up a lease that an earlier incarnation granted here. It may still be held, so that its node counts
-// as active and it expires like any other; but HasRenewedLease is false until it is renewed.
+// RestoreLease adds a lease that an earlier incarnation of this controller has granted. The node may still hold it, so
+// that the node counts as active and the lease expires like any other. HasRenewedLease is false until it is renewed.
 func (m *MemberTable) RestoreLease(key, zone string, now time.Time) {
-	if _, known := m.granted[key]; !known {
+	if _, granted := m.granted[key]; !granted {
 		m.RenewLease(key, zone, now)
 		m.unrenewed[key] = true
 	}
 }
 
-// ExpireLeases removes the leases granted here that have expired, and returns their keys, sorted.
+// ExpireLeases removes the leases of this controller that have expired, and returns their keys, sorted.
 func (m *MemberTable) ExpireLeases(now time.Time) []string {
 	var expired []string
 	for key, renewedAt := range m.granted {
@@ -68,15 +68,15 @@
 	return granted && !m.unrenewed[key]
 }
 
-// ObserveLease records that a lease is held, wherever it was granted.
+// ObserveLease records that a lease, which any controller may have granted, is held.
 func (m *MemberTable) ObserveLease(key, zone string, now time.Time) {
 	m.lastSeen[key] = now
 	m.zones[key] = zone
 }
 
-// CountActive returns how many nodes may be sending requests now, and how many of them are in a zone. It errs upwards:
-// limits that all nodes share are divided by the count. Nodes that are not active any more are removed, so that the
-// table does not grow with every node ever seen.
+// CountActive returns how many nodes may be sending requests now, and how many of them are in a zone. It overestimates
+// rather than underestimates, because limits that all nodes share are divided by the count. It removes nodes that are
+// no longer active, so that the table does not grow with every node ever seen.
 func (m *MemberTable) CountActive(zone string, now time.Time) (total, inZone int) {
 	for key, seenAt := range m.lastSeen {
 		if now.Sub(seenAt) > m.retention {
@@ -98,14 +98,14 @@
 	return ok && now.Sub(seenAt) <= m.retention
 }
 
-// RecordHeartbeat records a heartbeat of a backend that was received here.
+// RecordHeartbeat records that this controller has received a heartbeat of a backend.
 func (m *MemberTable) RecordHeartbeat(id string, now time.Time) { m.lastHeartbeat[id] = now }
 
-// StopTrackingBackend stops waiting for the heartbeats of a backend: it sends them elsewhere, or has left.
+// StopTrackingBackend removes a backend that has left or sends its heartbeats to another controller.
 func (m *MemberTable) StopTrackingBackend(id string) { delete(m.lastHeartbeat, id) }
 
-// ExpireBackends removes the backends that have sent no heartbeat here for longer than a time-out, and returns their
-// IDs, sorted.
+// ExpireBackends removes the backends from which this controller has received no heartbeat for longer than the timeout,
+// and returns their IDs, sorted.
 func (m *MemberTable) ExpireBackends(timeout time.Duration, now time.Time) []string {
 	var expired []string
 	for id, receivedAt := range m.lastHeartbeat {
