--- a/internal/agent/policy/arms.go
+++ b/internal/agent/policy/arms.go
@@ -4,10 +4,11 @@
 	"sort"
 	"time"
 
+	"sagelever/internal/agent/api"
 	"sagelever/internal/stats/bestarm"
 )
 
-// armIndex names one of the two arms that are compared.
+// armIndex identifies one of the two arms that are compared.
 type armIndex int
 
 const (
@@ -17,26 +18,26 @@
 
 func (index armIndex) other() armIndex { return 1 - index }
 
-// maxStages is how many stages the evidence tells apart; later ones count as the last of these.
+// maxStages is the number of stages with separate evidence; later stages count as the last of these.
 const maxStages = 8
 
-// arm counts decisions, outcomes and payoffs of the backends of one arm, or of one backend.
+// arm holds the counts of one arm, or of one backend.
 type arm struct {
-	picked      float64 // first attempts
-	outcomes    float64 // this agent's own, and those that others have reported
+	pulls       float64 // first attempts
+	outcomes    float64 // the agent's own and those reported by peers
 	payoff      float64 // sum over the outcomes, between 0 and 1 each
 	faults      float64 // outcomes that were error responses
-	ownOutcomes float64 // this agent's own
+	ownOutcomes float64 // the agent's own
 }
 
-// add adds another arm's outcomes a number of times; -1 takes them off.
+// add adds another arm's outcomes multiplied by times; -1 subtracts them.
 func (a *arm) add(other arm, times float64) {
 	a.outcomes += times * other.outcomes
 	a.payoff += times * other.payoff
 	a.faults += times * other.faults
 }
 
-// mean is the mean payoff, a half if there are no outcomes.
+// mean returns the mean payoff, a half if there are no outcomes.
 func (a *arm) mean() float64 {
 	if a.outcomes == 0 {
 		return 0.5
@@ -44,19 +45,25 @@
 	return a.payoff / a.outcomes
 }
 
-// faultsOnly is the arm as it is when only faults count against it.
+// faultsOnly returns the arm with full payoff for every outcome except faults.
 func (a *arm) faultsOnly() arm { return arm{outcomes: a.outcomes, payoff: a.outcomes - a.faults} }
 
-// forStatistic is the arm as the statistic takes it.
+// forStatistic converts the arm to the type of package bestarm.
 func (a *arm) forStatistic() bestarm.Arm {
-	return bestarm.Arm{Pulls: a.picked, Observations: a.outcomes, Reward: a.payoff}
+	return bestarm.Arm{Pulls: a.pulls, Observations: a.outcomes, Reward: a.payoff}
 }
 
-// statistic is the likelihood ratio Z of the two arms, with extra added to the trial's mean.
+// statistic returns the likelihood ratio Z of the two arms, with extra added to the trial's mean.
 func statistic(baseline, trial arm, extra float64) float64 {
 	return bestarm.LikelihoodRatio(baseline.forStatistic(), trial.forStatistic(), extra)
 }
 
+// behind reports whether the trial's mean payoff is more than gap below the baseline's, with Z above a threshold
+// when extra is added to the trial's mean.
+func behind(baseline, trial arm, gap, extra, threshold float64) bool {
+	return trial.mean()+gap < baseline.mean() && statistic(baseline, trial, extra) > threshold
+}
+
 func (b *Balancer) armOf(backend *backend) armIndex {
 	if backend.Build == b.trialBuild {
 		return trialArm
@@ -64,7 +71,7 @@
 	return baselineArm
 }
 
-// armHasWarmBackend reports whether an arm has a listed backend whose outcomes count.
+// armHasWarmBackend reports whether an arm has a listed backend that is old enough for its outcomes to count.
 func (b *Balancer) armHasWarmBackend(index armIndex) bool {
 	for _, backend := range b.ordered {
 		if backend.listed && b.armOf(backend) == index && b.now-backend.Started > minCountedAge {
@@ -74,8 +81,8 @@
 	return false
 }
 
-// backendsByStage returns an arm's backends with outcomes by the stage they came with, those with the lowest mean
-// payoff first.
+// backendsByStage returns an arm's backends that have outcomes, grouped by the stage in which they were first listed
+// and sorted by ascending mean payoff.
 func (b *Balancer) backendsByStage(index armIndex) (stages [maxStages][]*backend) {
 	for _, backend := range b.ordered {
 		if backend.counts.outcomes > 0 && b.armOf(backend) == index {
@@ -89,24 +96,24 @@
 	return stages
 }
 
-// recordPick counts a first attempt at an arm.
-func (b *Balancer) recordPick(index armIndex) {
-	b.arms[index].picked++
+// recordPull counts a first attempt at an arm and deducts it from the trial's quota.
+func (b *Balancer) recordPull(index armIndex) {
+	b.arms[index].pulls++
 	b.trialQuota -= float64(index)
 }
 
-// countOwn counts one outcome of this agent's own, and keeps it to be reported.
-func (b *Balancer) countOwn(backend *backend, payoff float64, fault bool) {
+// countOwnOutcome counts one outcome of the agent's own and queues it for the next report.
+func (b *Balancer) countOwnOutcome(backend *backend, payoff float64, fault bool) {
 	counts := arm{outcomes: 1, payoff: payoff, faults: indicator(fault)}
 	b.arms[b.armOf(backend)].ownOutcomes++
-	b.creditOutcome(backend, counts)
+	b.addOutcomes(backend, counts)
 	if b.arms[trialArm].ownOutcomes > 0 {
 		backend.unreported.add(counts, 1)
 	}
 }
 
-// creditOutcome adds outcomes to a backend and its arm. Both arms start anew with the trial's first outcome.
-func (b *Balancer) creditOutcome(backend *backend, counts arm) {
+// addOutcomes adds outcomes to a backend and its arm. The trial's first outcome resets the baseline's counts.
+func (b *Balancer) addOutcomes(backend *backend, counts arm) {
 	index := b.armOf(backend)
 	if index == trialArm && b.arms[trialArm].outcomes == 0 {
 		b.clearArm(baselineArm)
@@ -115,33 +122,41 @@
 	backend.counts.add(counts, 1)
 }
 
-// discardCounts takes a backend's outcomes out of its arm.
+// applyComplaint subtracts the payoff of an answer that a client found wrong, and of unreported wrong answers.
+func (b *Balancer) applyComplaint(event api.Complaint) {
+	if backend := b.backends[event.Backend]; backend != nil && b.now-event.Age >= backend.Started {
+		b.addOutcomes(backend, arm{payoff: -min(1/b.settings.complaintShare, backend.counts.payoff)})
+	}
+}
+
+// discardCounts removes a backend's outcomes from its arm.
 func (b *Balancer) discardCounts(backend *backend) {
 	counts := backend.counts
-	b.creditOutcome(backend, arm{outcomes: -counts.outcomes, payoff: -counts.payoff, faults: -counts.faults})
+	b.addOutcomes(backend, arm{outcomes: -counts.outcomes, payoff: -counts.payoff, faults: -counts.faults})
 	backend.counts, backend.unreported = arm{}, arm{}
 }
 
-// clearArm drops the outcomes of one arm and of its backends.
+// clearArm resets the outcomes of one arm and of its backends.
 func (b *Balancer) clearArm(index armIndex) {
 	for _, backend := range b.ordered {
 		if b.armOf(backend) == index {
 			backend.counts, backend.unreported = arm{}, arm{}
 		}
 	}
-	b.arms[index] = arm{picked: b.arms[index].picked}
+	b.arms[index] = arm{pulls: b.arms[index].pulls}
 }
 
-// notePayoff takes up a payoff over both arms, lately and, if so, before the trial.
-func (b *Balancer) notePayoff(payoff float64, beforeTrial bool) {
+// recordPayoff adds a payoff to the recent mean of both arms and, if it precedes the trial, to the baseline's mean.
+func (b *Balancer) recordPayoff(payoff float64, beforeTrial bool) {
 	b.recentPayoff.Add(b.now, recentHalfLife, payoff)
 	if beforeTrial {
 		b.baselinePayoff.Add(b.now, baselineHalfLife, payoff)
 	}
 }
 
-// noteThroughput counts responses and, once a span is over, takes up their rate, lately and before the trial.
-func (b *Balancer) noteThroughput(responses float64, span time.Duration) {
+// recordThroughput counts responses. At the end of a span it adds their rate to the recent mean and, before the trial,
+// to the baseline's mean.
+func (b *Balancer) recordThroughput(responses float64, span time.Duration) {
 	if elapsed := b.now - b.throughputSince; elapsed > span {
 		rate := b.throughputCount / elapsed.Seconds()
 		b.throughput.Add(b.now, throughputHalfLife, rate)
@@ -153,14 +168,14 @@
 	b.throughputCount += responses
 }
 
-// judgeCount is how many agents, from number 0 on, hear all counts and judge: every one where shares of all have to
-// make a vote count, else six, of whom some are alive when half of all agents die.
-func (b *Balancer) judgeCount() int {
-	const enough = 6
+// voterCount returns how many agents, from number 0 on, receive all counts and vote. All agents vote if a decision
+// needs a share of all votes. Otherwise six do, of which some survive if half of all agents fail.
+func (b *Balancer) voterCount() int {
+	const voters = 6
 	agents := int(b.settings.agents)
-	shared := b.settings.mayMessage || b.settings.tallyInterval > 0
-	if b.settings.trialControl == trialSingle && shared {
-		return min(agents, enough)
+	countsShared := b.settings.mayMessage || b.settings.tallyInterval > 0
+	if b.settings.trialControl == controlBySingleVote && countsShared {
+		return min(agents, voters)
 	}
 	return agents
 }
--- a/internal/agent/policy/backends.go
+++ b/internal/agent/policy/backends.go
@@ -9,39 +9,39 @@
 	"sagelever/internal/stats/decay"
 )
 
-// backend is one backend, with what the agent has seen of it.
+// backend is one backend with the agent's observations of it.
 type backend struct {
 	api.Backend
-	listed         bool      // the last list has it as up
-	stage          api.Stage // of the rollout when it was first listed
+	listed         bool      // up by the last list
+	stage          api.Stage // of the rollout when the backend was first listed
 	inFlight       int
-	owesSince      time.Duration // since when it owes a response, if attempts are in flight
+	awaitingSince  time.Duration // start of the oldest wait for a response, if attempts are in flight
 	lastAnswer     time.Duration
-	slowness       decay.Mean // ratio of its latency to the workload's mean
-	backlog        float64    // work in progress, by its last load report
+	slowness       decay.Mean // ratio of its latency to the workload's mean latency
+	backlog        float64    // work in progress by the last load report
 	loadReportedAt time.Duration
-	paceCredit     float64 // attempts that its slow start allows
-	paceCreditAt   time.Duration
+	paceTokens     float64 // attempts allowed during slow start
+	paceRefilledAt time.Duration
 
 	health           healthState
 	ejectedUntil     time.Duration
-	ejections        int // since it was last healthy
-	failureStreak    int // attempts in a row without any response
+	ejections        int // since the backend was last healthy
+	failureStreak    int // consecutive attempts without a response
 	faultRate        float64
-	unhealthyReports []unhealthyReport // of other agents, and this one, lately
-	broadcastAt      time.Duration     // when all were last told that it is unhealthy, 0 if not since it was healthy
+	unhealthyReports []unhealthyReport // of peers and this agent within healthReportWindow
+	broadcastAt      time.Duration     // last broadcast of its ejection, 0 if none since it was healthy
 
-	counts     arm // its part of its arm's counts
-	unreported arm // the part of it that other agents have not been told
+	counts     arm // part of its arm's counts
+	unreported arm // part of counts that was not sent to peers yet
 }
 
-// unhealthyReport says that an agent has found a backend unhealthy.
+// unhealthyReport records that an agent found a backend unhealthy.
 type unhealthyReport struct {
 	from api.PeerNumber
 	at   time.Duration
 }
 
-// addUnhealthyReport adds an agent's report and gives the number of agents with a report within the window.
+// addUnhealthyReport adds an agent's report and returns the number of agents with a report within the window.
 func (backend *backend) addUnhealthyReport(from api.PeerNumber, now time.Duration) int {
 	replaced := func(r unhealthyReport) bool { return r.from == from || now-r.at > healthReportWindow }
 	recent := slices.DeleteFunc(backend.unhealthyReports, replaced)
@@ -49,8 +49,8 @@
 	return len(backend.unhealthyReports)
 }
 
-// recovered notes that a backend is healthy again, and reports it if it was reported as unhealthy.
-func (b *Balancer) recovered(backend *backend) {
+// reportRecovery resets a recovered backend's ejection state and reports the recovery if the ejection was broadcast.
+func (b *Balancer) reportRecovery(backend *backend) {
 	backend.ejections, backend.faultRate = 0, 0
 	if backend.broadcastAt > 0 {
 		backend.broadcastAt = 0
@@ -58,12 +58,17 @@
 	}
 }
 
-// recentlyBroadcast reports whether all agents were told within the window that a backend is unhealthy.
+// recentlyBroadcast reports whether a backend's ejection was broadcast within the window.
 func (b *Balancer) recentlyBroadcast(backend *backend) bool {
 	return backend.broadcastAt > 0 && b.now-backend.broadcastAt <= healthReportWindow
 }
 
-// ejectedCount is how many listed backends are not healthy.
+// available reports whether the backend may be chosen before the fallback candidates.
+func (backend *backend) available() bool {
+	return backend.health == healthy || backend.health == probing && backend.inFlight == 0
+}
+
+// ejectedCount returns the number of listed backends that are not healthy.
 func (b *Balancer) ejectedCount() int {
 	count := 0
 	for _, backend := range b.ordered {
@@ -74,7 +79,7 @@
 	return count
 }
 
-// applyList brings the backends up to date with a list.
+// applyList updates the backends from a list.
 func (b *Balancer) applyList(update api.BackendUpdate) {
 	if update.Kind != api.UpdateIncremental {
 		for _, known := range b.ordered {
@@ -92,19 +97,19 @@
 	sort.Slice(b.ordered, func(i, j int) bool { return b.ordered[i].ID < b.ordered[j].ID })
 }
 
-// replaceBackend takes up a new backend. One that has restarted, or has another build under an old id, is new: what
-// was known of its health is void, and what the old one still owes ends there.
+// replaceBackend adds a new backend. A backend that restarted, or runs another build under an old ID, is new: it starts
+// without health state, and attempts in flight end at the old one.
 func (b *Balancer) replaceBackend(old *backend, id api.BackendID) *backend {
 	if old != nil {
-		b.ordered = slices.DeleteFunc(b.ordered, func(x *backend) bool { return x == old })
+		b.ordered = slices.DeleteFunc(b.ordered, func(candidate *backend) bool { return candidate == old })
 	}
-	fresh := &backend{paceCredit: b.randomFloat(), paceCreditAt: b.now, stage: b.rollout.Stage}
-	b.backends[id] = fresh
-	b.ordered = append(b.ordered, fresh)
-	return fresh
+	added := &backend{paceTokens: b.randomFloat(), paceRefilledAt: b.now, stage: b.rollout.Stage}
+	b.backends[id] = added
+	b.ordered = append(b.ordered, added)
+	return added
 }
 
-// dropUnlisted forgets the backends that are gone and owe nothing.
+// dropUnlisted removes unlisted backends without attempts in flight, except for draining ones.
 func (b *Balancer) dropUnlisted() {
 	kept := b.ordered[:0]
 	b.listedCount = 0
@@ -121,13 +126,13 @@
 	b.ordered = kept
 }
 
-// attemptInterval is the mean time between this agent's attempts at one backend.
+// attemptInterval returns the mean time between the agent's attempts at one backend.
 func (b *Balancer) attemptInterval() time.Duration {
-	const minRate = 1e-3 // a second
+	const minRate = 1e-3 // transactions a second
 	return time.Duration(float64(b.listedCount) / max(b.rate(&b.demand), minRate) * float64(time.Second))
 }
 
-// meanLoad is the mean load of the healthy backends that run earlier builds, 0 if there are none.
+// meanLoad returns the mean load of the healthy baseline backends, 0 if there are none.
 func (b *Balancer) meanLoad() float64 {
 	sum, count := 0.0, 0.0
 	for _, backend := range b.ordered {
@@ -139,7 +144,16 @@
 	return sum / max(count, 1)
 }
 
-// trialCapacityShare is the share of the trial's backends in the capacity of all listed ones.
+// capacityShare returns the minimum share of its full capacity that a backend has at its age.
+func (b *Balancer) capacityShare(backend *backend) float64 {
+	age, total, initial := b.now-backend.Started, b.settings.slowStart, b.settings.slowStartFrom
+	if age < total {
+		return initial + (1-initial)*max(0, float64(age)/float64(total))
+	}
+	return 1
+}
+
+// trialCapacityShare returns the share of the trial's backends in the capacity of all listed backends.
 func (b *Balancer) trialCapacityShare() float64 {
 	var capacity [2]float64
 	for _, backend := range b.ordered {
--- a/internal/agent/policy/balancer.go
+++ b/internal/agent/policy/balancer.go
@@ -7,32 +7,32 @@
 	"sagelever/internal/stats/decay"
 )
 
-// Balancer is the state of one agent. It is not safe for use by several goroutines.
+// Balancer is the state of one agent. It is not safe for concurrent use.
 type Balancer struct {
 	settings    settings
-	now         time.Duration // of the event that is being handled
-	actions     []api.Action  // that answer the event so far
+	now         time.Duration // time of the current event
+	actions     []api.Action  // returned for the current event
 	randomState uint64
 	timers      map[api.TimerID]func()
 	lastTimer   api.TimerID // 0 before the first event
 
-	// Backends. ordered holds them by id, so that the same events lead to the same actions.
+	// Backends. ordered is sorted by ID, so that the same events lead to the same actions.
 	backends      map[api.BackendID]*backend
 	ordered       []*backend
 	listedCount   int
-	healthReports [healthReportKinds][]api.BackendID // not sent yet
+	healthReports [healthReportKinds][]api.BackendID // pending
 
 	// Discovery.
-	nextWatchAt    time.Duration // no list is requested before
-	watchedAt      time.Duration // when a list was last requested
-	listReceived   bool          // a list has come since
+	nextWatchAt    time.Duration // earliest next watch request
+	watchedAt      time.Duration // last watch request
+	listReceived   bool          // since the last watch request
 	listReceivedAt time.Duration
 
 	// Transactions.
 	workloads    map[api.Workload]*workload
 	flows        map[flowKey]*flow
 	transactions map[api.TransactionID]*transaction // without a final answer
-	unfinished   map[api.TransactionID]*transaction // answered, with attempts still in flight
+	unfinished   map[api.TransactionID]*transaction // answered, but with attempts in flight
 	queue        []*transaction
 	demand       decay.Sum
 	latency      decay.Mean // of all responses
@@ -41,38 +41,38 @@
 	// The exposure rule.
 	accepted    decay.SlidingWindow // transactions
 	exposure    map[exposureKey]*decay.SlidingWindow
-	keyBuilds   map[api.AffinityKey]api.Build  // the newest build that has answered a key
-	unconfirmed map[api.AffinityKey][]*attempt // attempts in flight whose answer may bind their key
-	boundShare  decay.Mean                     // share of transactions that are bound to the build on trial
+	keyBuilds   map[api.AffinityKey]api.Build  // newest build that answered a key
+	unconfirmed map[api.AffinityKey][]*attempt // attempts in flight whose answers may bind the key
+	boundShare  decay.Mean                     // share of transactions whose key is bound
 	trialQuota  float64                        // first attempts that the trial may get
 
-	// The rollout as the platform tells it.
-	rolloutKnown   bool
-	rollout        api.RolloutUpdate
-	rolloutLags    bool              // an older state was told after the newest one
-	laggingRollout api.RolloutUpdate // that older state
-	trialBuild     api.Build         // the build that the arms compare with the earlier ones
-	stageGuess     api.Stage         // by which the stage may be past the one told
+	// The rollout by the platform's updates.
+	rolloutKnown      bool
+	rollout           api.RolloutUpdate
+	olderRolloutBinds bool // an older state was received after the newest one
+	olderRollout      api.RolloutUpdate
+	trialBuild        api.Build // compared with the earlier builds
+	stageOffset       api.Stage // added to the stage to vote on, after a stale vote
 
-	// The comparison of the builds, and the vote.
+	// The comparison of the builds and the vote.
 	arms                           [2]arm
 	vote                           vote
-	lastReport                     time.Duration // of counts, to the agents that judge
-	recentPayoff, baselinePayoff   decay.Mean    // over both arms: lately, and before the trial
-	throughput, baselineThroughput decay.Mean    // responses a second: lately, and before the trial
-	throughputSince                time.Duration // since when responses are being counted
-	throughputCount                float64       // of responses since then
-	harmSince                      time.Duration // until when nothing was harmed
-	blamed                         bool          // the trial harms all backends alike, as last judged
-	blamedUntil                    time.Duration
-	doubtUntil                     time.Duration // no vote to advance is cast before
-	trialPaused                    bool          // the trial gets nothing, to see which harm goes away
+	lastReport                     time.Duration // of counts, to the voting agents
+	recentPayoff, baselinePayoff   decay.Mean    // of both arms: recent, and before the trial
+	throughput, baselineThroughput decay.Mean    // responses a second: recent, and before the trial
+	throughputSince                time.Duration // start of the current span
+	throughputCount                float64       // responses in the current span
+	degradedSince                  time.Duration // time of the last verdict without degradation
+	trialDegradesFleet             bool          // result of the last detectFleetDegradation
+	degradesFleetUntil             time.Duration
+	suspectUntil                   time.Duration // earliest next vote to advance
+	trialPaused                    bool          // the trial gets no first attempts, to find the cause of degradation
 }
 
-// retryBudget counts retries: those that transactions have earned, those started, and those that succeeded.
-type retryBudget struct{ earned, tried, won decay.Sum }
+// retryBudget counts the retries earned by transactions, those started and those that succeeded.
+type retryBudget struct{ earned, started, succeeded decay.Sum }
 
-// New makes an agent. The same seed, settings and events always lead to the same actions.
+// New returns a Balancer. The same seed, settings and events always lead to the same actions.
 func New(seed uint64, deploymentSettings map[string]any) *Balancer {
 	return &Balancer{
 		settings:     newSettings(deploymentSettings),
@@ -89,8 +89,8 @@
 	}
 }
 
-// Step takes one event, which happened at now since the agent's start, and returns the actions that answer it, to be
-// carried out in order. Calls come one at a time, and now never goes back.
+// Step handles one event and returns the resulting actions, to be executed in order. now is the time of the event since
+// the agent's start and must not decrease between calls.
 func (b *Balancer) Step(now time.Duration, event api.Event) []api.Action {
 	b.now, b.actions = now, nil
 	if b.lastTimer == 0 {
@@ -118,7 +118,7 @@
 	return b.actions
 }
 
-// stepTransaction handles the events that belong to one transaction.
+// stepTransaction handles events of a single transaction.
 func (b *Balancer) stepTransaction(event api.Event) {
 	switch e := event.(type) {
 	case api.TransactionAccepted:
@@ -137,42 +137,42 @@
 	}
 }
 
-// start requests the first list and begins the heartbeat.
+// start requests the first list and starts the heartbeat.
 func (b *Balancer) start() {
 	timeout := b.settings.watchTimeout
 	b.nextWatchAt, b.watchedAt, b.listReceivedAt = timeout, -timeout, -timeout
 	b.scheduleWatch()
-	if b.settings.discovery == discoveryAsked && !b.watchUnconfirmed() {
+	if b.settings.discovery == discoveryOnRequest && !b.watchUnconfirmed() {
 		b.emit(api.WatchBackends{On: true})
 	}
 	b.heartbeat()
 }
 
-// watchUnconfirmed reports whether a request to discovery may be lost without notice, so that it has to be repeated.
+// watchUnconfirmed reports whether a watch request may be lost without an error and therefore has to be repeated.
 func (b *Balancer) watchUnconfirmed() bool {
-	return b.settings.discovery == discoveryAsked && b.settings.watchUnsure
+	return b.settings.discovery == discoveryOnRequest && b.settings.watchMayBeLost
 }
 
 func (b *Balancer) emit(action api.Action) { b.actions = append(b.actions, action) }
 
-// schedule has a callback run after a delay.
+// schedule runs callback after a delay.
 func (b *Balancer) schedule(delay time.Duration, callback func()) {
 	b.lastTimer++
 	b.timers[b.lastTimer] = callback
 	b.emit(api.SetTimer{After: max(delay, 0), Timer: b.lastTimer})
 }
 
-// rate is how many transactions a second a demand has, also when less time has passed than its sum reaches back.
+// rate returns the transactions a second of a demand, corrected for the time since the agent's start.
 func (b *Balancer) rate(demand *decay.Sum) float64 {
 	return ratePerSecond(demand.Value(b.now, demandHalfLife), b.now)
 }
 
-// mean is a decaying mean as of now, 0 if nothing has been added to it.
+// mean returns a decaying mean as of now, 0 if it is empty.
 func (b *Balancer) mean(m *decay.Mean, halfLife time.Duration) float64 {
 	return m.Estimate(b.now, halfLife, 0, 0)
 }
 
-// indicator is 1 for true and 0 for false.
+// indicator returns 1 for true and 0 for false.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
--- a/internal/agent/policy/decide.go
+++ b/internal/agent/policy/decide.go
@@ -7,7 +7,7 @@
 	"sagelever/internal/agent/api"
 )
 
-// The transitions of the state machines: state, input, next state, effect. Other inputs are ignored.
+// The rows are state, input, next state and effect. An input without a row for the current state is ignored.
 func init() {
 	transactionTransitions = []transition[transactionState, transactionInput, *transaction]{
 		{queued, accepted, queued, (*Balancer).place},
@@ -18,17 +18,17 @@
 		{inFlight, hedgeDue, inFlight, (*Balancer).hedge},
 		{inFlight, responseStarted, streaming, (*Balancer).cancelOthers},
 		{streaming, attemptsFailed, finished, (*Balancer).giveUp},
-		{streaming, transactionClosed, finished, (*Balancer).forget},
+		{streaming, transactionClosed, finished, (*Balancer).removeTransaction},
 		{queued, deadlineNear, finished, (*Balancer).giveUp},
 		{inFlight, deadlineNear, finished, (*Balancer).giveUp},
-		{queued, transactionClosed, finished, (*Balancer).forget},
-		{inFlight, transactionClosed, finished, (*Balancer).forget},
+		{queued, transactionClosed, finished, (*Balancer).removeTransaction},
+		{inFlight, transactionClosed, finished, (*Balancer).removeTransaction},
 	}
 	healthTransitions = []transition[healthState, healthInput, *backend]{
 		{healthy, foundUnhealthy, ejected, (*Balancer).eject},
 		{ejected, ejectionExpired, probing, nil},
 		{probing, foundUnhealthy, ejected, (*Balancer).eject},
-		{probing, foundHealthy, healthy, (*Balancer).recovered},
+		{probing, foundHealthy, healthy, (*Balancer).reportRecovery},
 		{healthy, peersFoundUnhealthy, ejected, nil},
 		{probing, peersFoundUnhealthy, ejected, nil},
 		{ejected, peerFoundHealthy, probing, nil},
@@ -38,7 +38,7 @@
 		{voteCounted, verdictChanged, votePending, (*Balancer).castVote},
 		{votePending, voteAccepted, voteCounted, nil},
 		{votePending, voteRefused, voteNone, (*Balancer).delayVote},
-		{votePending, voteOutdated, voteNone, (*Balancer).guessStage},
+		{votePending, voteOutdated, voteNone, (*Balancer).toggleStageOffset},
 		{votePending, voteExpired, voteNone, nil},
 		{voteCounted, voteExpired, votePending, (*Balancer).castVote},
 	}
@@ -46,12 +46,15 @@
 
 const heartbeatInterval = 20 * time.Millisecond // a few ticks of the wire, far below any goal time
 
-// heartbeat ejects silent backends (hung, cut off, crashed), adapts the limits and sends what is due.
+const silenceLatencies, minSilence = 4, 300 * time.Millisecond // multiple of the recent latency; minimum
+
+// heartbeat ejects backends that stopped answering (hung, partitioned, crashed), adjusts the limits and sends
+// due messages and votes.
 func (b *Balancer) heartbeat() {
 	b.schedule(heartbeatInterval, b.heartbeat)
 	for _, backend := range b.ordered {
-		silence := b.now - max(backend.lastAnswer, backend.owesSince)
-		if backend.inFlight > 0 && silence > max(4*b.usualLatency(), 300*time.Millisecond) {
+		silence := b.now - max(backend.lastAnswer, backend.awaitingSince)
+		if backend.inFlight > 0 && silence > max(silenceLatencies*b.recentLatency(), minSilence) {
 			b.advanceHealth(backend, foundUnhealthy)
 		}
 		if backend.health == ejected && b.now >= backend.ejectedUntil {
@@ -68,34 +71,41 @@
 	b.updateVote()
 }
 
-// reportCounts sends the outcomes counted since the last report to the agents that judge: twice a second,
-// less often with little traffic, so that it costs at most a quarter of a full message for each transaction.
+const minReportSeconds, messagesPerTransaction = 0.5, 0.25 // the latter in messages of maxMessageSize
+
+// reportCounts sends the outcomes counted since the last report to the voting agents, at most twice a second.
+// With little traffic it sends less often, which bounds the message volume for each transaction.
 func (b *Balancer) reportCounts() {
-	judges, size := b.judgeCount(), b.reportSize()
-	minInterval := float64(judges*size) / 256 / 0.25 / b.rate(&b.demand)
-	if !b.settings.mayMessage || size == 0 || (b.now-b.lastReport).Seconds() < max(0.5, minInterval) {
+	voters, size := b.voterCount(), b.reportSize()
+	minInterval := float64(voters*size) / maxMessageSize / messagesPerTransaction / b.rate(&b.demand)
+	if !b.settings.mayMessage || size == 0 ||
+		(b.now-b.lastReport).Seconds() < max(minReportSeconds, minInterval) {
 		return
 	}
 	data := b.reportMessage()
 	b.lastReport = b.now
-	b.sendToFirst(judges, data)
+	b.sendToFirst(voters, data)
 }
 
-// adjustLimit adapts how many attempts of one flow (a workload of one customer) may be in flight. It holds
-// latency at 0.33 of the goal, as what is slower queues at the backends; but the limit grows not far past its
-// use, and never falls below what a latency of a sixth of the goal has in flight.
+const targetLatencyRatio = 0.33                    // of latency to goal; more indicates queueing at backends
+const limitDecrease, limitIncrease = 0.97, 1.03    // factors for each heartbeat
+const limitPerInFlight, limitPerBackend = 1.5, 2.0 // bound the limit to a multiple of its use
+const minLimitGoalDivisor = 6                      // the limit admits the demand at a latency of goal/6
+
+// adjustLimit adjusts how many attempts of one flow may be in flight, by the ratio of latency to the goal.
 func (b *Balancer) adjustLimit(f *flow) {
-	if f.latencyRatio.Estimate(b.now, latencyRatioHalfLife, 0, 1) > 0.33 {
-		f.limit *= 0.97
+	if f.latencyRatio.Estimate(b.now, latencyRatioHalfLife, 0, 1) > targetLatencyRatio {
+		f.limit *= limitDecrease
 	} else {
-		f.limit = min(f.limit*1.03, 1.5*float64(f.inFlight)+2*float64(len(b.ordered)))
+		f.limit = min(f.limit*limitIncrease,
+			limitPerInFlight*float64(f.inFlight)+limitPerBackend*float64(len(b.ordered)))
 	}
-	f.limit = max(f.limit, b.rate(&f.demand)*f.workload.goal.Seconds()/6)
+	f.limit = max(f.limit, b.rate(&f.demand)*f.workload.goal.Seconds()/minLimitGoalDivisor)
 }
 
-const latencyRatioHalfLife = 400 * time.Millisecond // a few responses long, yet shorter than a burst
+const latencyRatioHalfLife = 400 * time.Millisecond // several responses, but shorter than a burst
 
-// retryQueued tries to place queued transactions again, those with the most payoff for their work first.
+// retryQueued retries the placement of queued transactions, in descending order of payoff per unit of work.
 func (b *Balancer) retryQueued() {
 	waiting := b.queue
 	b.queue = nil
@@ -111,10 +121,12 @@
 	}
 }
 
-// updateBackends takes up a list. A drain or a departure holds at once, without use of the drain's grace.
+const watchRetryDelay, watchRetryJitterMS = time.Second, 1000 // after discovery was unavailable
+
+// updateBackends applies a list. Drains and removals take effect immediately; the grace period is not used.
 func (b *Balancer) updateBackends(update api.BackendUpdate) {
 	if update.Kind == api.UpdateUnavailable {
-		wait := time.Second + time.Duration(b.randomBelow(1000))*time.Millisecond
+		wait := watchRetryDelay + time.Duration(b.randomBelow(watchRetryJitterMS))*time.Millisecond
 		b.schedule(wait, func() { b.emit(api.WatchBackends{On: true}) })
 		return
 	}
@@ -125,8 +137,8 @@
 	b.switchTrialBuild()
 }
 
-// retryWatch repeats the watch until a list has come, as an overloaded discovery rejects calls, unseen on
-// sockets: once in the time after which an agent counts as informed.
+// retryWatch repeats the watch request, about once in watchTimeout, until a list arrives: an overloaded
+// discovery rejects calls, and on sockets the agent gets no error for that.
 func (b *Balancer) retryWatch() {
 	if b.now >= b.nextWatchAt && !b.listReceived && b.watchUnconfirmed() {
 		jitter := time.Duration(b.randomFloat() * float64(b.settings.watchTimeout) / 2)
@@ -135,8 +147,8 @@
 	}
 }
 
-// scheduleWatch has the watch repeated within half of that time, at random, at the start and when a backend
-// is unreachable; not again soon after a call or list, as all agents do so at once.
+// scheduleWatch schedules a watch request at a random time within half of watchTimeout, at the start and when
+// a backend is unreachable. All agents do so at the same time, so a recent request or list suppresses it.
 func (b *Balancer) scheduleWatch() {
 	half := b.settings.watchTimeout / 2
 	if b.now-max(b.listReceivedAt, b.watchedAt) >= half && b.nextWatchAt > b.now+half {
--- a/internal/agent/policy/health.go
+++ b/internal/agent/policy/health.go
@@ -7,38 +7,34 @@
 	"sagelever/internal/agent/api"
 )
 
-// capacityShare is the least share of its full capacity that a backend has at its age.
-func (b *Balancer) capacityShare(backend *backend) float64 {
-	age, total, from := b.now-backend.Started, b.settings.slowStart, b.settings.slowStartFrom
-	if age < total {
-		return from + (1-from)*max(0, float64(age)/float64(total))
-	}
-	return 1
-}
+const paceBurstDivisor = 4 // tokens accumulate for at most 1/4 s
 
-// withinPace reports whether one more attempt keeps a backend below a multiple of this agent's even share.
-// The first credit is random, so that the small shares of hundreds of agents add up to the whole.
+// withinPace reports whether the backend's token bucket has a token. It refills at a multiple of the even
+// share and starts at a random level, so that the fractional shares of many agents add up to the full rate.
 func (b *Balancer) withinPace(backend *backend, multiple float64) bool {
 	share := multiple * b.rate(&b.demand) / float64(max(b.listedCount, 1)) // a second
-	backend.paceCredit = min(backend.paceCredit+share*(b.now-backend.paceCreditAt).Seconds(), max(1, share/4))
-	backend.paceCreditAt = b.now
-	return backend.paceCredit >= 1
+	backend.paceTokens = min(backend.paceTokens+share*(b.now-backend.paceRefilledAt).Seconds(),
+		max(1, share/paceBurstDivisor))
+	backend.paceRefilledAt = b.now
+	return backend.paceTokens >= 1
 }
 
-// slowStartAllows keeps agents, which do not ask each other, from overloading a backend together. A warm one
-// bears the even share, so even shares times its capacity are less than it can do: 1.4, as fleets run below
-// 0.7 of theirs, and at most 0.7 of the multiple at which a backend fails.
+// Multiples of the even share, as fleets run below 0.7 of capacity, and of the load at which a backend fails.
+const slowStartMultiple, overloadShare = 1.4, 0.7
+
+// slowStartAllows paces attempts at a warming backend, which agents without coordination could overload. A
+// warm one sustains slowStartMultiple of the even share; a warming one sustains its capacity share of that.
 func (b *Balancer) slowStartAllows(backend *backend) bool {
 	capacity := b.capacityShare(backend)
-	return capacity >= 1 || b.withinPace(backend, min(1.4, 0.7*b.settings.overloadFactor)*capacity)
+	return capacity >= 1 || b.withinPace(backend,
+		min(slowStartMultiple, overloadShare*b.settings.overloadFactor)*capacity)
 }
 
-// available reports whether a backend should be used while others are there too.
-func (backend *backend) available() bool {
-	return backend.health == healthy || backend.health == probing && backend.inFlight == 0
-}
+const maxLatencyRatio = 2.0                       // of latency to the goal, as one observation
+const faultRateDecay, faultRateGain = 0.8, 0.2    // for each response
+const maxFailureStreak, failingFaultRate = 3, 0.6 // attempts; share of errors, reached by five in a row
 
-// observe learns from one outcome: latency, health, load, and the evidence on the backend's build.
+// observe records the latency, health, load and build evidence of one outcome.
 func (b *Balancer) observe(tx *transaction, attempt *attempt, event api.AttemptEnded) {
 	backend := attempt.backend
 	if event.Load != nil {
@@ -47,18 +43,18 @@
 	if backendResponded(event.Outcome) {
 		backend.lastAnswer, backend.failureStreak = b.now, 0
 	}
-	ratio := min(event.Elapsed.Seconds()/tx.workload.goal.Seconds(), 2)
+	ratio := min(event.Elapsed.Seconds()/tx.workload.goal.Seconds(), maxLatencyRatio)
 	switch event.Outcome {
 	case api.Succeeded:
 		tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, ratio)
-		backend.faultRate *= 0.8
+		backend.faultRate *= faultRateDecay
 		b.recordLatency(tx.workload, backend, event.Elapsed)
 		b.advanceHealth(backend, foundHealthy)
 	case api.ErrorResponse, api.Rejected, api.MalformedResponse:
-		if event.Outcome == api.Rejected { // a full backend is as bad as a response at the goal time
+		if event.Outcome == api.Rejected { // counts as latency at the goal
 			tx.flow.latencyRatio.Add(b.now, latencyRatioHalfLife, 1)
 		}
-		backend.faultRate = 0.8*backend.faultRate + 0.2
+		backend.faultRate = faultRateDecay*backend.faultRate + faultRateGain
 	case api.TimedOut, api.Unreachable, api.ConnectionLost:
 		if event.Outcome == api.Unreachable {
 			b.scheduleWatch()
@@ -72,39 +68,43 @@
 		b.discardCounts(backend)
 	}
 	streak := backend.failureStreak
-	if backend.failing() || streak >= 3 || backend.health == probing && streak > 0 {
+	if backend.failing() || streak >= maxFailureStreak || backend.health == probing && streak > 0 {
 		b.advanceHealth(backend, foundUnhealthy)
 	}
-	b.weighOutcome(tx, attempt, event)
+	b.addEvidence(tx, attempt, event)
 }
 
-// learnFromPeer takes outcomes that another agent reports: its own may be too few to show a bad backend.
-func (b *Balancer) learnFromPeer(backend *backend, counts arm) {
-	old := math.Pow(0.8, counts.outcomes) // as much as the same outcomes would leave, had they been its own
-	backend.faultRate = old*backend.faultRate + (1-old)*counts.faults/counts.outcomes
+// applyPeerCounts adds outcomes reported by another agent; the agent's own may be too few to detect a fault.
+func (b *Balancer) applyPeerCounts(backend *backend, counts arm) {
+	decayed := math.Pow(faultRateDecay, counts.outcomes) // as after the same number of own outcomes
+	backend.faultRate = decayed*backend.faultRate + (1-decayed)*counts.faults/counts.outcomes
 	if backend.failing() {
 		b.discardCounts(backend)
 		b.advanceHealth(backend, foundUnhealthy)
 		return
 	}
-	b.creditOutcome(backend, counts)
+	b.addOutcomes(backend, counts)
 }
 
-// eject lasts half a second, or half the time between attempts up to five, doubled thrice at most.
+const minEjection, maxEjection, maxEjectionDoublings = 500 * time.Millisecond, 5 * time.Second, 3
+
+// eject ejects the backend for half the interval between attempts, within bounds and doubled on repetition.
 func (b *Balancer) eject(backend *backend) {
-	period := min(max(500*time.Millisecond, b.attemptInterval()/2), 5*time.Second)
-	backend.ejectedUntil = b.now + period<<min(backend.ejections, 3)
+	period := min(max(minEjection, b.attemptInterval()/2), maxEjection)
+	backend.ejectedUntil = b.now + period<<min(backend.ejections, maxEjectionDoublings)
 	backend.ejections, backend.failureStreak = backend.ejections+1, 0
-	if !b.recentlyBroadcast(backend) { // else all agents know
+	if !b.recentlyBroadcast(backend) {
 		b.healthReports[reportUnhealthy] = append(b.healthReports[reportUnhealthy], backend.ID)
 	}
-	b.noteUnhealthyReport(backend, b.peerNumber())
+	b.handleUnhealthyReport(backend, b.peerNumber())
 }
 
-const healthReportWindow = 500 * time.Millisecond // within it all who use an unhealthy backend find out
+const healthReportWindow = 500 * time.Millisecond // all users of an unhealthy backend detect it in that time
+
+const healthReportReceivers = 6 // agents
 
-// reportHealth reports backends found unhealthy to the first six agents, and those found healthy or confirmed
-// unhealthy to all, else each agent would find out by a lost attempt of its own.
+// reportHealth reports unhealthy backends to the first agents, and recovered or confirmed unhealthy ones to
+// all: otherwise each agent would lose an attempt of its own to detect the state.
 func (b *Balancer) reportHealth() {
 	for kind, ids := range b.healthReports {
 		b.healthReports[kind] = nil
@@ -113,17 +113,19 @@
 		case healthReportKind(kind) != reportUnhealthy:
 			b.emit(api.SendMessage{All: true, Data: healthMessage(healthReportKind(kind), ids)})
 		default:
-			b.sendToFirst(min(6, int(b.settings.agents)), healthMessage(reportUnhealthy, ids))
+			b.sendToFirst(min(healthReportReceivers, int(b.settings.agents)), healthMessage(reportUnhealthy, ids))
 		}
 	}
 }
 
-// noteUnhealthyReport takes one agent's report. Slow responses often pass for silence in a fleet, so it takes
-// half as many agents as attempts there in the window, and three at least. The first to see them tells all.
-func (b *Balancer) noteUnhealthyReport(backend *backend, from api.PeerNumber) {
+const minUnhealthyReports = 3 // agents
+
+// handleUnhealthyReport counts an agent's report. Slow responses are often mistaken for silence, so half as
+// many agents as attempts in the window must report. The first agent to count enough reports notifies all.
+func (b *Balancer) handleUnhealthyReport(backend *backend, from api.PeerNumber) {
 	reports := backend.addUnhealthyReport(from, b.now)
 	rate := b.rate(&b.demand) * b.settings.agents / float64(max(b.listedCount, 1))
-	if float64(reports) < max(3, rate*healthReportWindow.Seconds()/2) {
+	if float64(reports) < max(minUnhealthyReports, rate*healthReportWindow.Seconds()/2) {
 		return
 	}
 	b.schedule(time.Duration(b.peerNumber())*heartbeatInterval, func() {
@@ -134,16 +136,19 @@
 	})
 }
 
-// ejectOnReports ejects a backend on others' reports, if it has not just answered and few others are ejected.
+// Ejections on reports last longer than the reporting agents' own, so that those probe the backend first.
+const peerEjection, peerEjectionJitterMS, recentAnswer = time.Second, 1000, 150 * time.Millisecond
+
+// ejectOnReports ejects a backend reported by peers, unless it answered recently or half of all are ejected.
 func (b *Balancer) ejectOnReports(backend *backend) {
 	backend.broadcastAt = b.now
-	if b.now-backend.lastAnswer > 150*time.Millisecond && 2*b.ejectedCount() < b.listedCount {
+	if b.now-backend.lastAnswer > recentAnswer && 2*b.ejectedCount() < b.listedCount {
 		b.advanceHealth(backend, peersFoundUnhealthy)
-		jitter := time.Duration(b.randomBelow(1000)) * time.Millisecond
-		backend.ejectedUntil = b.now + time.Second + jitter // those who found it try it first
+		jitter := time.Duration(b.randomBelow(peerEjectionJitterMS)) * time.Millisecond
+		backend.ejectedUntil = b.now + peerEjection + jitter
 	}
 }
 
-// failing reports whether most of the last responses were errors; five in a row will do. A bad build fails a
-// third or one workload: a backend that fails most is itself unhealthy, and does not count for its build.
-func (backend *backend) failing() bool { return backend.faultRate >= 0.6 }
+// failing reports whether most of the recent responses were errors. A bad build fails about a third of its
+// requests or one workload, so a backend above that rate is itself faulty and no evidence on its build.
+func (backend *backend) failing() bool { return backend.faultRate >= failingFaultRate }
--- a/internal/agent/policy/machine.go
+++ b/internal/agent/policy/machine.go
@@ -1,21 +1,21 @@
 package policy
 
-// transition is one row of a state machine's table: in this state, this input leads to the next state and its effect.
+// transition is one row of a state machine's table: in state, input leads to next and runs effect.
 type transition[S, I comparable, T any] struct {
 	state  S
 	input  I
 	next   S
-	effect func(*Balancer, T) // nil if there is none; it runs in the next state
+	effect func(*Balancer, T) // may be nil; runs after the change of state
 }
 
-// The tables of the three state machines. init in decide.go fills them, as their effects refer to them.
+// The tables of the three state machines. They are filled by init in decide.go, because their effects refer to them.
 var (
 	transactionTransitions []transition[transactionState, transactionInput, *transaction]
 	healthTransitions      []transition[healthState, healthInput, *backend]
 	voteTransitions        []transition[voteState, voteInput, *vote]
 )
 
-// advance puts an input to a state machine. An input without a row for the present state changes nothing.
+// advance applies an input to a state machine. An input without a row for the current state is ignored.
 func advance[S, I comparable, T any](b *Balancer, table []transition[S, I, T], state *S, input I, subject T) {
 	for _, row := range table {
 		if row.state != *state || row.input != input {
@@ -47,25 +47,25 @@
 const (
 	queued    transactionState = iota // no attempt is in flight
 	inFlight                          // one attempt or more is in flight
-	streaming                         // its response has begun to arrive
-	finished                          // it has its final answer
+	streaming                         // the response has begun to arrive
+	finished                          // it has a final answer
 )
 
-// transactionInput is what happens to a transaction.
+// transactionInput is an input of the transaction state machine.
 type transactionInput int
 
 const (
 	accepted          transactionInput = iota
-	retryPlacement                     // a queued transaction is to be placed again
-	attemptStarted                     // an attempt has started
-	attemptsFailed                     // the last attempt in flight has failed
-	hedgeDue                           // the response is later than most
-	deadlineNear                       // the client's time is nearly up, or nothing more can be done
-	responseStarted                    // its response has begun to arrive
-	transactionClosed                  // it was answered, or its client left
+	retryPlacement                     // placement of a queued transaction is retried
+	attemptStarted                     // an attempt started
+	attemptsFailed                     // the last attempt in flight failed
+	hedgeDue                           // the first attempt is slow
+	deadlineNear                       // the client's timeout is near, or no further attempt is possible
+	responseStarted                    // the response has begun to arrive
+	transactionClosed                  // it was answered, or the client disconnected
 )
 
-// healthState is what this agent thinks of a backend.
+// healthState is the health of a backend by this agent's observations and peers' reports.
 type healthState int
 
 const (
@@ -74,15 +74,15 @@
 	probing             // gets one attempt at a time
 )
 
-// healthInput is what is learned about a backend.
+// healthInput is an input of the health state machine.
 type healthInput int
 
 const (
-	foundHealthy        healthInput = iota // it answered an attempt well
-	foundUnhealthy                         // this agent's own attempts show that it is unhealthy
-	ejectionExpired                        // its ejection has lasted long enough
-	peersFoundUnhealthy                    // enough other agents found it unhealthy
-	peerFoundHealthy                       // another agent found it healthy again
+	foundHealthy        healthInput = iota // an attempt succeeded
+	foundUnhealthy                         // this agent's own attempts indicate a fault
+	ejectionExpired                        // the ejection period is over
+	peersFoundUnhealthy                    // enough peers reported it as unhealthy
+	peerFoundHealthy                       // a peer reported its recovery
 )
 
 // voteState is the state of this agent's vote.
@@ -90,17 +90,17 @@
 
 const (
 	voteNone    voteState = iota
-	votePending           // the platform has not answered yet
+	votePending           // the platform has not answered
 	voteCounted           // the platform has counted it
 )
 
-// voteInput is what happens to this agent's vote.
+// voteInput is an input of the vote state machine.
 type voteInput int
 
 const (
 	verdictChanged voteInput = iota // the verdict differs from the vote that was cast
-	voteAccepted                    // the platform counted it
-	voteRefused                     // the platform did not count it
-	voteOutdated                    // it came too late for its build or stage
-	voteExpired                     // no answer came in time, or it is about to lapse
+	voteAccepted                    // the platform counted the vote
+	voteRefused                     // the platform did not count the vote
+	voteOutdated                    // the vote was stale for its build or stage
+	voteExpired                     // no answer arrived in time, or the vote is about to expire
 )
--- a/internal/agent/policy/messages.go
+++ b/internal/agent/policy/messages.go
@@ -6,34 +6,34 @@
 	"sagelever/internal/agent/api"
 )
 
-// Messages between agents are datagrams of at most 256 bytes, big-endian. There are two kinds, distinguished by their
-// length. A report of counts has the build on trial in two bytes and then records of ten bytes, so its length is 2 modulo
-// 10. A health report has its kind in one byte and then backend ids of four bytes, so its length is 1 modulo 4. The one is
-// even and the other odd.
+// Messages between agents are big-endian datagrams of at most 256 bytes. There are two kinds, distinguished by length.
+// A report of counts consists of the build on trial (two bytes) and records of ten bytes, so its length is 2 modulo 10,
+// which is even. A health report consists of its kind (one byte) and backend IDs of four bytes, so its length is 1
+// modulo 4, which is odd.
 const (
 	maxMessageSize   = 256
 	buildSize        = 2
-	recordSize       = 10 // backend id 4, arm (the top bit) and outcomes 2, twice the payoff 2, faults 2
+	recordSize       = 10 // backend ID 4, arm (top bit) and outcomes 2, doubled payoff 2, faults 2
 	maxReportSize    = maxMessageSize - buildSize - recordSize
 	kindSize         = 1
 	backendIDSize    = 4
 	minHealthReport  = kindSize + backendIDSize
 	maxHealthIDs     = (maxMessageSize - kindSize) / backendIDSize
-	armBit           = 15      // of a record's outcomes
-	maxCountInRecord = 1 << 14 // keeps twice a payoff within two bytes
+	armBit           = 15      // in a record's outcomes
+	maxCountInRecord = 1 << 14 // so that the doubled payoff fits in two bytes
 )
 
-// healthReportKind says what a health report is about; the values are those in the message.
+// healthReportKind is the kind of a health report. The values are part of the message format.
 type healthReportKind int
 
 const (
-	reportUnhealthy   healthReportKind = iota // this agent found them unhealthy
-	reportRecovered                           // this agent found them healthy again
-	reportConfirmed                           // enough agents found them unhealthy
-	healthReportKinds                         // how many kinds there are
+	reportUnhealthy   healthReportKind = iota // the sender found the backends unhealthy
+	reportRecovered                           // the sender found the backends healthy again
+	reportConfirmed                           // enough agents found the backends unhealthy
+	healthReportKinds                         // number of kinds
 )
 
-// sendToFirst sends a message to the agents with the lowest numbers, except for this one.
+// sendToFirst sends a message to the agents with the lowest numbers, excluding this one.
 func (b *Balancer) sendToFirst(agents int, data []byte) {
 	for to := range agents {
 		if to != int(b.peerNumber()) {
@@ -44,7 +44,7 @@
 
 func (b *Balancer) peerNumber() api.PeerNumber { return api.PeerNumber(b.settings.number) }
 
-// reportSize is the size of the report of the counts that other agents have not been told, 0 if there are none.
+// reportSize returns the size in bytes of the records in the next report of counts, 0 if there is nothing to report.
 func (b *Balancer) reportSize() int {
 	size := 0
 	for _, backend := range b.ordered {
@@ -55,8 +55,8 @@
 	return size
 }
 
-// reportMessage is the report of the counts that other agents have not been told, and marks them as told. What does
-// not fit waits for the next report.
+// reportMessage returns a report of the unreported counts and clears them. Counts that do not fit are left for the next
+// report.
 func (b *Balancer) reportMessage() []byte {
 	data := binary.BigEndian.AppendUint16(nil, uint16(b.trialBuild))
 	for _, backend := range b.ordered {
@@ -74,7 +74,7 @@
 	return data
 }
 
-// healthMessage is a health report on backends; those that do not fit are left out.
+// healthMessage returns a health report on backends, truncated to maxHealthIDs.
 func healthMessage(kind healthReportKind, ids []api.BackendID) []byte {
 	data := []byte{byte(kind)}
 	for _, id := range ids[:min(len(ids), maxHealthIDs)] {
@@ -83,7 +83,7 @@
 	return data
 }
 
-// receiveMessage takes a message of another agent. One that cannot be read, or is about another build, is ignored.
+// receiveMessage handles a message from another agent. Malformed messages and counts of another build are ignored.
 func (b *Balancer) receiveMessage(message api.MessageReceived) {
 	data := message.Data
 	if len(data) >= minHealthReport && len(data)%backendIDSize == kindSize {
@@ -98,7 +98,7 @@
 	}
 }
 
-// receiveCounts takes one record of a report.
+// receiveCounts handles one record of a report.
 func (b *Balancer) receiveCounts(record []byte) {
 	backend := b.backends[api.BackendID(binary.BigEndian.Uint32(record))]
 	armAndOutcomes := binary.BigEndian.Uint16(record[4:])
@@ -112,11 +112,11 @@
 		return
 	}
 	if counts.payoff+counts.faults <= counts.outcomes {
-		b.learnFromPeer(backend, counts)
+		b.applyPeerCounts(backend, counts)
 	}
 }
 
-// receiveHealthReport takes a health report.
+// receiveHealthReport handles a health report.
 func (b *Balancer) receiveHealthReport(message api.MessageReceived) {
 	kind := healthReportKind(message.Data[0])
 	for rest := message.Data[kindSize:]; len(rest) >= backendIDSize; rest = rest[backendIDSize:] {
@@ -126,7 +126,7 @@
 		}
 		switch kind {
 		case reportUnhealthy:
-			b.noteUnhealthyReport(backend, message.From)
+			b.handleUnhealthyReport(backend, message.From)
 		case reportConfirmed:
 			b.ejectOnReports(backend)
 		case reportRecovered:
--- a/internal/agent/policy/random.go
+++ b/internal/agent/policy/random.go
@@ -7,7 +7,7 @@
 	pcgIncrement  = 1442695040888963407
 )
 
-// randomBelow draws a number from 0 to n-1.
+// randomBelow returns a random integer in [0, n).
 func (b *Balancer) randomBelow(n int) int {
 	old := b.randomState
 	b.randomState = old*pcgMultiplier + pcgIncrement
@@ -17,7 +17,7 @@
 	return int(uint64(rotated) * uint64(n) >> 32)
 }
 
-// randomFloat draws a number from 0 to below 1.
+// randomFloat returns a random number in [0, 1).
 func (b *Balancer) randomFloat() float64 {
 	const resolution = 1 << 20
 	return float64(b.randomBelow(resolution)) / resolution
--- a/internal/agent/policy/rollout.go
+++ b/internal/agent/policy/rollout.go
@@ -8,17 +8,17 @@
 	"sagelever/internal/stats/decay"
 )
 
-// vote is this agent's vote on the build on trial.
+// vote is the agent's vote on the build on trial.
 type vote struct {
 	state     voteState
 	verdict   api.Verdict
 	build     api.Build
 	stage     api.Stage
 	castAt    time.Duration
-	notBefore time.Duration // no vote is cast before
+	notBefore time.Duration // earliest next vote
 }
 
-// castVote sends the vote to the platform, with a line for the log on the counts behind it.
+// castVote sends the vote to the platform and logs the counts that it is based on.
 func (b *Balancer) castVote(cast *vote) {
 	cast.castAt = b.now
 	b.emit(api.CastVote{Build: cast.build, Stage: cast.stage, Verdict: cast.verdict})
@@ -28,7 +28,7 @@
 func (b *Balancer) logVote(cast *vote) {
 	baseline, trial := b.withTally(baselineArm, b.arms[baselineArm]), b.withTally(trialArm, b.arms[trialArm])
 	verdict := []string{"no vote", "vote on", "vote hold", "vote back"}[cast.verdict]
-	if b.blamed {
+	if b.trialDegradesFleet {
 		verdict += ", all harmed,"
 	}
 	b.emit(api.LogLine{Text: fmt.Sprintf("%s: build %d stage %d: %.3f of %.0f, %.3f of %.0f, Z %.1f", verdict,
@@ -36,7 +36,8 @@
 		statistic(baseline, trial, 0))})
 }
 
-// receiveRollout takes the state of the newest build, or the answer to a vote, which brings that state if it counted.
+// receiveRollout handles the state of the newest build, or the answer to a vote, which includes that state if the vote
+// counted.
 func (b *Balancer) receiveRollout(update api.RolloutUpdate) {
 	input := voteRefused
 	switch {
@@ -51,19 +52,19 @@
 	if input != voteAccepted {
 		return
 	}
-	b.rolloutLags = b.rolloutKnown && outdated(update, b.rollout)
-	if b.rolloutLags { // the rules go by what was told last; decisions do not
-		b.laggingRollout = update
+	b.olderRolloutBinds = b.rolloutKnown && outdated(update, b.rollout)
+	if b.olderRolloutBinds { // the exposure rule applies to the last state received, but decisions use the newest
+		b.olderRollout = update
 		return
 	}
-	b.rollout, b.rolloutKnown, b.stageGuess = update, true, 0
+	b.rollout, b.rolloutKnown, b.stageOffset = update, true, 0
 	b.dropOldKeys()
 	b.switchTrialBuild()
 	b.updateVote()
 }
 
-// outdated reports whether one state of the newest build came before another. A higher build is a newer one, and a
-// build's stages rise until it is released or, at any time, rolled back.
+// outdated reports whether update is an earlier state than current. A higher build is newer, and a build's stage
+// increases until the build is released or, at any time, rolled back.
 func outdated(update, current api.RolloutUpdate) bool {
 	if update.Build != current.Build {
 		return update.Build < current.Build
@@ -74,17 +75,17 @@
 	return update.Stage < current.Stage
 }
 
-// trialIsOpen reports whether the newest build is the one that the arms compare, and is not being taken back.
+// trialIsOpen reports whether the arms compare the newest build and it is not rolled back.
 func (b *Balancer) trialIsOpen() bool {
 	return b.trialBuild == b.rollout.Build && !rollsBack(b.rollout.Phase)
 }
 
-// rollsBack reports whether a build in a phase is being taken back, or was.
+// rollsBack reports whether a build in the phase is being rolled back or was withdrawn.
 func rollsBack(phase api.Phase) bool {
 	return phase == api.PhaseRollingBack || phase == api.PhaseWithdrawn
 }
 
-// phaseOrder returns the order in which a build goes through the phases.
+// phaseOrder returns the rank of a phase in a build's life cycle.
 func phaseOrder(phase api.Phase) int {
 	switch phase {
 	case api.PhaseReleased:
@@ -97,18 +98,34 @@
 	return 0
 }
 
-// bindingRollouts are the states that the exposure rule may go by: the newest one, and an older one told after it.
+// bindingRollouts returns the states that the exposure rule may apply to: the newest one, and an older one received
+// after it.
 func (b *Balancer) bindingRollouts() []api.RolloutUpdate {
 	switch {
 	case !b.rolloutKnown:
 		return nil
-	case b.rolloutLags:
-		return []api.RolloutUpdate{b.rollout, b.laggingRollout}
+	case b.olderRolloutBinds:
+		return []api.RolloutUpdate{b.rollout, b.olderRollout}
 	}
 	return []api.RolloutUpdate{b.rollout}
 }
 
-// oldestBuild is the lowest build that a binding state names.
+// exposureCap reports whether the exposure rule applies to a build, and the lowest cap of all binding rollouts.
+func (b *Balancer) exposureCap(build api.Build) (trial bool, limit float64) {
+	limit = 1
+	for _, rollout := range b.bindingRollouts() {
+		switch {
+		case build < rollout.Build || build == rollout.Build && rollout.Phase == api.PhaseReleased:
+		case build > rollout.Build: // not announced yet: the first stage's cap
+			trial, limit = true, min(limit, b.settings.firstCap())
+		default:
+			trial, limit = true, min(limit, rollout.Cap)
+		}
+	}
+	return trial, limit
+}
+
+// oldestBuild returns the lowest build of the binding states.
 func (b *Balancer) oldestBuild() api.Build {
 	oldest := b.rollout.Build
 	for _, rollout := range b.bindingRollouts() {
@@ -117,7 +134,7 @@
 	return oldest
 }
 
-// newestBuild is the highest build that the rollout or the list names.
+// newestBuild returns the highest build of the rollout and the listed backends.
 func (b *Balancer) newestBuild() api.Build {
 	newest := b.rollout.Build
 	for _, backend := range b.ordered {
@@ -128,7 +145,7 @@
 	return newest
 }
 
-// switchTrialBuild starts the comparison anew if there is a later build than the one compared so far.
+// switchTrialBuild resets the comparison if there is a newer build than the one compared so far.
 func (b *Balancer) switchTrialBuild() {
 	newest := b.newestBuild()
 	if newest == b.trialBuild || !b.rolloutKnown {
@@ -140,11 +157,11 @@
 		w.tally = [2]tallySums{}
 	}
 	b.trialBuild, b.arms, b.trialQuota = newest, [2]arm{}, b.randomFloat()
-	b.harmSince, b.blamedUntil, b.doubtUntil = b.now, 0, 0
+	b.degradedSince, b.degradesFleetUntil, b.suspectUntil = b.now, 0, 0
 	b.trialPaused = false
 }
 
-// stageStart is when the last backend of the present stage started, as far as is known.
+// stageStart returns the latest known start of a listed trial backend.
 func (b *Balancer) stageStart() time.Duration {
 	latest := time.Duration(0)
 	for _, backend := range b.ordered {
@@ -155,11 +172,11 @@
 	return latest
 }
 
-// boundBuild is the lowest build that a key may go to, 0 if any may.
+// boundBuild returns the lowest build that may receive a key, 0 if any may.
 func (b *Balancer) boundBuild(key api.AffinityKey) api.Build {
 	build, bound := b.keyBuilds[key]
 	for _, attempt := range b.unconfirmed[key] {
-		if b.now-attempt.startedAt >= unseenDelay {
+		if b.now-attempt.startedAt >= unconfirmedBindDelay {
 			build, bound = max(build, attempt.backend.Build), true
 		}
 	}
@@ -174,8 +191,16 @@
 	return 0
 }
 
-// dropOldKeys forgets keys bound to builds before the newest one, and the exposure of these: no rule asks for
-// them again.
+// bindKey binds a key to the build that answered it or, if unconfirmed answers bind, may have answered it.
+func (b *Balancer) bindKey(tx *transaction, attempt *attempt, outcome api.Outcome) {
+	binds := outcome == api.Succeeded || b.bindsUnconfirmed() && mayHaveAnswered(outcome)
+	if tx.Key != "" && b.settings.bindKeys && binds && attempt.backend.Build >= b.oldestBuild() {
+		b.keyBuilds[tx.Key] = max(b.keyBuilds[tx.Key], attempt.backend.Build)
+	}
+}
+
+// dropOldKeys removes keys bound to builds before all binding ones, and the exposure of builds before the newest: no
+// rule refers to them any more.
 func (b *Balancer) dropOldKeys() {
 	oldest := b.oldestBuild()
 	for key, build := range b.keyBuilds {
@@ -190,18 +215,17 @@
 	}
 }
 
-// exposureKey names one count of attempts by the exposure rule; workload is empty if all of them count together.
+// exposureKey identifies a counter of the exposure rule. workload is empty if all workloads share one counter.
 type exposureKey struct {
 	build    api.Build
 	workload api.Workload
 }
 
-// exposureCounters returns the counts by which the exposure rule goes for a build and a workload: of attempts there,
-// and of transactions.
+// exposureCounters returns the exposure rule's counters of attempts and of transactions for a build and a workload.
 func (b *Balancer) exposureCounters(build api.Build, w *workload) (attempts, transactions *decay.SlidingWindow) {
 	key := exposureKey{build: build}
 	transactions = &b.accepted
-	if b.settings.trialCounts == countsPerLane {
+	if b.settings.exposureScope == scopePerWorkload {
 		key.workload = w.name
 		transactions = &w.accepted
 	}
@@ -211,7 +235,7 @@
 	return b.exposure[key], transactions
 }
 
-// exposureWindow is the window of the exposure rule, and the two ticks by which it is made longer or shorter.
+// exposureWindow returns the window of the exposure rule and the two ticks by which it is extended or shortened.
 func (b *Balancer) exposureWindow() (window, edge time.Duration) {
 	return b.settings.trialWindow, 2 * b.settings.tick
 }
--- a/internal/agent/policy/route.go
+++ b/internal/agent/policy/route.go
@@ -7,53 +7,57 @@
 	"sagelever/internal/agent/api"
 )
 
-// eligible reports whether the rules allow an attempt of a transaction at a backend.
+// eligible reports whether the deployment's rules allow an attempt of the transaction at the backend.
 func (b *Balancer) eligible(tx *transaction, backend *backend) bool {
 	if !backend.listed || !b.rolloutKnown ||
 		backend.Build < b.boundBuild(tx.Key) || !b.exposureAllows(tx, backend) {
 		return false
 	}
-	if tx.mayHaveRunAt >= 0 && tx.workload.effect == effectReceipted && (!tx.repeatKnownAt(backend) ||
-		b.now-tx.mayHaveRunAt >= tx.workload.memory-b.settings.tick) {
+	if tx.mayHaveRunAt >= 0 && tx.workload.effect == effectReceipted && (!tx.deduplicatedBy(backend) ||
+		b.now-tx.mayHaveRunAt >= tx.workload.receiptLifetime-b.settings.tick) {
 		return false
 	}
 	return b.slowStartAllows(backend)
 }
 
-// earnTrialQuota adds to the first attempts that the trial may get: three quarters of its cap, not so far
-// over its share of capacity that load slows it, nor so little that the baseline is a seventh above its own.
-func (b *Balancer) earnTrialQuota() {
+const trialCapShare, maxTrialQuota = 0.75, 1.5                     // of the exposure cap; first attempts
+const trialHeadroom, averageHeadroom, sparseHeadroom = 1.3, 1, 0.8 // multiples of the capacity share
+const maxBaselineOverload = 1.15                                   // multiple of its capacity share
+
+// refillTrialQuota adds the trial's share of one transaction to its quota of first attempts. The share stays
+// below the cap and near the trial's capacity, so that load does not slow it or overload the baseline.
+func (b *Balancer) refillTrialQuota() {
 	_, limit := b.exposureCap(b.trialBuild)
-	part, spread := b.trialCapacityShare(), 1.3
-	if b.small() {
-		spread = 1
+	share, headroom := b.trialCapacityShare(), trialHeadroom
+	if b.belowAverageTraffic() {
+		headroom = averageHeadroom
 	} else if b.sparse() {
-		spread = 0.8
+		headroom = sparseHeadroom
 	}
-	b.trialQuota = min(b.trialQuota+max(min(0.75*limit, spread*part), 1-1.15*(1-part)), 1.5)
+	b.trialQuota = min(b.trialQuota+
+		max(min(trialCapShare*limit, headroom*share), 1-maxBaselineOverload*(1-share)), maxTrialQuota)
 }
 
 const latencyHalfLife, retryHalfLife = 5 * time.Second, 10 * time.Second
 
-// retryShare is how many retries a transaction earns. It rises as recent ones succeed, from 0.05 (to keep
-// learning) to 0.3 (a retry storm must not double the load).
+const minRetryShare, retryShareRange = 0.05, 0.25  // retries earned by one transaction
+const priorRetries, priorWon, retryBurst = 4, 2, 3 // retries; of those succeeded; retries
+
+// retryShare returns how many retries a transaction earns. It rises with the success rate of recent retries,
+// from 0.05, so that retries are still sampled, to 0.3, so that a retry storm cannot double the load.
 func (b *Balancer) retryShare() float64 {
-	tried := b.retries.tried.Value(b.now, retryHalfLife) + 4
-	return 0.05 + 0.25*(b.retries.won.Value(b.now, retryHalfLife)+2)/tried
+	started := b.retries.started.Value(b.now, retryHalfLife) + priorRetries
+	return minRetryShare + retryShareRange*(b.retries.succeeded.Value(b.now, retryHalfLife)+priorWon)/started
 }
 
 func (b *Balancer) mayRetry(tx *transaction) bool {
-	spare := b.retries.earned.Value(b.now, retryHalfLife) + 3 - b.retries.tried.Value(b.now, retryHalfLife)
-	return spare > 0 && float64(len(tx.attempts)) < b.settings.maxAttempts
-}
-
-// safeToRepeat reports whether the transaction cannot take effect twice, whoever repeats it.
-func (tx *transaction) safeToRepeat() bool {
-	w := tx.workload
-	return tx.mayHaveRunAt < 0 || w.effect == effectPure || w.effect == effectReceipted && w.group == groupAll
+	budget := b.retries.earned.Value(b.now, retryHalfLife) + retryBurst -
+		b.retries.started.Value(b.now, retryHalfLife)
+	return budget > 0 && float64(len(tx.attempts)) < b.settings.maxAttempts
 }
 
-// retry follows the failure of all attempts by another, if workload and budget allow it, or by an answer.
+// retry places the transaction again after all attempts failed, or gives it up if the workload or the retry
+// budget does not allow another attempt.
 func (b *Balancer) retry(tx *transaction) {
 	tx.reason = api.ReasonNoRetry
 	if tx.mayHaveRunAt >= 0 && tx.workload.effect == effectEffectful {
@@ -66,8 +70,8 @@
 	}
 }
 
-// hedge adds an attempt to one that takes longer than most. If two may not be in flight it cancels the first,
-// where its backend has answered nothing since: a busy one will answer.
+// hedge starts a second attempt while the first is slow. Without permission for two attempts in flight it
+// cancels the first instead, if its backend has answered nothing since and so is not merely busy.
 func (b *Balancer) hedge(tx *transaction) {
 	if !b.mayRetry(tx) || len(b.queue) > 0 ||
 		b.now-tx.acceptedAt > tx.workload.goal-b.meanLatency(tx.workload)/2 {
@@ -84,7 +88,9 @@
 	}
 }
 
-// place starts an attempt of a queued transaction, or keeps it queued while it could still succeed in time.
+const queueDivisor = 4 // a transaction is queued for at most goal/4; started later, it would be late
+
+// place starts an attempt of a queued transaction, or keeps it queued while it can still meet its goal.
 func (b *Balancer) place(tx *transaction) {
 	tx.reason = api.ReasonConcurrencyLimit
 	if float64(tx.flow.inFlight) < tx.flow.limit {
@@ -94,22 +100,21 @@
 			return
 		}
 	}
-	// It waits here for a quarter of its goal at most: what starts later is late, and is answered now.
-	if b.now-tx.acceptedAt > min(tx.workload.goal/4, tx.workload.goal-b.meanLatency(tx.workload)) {
+	if b.now-tx.acceptedAt > min(tx.workload.goal/queueDivisor, tx.workload.goal-b.meanLatency(tx.workload)) {
 		b.advanceTransaction(tx, deadlineNear)
 		return
 	}
 	b.queue = append(b.queue, tx)
 }
 
-// chooseBackend picks the arm by D-Tracking and the backend by two random choices; nil if none is eligible.
+// chooseBackend picks the arm by D-Tracking and the backend by two random choices, nil if none is eligible.
 func (b *Balancer) chooseBackend(tx *transaction) *backend {
-	ready, spare := b.candidates(tx)
+	ready, busy := b.candidates(tx)
 	arm := b.chooseArm()
-	if b.avoidsTrial(tx) || len(tx.attempts) > 0 && len(ready[baselineArm]) > 0 { // retries: the known build
+	if b.avoidsTrial(tx) || len(tx.attempts) > 0 && len(ready[baselineArm]) > 0 { // retries prefer the baseline
 		arm = baselineArm
 	}
-	for _, group := range [][]*backend{ready[arm], ready[arm.other()], spare[baselineArm], spare[trialArm]} {
+	for _, group := range [][]*backend{ready[arm], ready[arm.other()], busy[baselineArm], busy[trialArm]} {
 		if len(group) > 0 {
 			return b.lessLoadedOfTwo(group)
 		}
@@ -117,9 +122,11 @@
 	return nil
 }
 
-// candidates returns the eligible backends by arm: those ready for more, and the others. A trial backend with
-// much more load than the baseline's is not ready, as it would be judged for that.
-func (b *Balancer) candidates(tx *transaction) (ready, spare [2][]*backend) {
+const maxTrialLoad = 1.15 // multiple of the baseline's mean load
+
+// candidates returns the eligible backends by arm: those that are ready, and the busy. An overloaded trial
+// backend counts as busy, since its build would be judged by the effects of the load.
+func (b *Balancer) candidates(tx *transaction) (ready, busy [2][]*backend) {
 	mean := b.meanLoad()
 	for _, backend := range b.ordered {
 		if tx.triedOn(backend) || !b.eligible(tx, backend) {
@@ -127,25 +134,25 @@
 		}
 		arm := b.armOf(backend)
 		if backend.available() &&
-			(arm == baselineArm || mean <= 0 || backend.inFlight == 0 || b.load(backend) <= 1.15*mean) {
+			(arm == baselineArm || mean <= 0 || backend.inFlight == 0 || b.load(backend) <= maxTrialLoad*mean) {
 			ready[arm] = append(ready[arm], backend)
 		} else {
-			spare[arm] = append(spare[arm], backend)
+			busy[arm] = append(busy[arm], backend)
 		}
 	}
-	return ready, spare
+	return ready, busy
 }
 
-// avoidsTrial reports whether a transaction avoids the trial: it is paused or over its quota, or the key is
-// unbound and half of the cap is used by bound ones.
+// avoidsTrial reports whether the trial is paused or over its quota, or the transaction's key is not bound
+// while bound keys use more than half of the cap.
 func (b *Balancer) avoidsTrial(tx *transaction) bool {
 	trial, limit := b.exposureCap(b.trialBuild)
-	unbound := tx.Key != "" && b.settings.trialOneWay && b.boundBuild(tx.Key) == 0
-	return trial && (b.trialQuota < 1 && b.loose() ||
+	unbound := tx.Key != "" && b.settings.bindKeys && b.boundBuild(tx.Key) == 0
+	return trial && (b.trialQuota < 1 && b.trialQuotaApplies() ||
 		unbound && b.boundShare.Estimate(b.now, demandHalfLife, 0, 0) > limit/2) || b.trialPaused
 }
 
-// lessLoadedOfTwo draws two backends and takes the one with less load (Mitzenmacher's power of two choices).
+// lessLoadedOfTwo returns the less loaded of two random backends (Mitzenmacher, power of two choices).
 func (b *Balancer) lessLoadedOfTwo(group []*backend) *backend {
 	first := b.randomBelow(len(group))
 	if len(group) > 1 {
@@ -157,41 +164,49 @@
 	return group[first]
 }
 
-// load is about how long one more attempt would take at a backend, in usual latencies of its workload.
+const backlogWeight, loadReportHalfLife = 0.5, 500 * time.Millisecond // load reports come about that often
+
+// load estimates the latency of one more attempt at the backend, in mean latencies of the workload.
 func (b *Balancer) load(backend *backend) float64 {
-	// The weight of a load report halves every half second: reports are refreshed about as often.
-	stale := math.Exp2(-float64(b.now-backend.loadReportedAt) / float64(500*time.Millisecond))
+	freshness := math.Exp2(-float64(b.now-backend.loadReportedAt) / float64(loadReportHalfLife))
 	slowness := backend.slowness.Estimate(b.now, b.slownessHalfLife(), 1, 1)
-	return (1 + float64(backend.inFlight) + 0.5*backend.backlog*stale) * (slowness / b.capacityShare(backend))
+	return (1 + float64(backend.inFlight) + backlogWeight*backend.backlog*freshness) *
+		(slowness / b.capacityShare(backend))
 }
 
-func (b *Balancer) slownessHalfLife() time.Duration { return max(3*time.Second, b.attemptInterval()) }
+const minSlownessHalfLife = 3 * time.Second
 
-const minCountedAge = 3 * time.Second // the design's: outcomes of younger backends are not counted
+func (b *Balancer) slownessHalfLife() time.Duration {
+	return max(minSlownessHalfLife, b.attemptInterval())
+}
+
+const minCountedAge = 3 * time.Second // outcomes of younger backends are not counted
+
+const hedgeLatencies, minHedgeDelay = 3, 50 * time.Millisecond // multiple of the mean latency; minimum
 
 func (b *Balancer) startAttempt(tx *transaction, backend *backend) {
 	b.recordAttempt(tx, backend)
 	b.emit(api.StartAttempt{Transaction: tx.ID, Backend: backend.ID})
 	if tx.workload.effect != effectEffectful && len(tx.attempts) == 1 {
-		delay := max(3*b.meanLatency(tx.workload), 50*time.Millisecond)
+		delay := max(hedgeLatencies*b.meanLatency(tx.workload), minHedgeDelay)
 		b.schedule(delay, func() { b.advanceTransaction(tx, hedgeDue) })
 	}
 	b.advanceTransaction(tx, attemptStarted)
 }
 
-// giveUp answers at once: the transaction is deferred if repeating it is safe, else it fails.
+// giveUp answers the transaction immediately: it is deferred if repeating it is safe, and fails otherwise.
 func (b *Balancer) giveUp(tx *transaction) {
 	tx.markUnfinished()
 	if tx.safeToRepeat() {
 		var wait time.Duration
-		if b.settings.mayAdvise {
-			wait = min(b.usualLatency(), b.settings.maxReturn)
+		if b.settings.sendRetryAfter {
+			wait = min(b.recentLatency(), b.settings.maxRetryAfter)
 		}
 		b.emit(api.DeferTransaction{Transaction: tx.ID, RetryAfter: wait, Reason: tx.reason})
 	} else {
 		b.emit(api.FailTransaction{Transaction: tx.ID, Reason: tx.reason})
 	}
-	b.forget(tx)
+	b.removeTransaction(tx)
 }
 
 func (b *Balancer) attemptEnded(event api.AttemptEnded) {
@@ -200,15 +215,15 @@
 		return
 	}
 	b.observe(tx, attempt, event)
-	tx.noteOutcome(attempt, event.Outcome)
+	tx.recordOutcome(attempt, event.Outcome)
 	b.bindKey(tx, attempt, event.Outcome)
 	switch succeeded := event.Outcome == api.Succeeded; {
 	case succeeded || event.TransactionDone:
 		if succeeded && event.Attempt > 0 && tx.state != finished {
-			b.retries.won.Add(b.now, retryHalfLife, 1)
+			b.retries.succeeded.Add(b.now, retryHalfLife, 1)
 		}
 		b.advanceTransaction(tx, transactionClosed)
-	case event.Outcome == api.InvalidRequest: // no backend can use it, and neither retry nor deferral would help
+	case event.Outcome == api.InvalidRequest: // a retry or deferral would not help
 		b.emit(api.FailTransaction{Transaction: tx.ID, Reason: api.ReasonInvalidRequest})
 		b.advanceTransaction(tx, transactionClosed)
 	case tx.inFlight == 0:
@@ -216,11 +231,3 @@
 	}
 	b.retryQueued()
 }
-
-// bindKey binds a key to the build that answered it or, where unseen answers count, may have answered it.
-func (b *Balancer) bindKey(tx *transaction, attempt *attempt, outcome api.Outcome) {
-	binds := outcome == api.Succeeded || b.countsUnseen() && mayHaveAnswered(outcome)
-	if tx.Key != "" && b.settings.trialOneWay && binds && attempt.backend.Build >= b.oldestBuild() {
-		b.keyBuilds[tx.Key] = max(b.keyBuilds[tx.Key], attempt.backend.Build)
-	}
-}
--- a/internal/agent/policy/transactions.go
+++ b/internal/agent/policy/transactions.go
@@ -7,27 +7,27 @@
 	"sagelever/internal/agent/api"
 )
 
-// transaction is a transaction that the agent has accepted and that has no final answer, or attempts in flight.
+// transaction is an accepted transaction that has no final answer yet, or has attempts in flight.
 type transaction struct {
 	api.TransactionAccepted
 	workload         *workload
 	flow             *flow
 	acceptedAt       time.Duration
 	state            transactionState
-	attempts         []*attempt    // by their number
-	inFlight         int           // attempts without an outcome
-	mayHaveRunAt     time.Duration // when the first attempt that may have run was started, -1 if none
-	mayHaveRunOn     *backend      // where
+	attempts         []*attempt    // indexed by attempt number
+	inFlight         int           // number of attempts without an outcome
+	mayHaveRunAt     time.Duration // start of the first attempt that may have run, -1 if none
+	mayHaveRunOn     *backend      // backend of that attempt
 	streamingAttempt api.AttemptNumber
-	reason           api.Reason // if it is given up now
+	reason           api.Reason // if the transaction is given up now
 }
 
 // attempt is one attempt of a transaction at a backend.
 type attempt struct {
 	backend   *backend
 	startedAt time.Duration
-	finished  bool // it has an outcome
-	warmingUp bool // its backend was younger than minCountedAge
+	finished  bool // has an outcome
+	warmingUp bool // the backend was younger than minCountedAge
 }
 
 func (b *Balancer) newTransaction(event api.TransactionAccepted) *transaction {
@@ -41,14 +41,14 @@
 	}
 }
 
-// acceptTransaction takes up a transaction and places it for the first time.
+// acceptTransaction registers a transaction and places it for the first time.
 func (b *Balancer) acceptTransaction(event api.TransactionAccepted) {
 	tx := b.newTransaction(event)
 	b.recordAccepted(tx)
 	b.boundShare.Add(b.now, demandHalfLife, float64(min(b.boundBuild(event.Key), 1)))
-	b.earnTrialQuota()
+	b.refillTrialQuota()
 	b.retries.earned.Add(b.now, retryHalfLife, b.retryShare())
-	// The timer fires a tick before the client's time is up, so that the answer is never late.
+	// The timer fires a tick before the client's timeout, so that the answer is in time.
 	b.schedule(event.Timeout-b.settings.tick, func() {
 		tx.reason = api.ReasonDeadline
 		b.advanceTransaction(tx, deadlineNear)
@@ -56,7 +56,7 @@
 	b.advanceTransaction(tx, accepted)
 }
 
-// recordAccepted counts one more transaction wherever they are counted.
+// recordAccepted adds a transaction to all counters of transactions.
 func (b *Balancer) recordAccepted(tx *transaction) {
 	b.transactions[tx.ID] = tx
 	window, edge := b.exposureWindow()
@@ -66,7 +66,7 @@
 	tx.flow.demand.Add(b.now, demandHalfLife, 1)
 }
 
-// recordAttempt counts one more attempt wherever they are counted.
+// recordAttempt adds an attempt to all counters of attempts.
 func (b *Balancer) recordAttempt(tx *transaction, backend *backend) {
 	if trial, _ := b.exposureCap(backend.Build); trial {
 		attempts, _ := b.exposureCounters(backend.Build, tx.workload)
@@ -74,26 +74,26 @@
 		attempts.Add(b.now, window+edge)
 	}
 	if len(tx.attempts) == 0 {
-		b.recordPick(b.armOf(backend))
+		b.recordPull(b.armOf(backend))
 	} else {
-		b.retries.tried.Add(b.now, retryHalfLife, 1)
+		b.retries.started.Add(b.now, retryHalfLife, 1)
 	}
 	if backend.inFlight == 0 {
-		backend.owesSince = b.now
+		backend.awaitingSince = b.now
 	}
 	backend.inFlight++
 	tx.flow.inFlight++
-	backend.paceCredit--
+	backend.paceTokens--
 	started := &attempt{backend: backend, startedAt: b.now, warmingUp: b.now-backend.Started < minCountedAge}
 	tx.attempts = append(tx.attempts, started)
 	tx.inFlight++
-	if tx.Key != "" && b.countsUnseen() && backend.Build >= b.oldestBuild() {
+	if tx.Key != "" && b.bindsUnconfirmed() && backend.Build >= b.oldestBuild() {
 		b.unconfirmed[tx.Key] = append(b.unconfirmed[tx.Key], started)
 	}
 }
 
-// finishAttempt finds the attempt that has ended and counts it as no longer in flight. It returns nil for one that is
-// not known or has ended before.
+// finishAttempt marks an attempt as finished and returns it with its transaction. It returns nil if the attempt is
+// unknown or already finished.
 func (b *Balancer) finishAttempt(event api.AttemptEnded) (*transaction, *attempt) {
 	tx := b.transactions[event.Transaction]
 	if tx == nil {
@@ -119,8 +119,8 @@
 	return tx, ended
 }
 
-// forget drops a transaction that is finished and cancels what is still in flight for it.
-func (b *Balancer) forget(tx *transaction) {
+// removeTransaction removes a finished transaction and cancels its attempts in flight.
+func (b *Balancer) removeTransaction(tx *transaction) {
 	delete(b.transactions, tx.ID)
 	if tx.inFlight > 0 {
 		b.unfinished[tx.ID] = tx
@@ -128,7 +128,7 @@
 	}
 }
 
-// cancelOthers cancels the attempts in flight, except for the one whose response has begun to arrive.
+// cancelOthers cancels the attempts in flight, except for one whose response is streaming.
 func (b *Balancer) cancelOthers(tx *transaction) {
 	if !b.settings.mayCancel {
 		return
@@ -142,7 +142,13 @@
 	}
 }
 
-// triedOn reports whether an attempt was started at a backend.
+// safeToRepeat reports whether the transaction cannot take effect twice if the client repeats it anywhere.
+func (tx *transaction) safeToRepeat() bool {
+	w := tx.workload
+	return tx.mayHaveRunAt < 0 || w.effect == effectPure || w.effect == effectReceipted && w.receiptGroup == groupAll
+}
+
+// triedOn reports whether an attempt was started at the backend.
 func (tx *transaction) triedOn(backend *backend) bool {
 	for _, attempt := range tx.attempts {
 		if attempt.backend == backend {
@@ -152,21 +158,21 @@
 	return false
 }
 
-// markMayHaveRun notes that an attempt may have run, if it is the first such.
+// markMayHaveRun records the earliest attempt that may have run.
 func (tx *transaction) markMayHaveRun(attempt *attempt) {
 	if tx.mayHaveRunAt < 0 || attempt.startedAt < tx.mayHaveRunAt {
 		tx.mayHaveRunAt, tx.mayHaveRunOn = attempt.startedAt, attempt.backend
 	}
 }
 
-// noteOutcome notes whether an attempt that has ended may have run.
-func (tx *transaction) noteOutcome(attempt *attempt, outcome api.Outcome) {
+// recordOutcome records a finished attempt that may have run.
+func (tx *transaction) recordOutcome(attempt *attempt, outcome api.Outcome) {
 	if mayHaveRun(outcome) {
 		tx.markMayHaveRun(attempt)
 	}
 }
 
-// markUnfinished notes that attempts in flight may have run.
+// markUnfinished records that attempts in flight may have run.
 func (tx *transaction) markUnfinished() {
 	for _, attempt := range tx.attempts {
 		if !attempt.finished {
@@ -175,9 +181,9 @@
 	}
 }
 
-// repeatKnownAt reports whether a backend knows the receipts of the one where the transaction may have run.
-func (tx *transaction) repeatKnownAt(backend *backend) bool {
-	switch tx.workload.group {
+// deduplicatedBy reports whether the backend recognizes the receipts of the backend where the transaction may have run.
+func (tx *transaction) deduplicatedBy(backend *backend) bool {
+	switch tx.workload.receiptGroup {
 	case groupAll:
 		return true
 	case groupZone:
@@ -188,7 +194,7 @@
 	return false
 }
 
-// backendResponded reports whether an outcome shows that the backend is alive, whatever it answered.
+// backendResponded reports whether the backend sent a response, of whatever content.
 func backendResponded(o api.Outcome) bool {
 	switch o {
 	case api.Succeeded, api.ErrorResponse, api.Rejected, api.MalformedResponse, api.InvalidRequest:
@@ -197,17 +203,17 @@
 	return false
 }
 
-// unanswered reports whether an outcome is that of an attempt that was sent and not answered.
+// unanswered reports whether an attempt was sent but got no response.
 func unanswered(o api.Outcome) bool {
 	return o == api.TimedOut || o == api.ConnectionLost || o == api.Canceled
 }
 
-// mayHaveAnswered reports whether an outcome leaves it open that the backend has written a good answer.
+// mayHaveAnswered reports whether the backend may have written a valid answer.
 func mayHaveAnswered(o api.Outcome) bool {
 	return mayHaveRun(o) && o != api.ErrorResponse && o != api.InvalidRequest
 }
 
-// mayHaveRun reports whether an outcome leaves it open that the attempt was carried out.
+// mayHaveRun reports whether the backend may have executed the attempt.
 func mayHaveRun(o api.Outcome) bool {
 	return o != api.Rejected && o != api.Unreachable && o != api.NotSent
 }
--- a/internal/agent/policy/workloads.go
+++ b/internal/agent/policy/workloads.go
@@ -8,18 +8,18 @@
 	"sagelever/internal/stats/decay"
 )
 
-// workload is one workload of the deployment, with what the agent has seen of it.
+// workload is one workload of the deployment with the agent's observations of it.
 type workload struct {
 	name             api.Workload
 	effect           string // effectPure, effectReceipted or effectEffectful
-	group            string // backends that recognize each other's receipts: groupAll, groupZone or groupCell
+	receiptGroup     string // backends that recognize each other's receipts: groupAll, groupZone or groupCell
 	goal             time.Duration
-	memory           time.Duration // how long a receipt is remembered
-	payoff           float64       // of one transaction that succeeds within the goal
+	receiptLifetime  time.Duration // how long backends keep a receipt
+	payoff           float64       // of a transaction that succeeds within the goal
 	accepted         decay.SlidingWindow
-	latencyByMachine map[api.MachineType]*decay.Mean // of the earlier build, before the trial
+	latencyByMachine map[api.MachineType]*decay.Mean // of the baseline, before the trial
 	latency          decay.Mean
-	baselineLatency  decay.Mean   // by the platform's tallies, before the trial
+	baselineLatency  decay.Mean   // from the platform's tallies, before the trial
 	tally            [2]tallySums // the platform's tallies during the trial, by arm
 }
 
@@ -36,7 +36,7 @@
 	s.latencySum += succeeded * meanLatency
 }
 
-// workloadOf returns a workload by its name. One that the settings do not name is effectful, with a goal of a second.
+// workloadOf returns the workload with a name. A workload that is not in the settings is effectful with a goal of 1 s.
 func (b *Balancer) workloadOf(name api.Workload) *workload {
 	w := b.workloads[name]
 	if w != nil {
@@ -46,9 +46,9 @@
 	w = &workload{
 		name:             name,
 		effect:           lookUp(byName, prefix+"effect", effectEffectful),
-		group:            lookUp(byName, prefix+"group", ""),
+		receiptGroup:     lookUp(byName, prefix+"group", ""),
 		goal:             lookUp(byName, prefix+"goal", time.Second),
-		memory:           lookUp(byName, prefix+"memory", time.Duration(0)),
+		receiptLifetime:  lookUp(byName, prefix+"memory", time.Duration(0)),
 		payoff:           lookUp(byName, prefix+"payoff", 1.0),
 		latencyByMachine: map[api.MachineType]*decay.Mean{},
 	}
@@ -56,7 +56,7 @@
 	return w
 }
 
-// latencyOn is the latency of the earlier build on one type of machine, before the trial.
+// latencyOn returns the baseline's latency on one machine type, before the trial.
 func (w *workload) latencyOn(machine api.MachineType) *decay.Mean {
 	if w.latencyByMachine[machine] == nil {
 		w.latencyByMachine[machine] = &decay.Mean{}
@@ -64,19 +64,19 @@
 	return w.latencyByMachine[machine]
 }
 
-// meanLatency is the mean latency of a workload lately. Until there are responses it is taken for a quarter of the
-// goal, as goals are set to a few times the usual latency.
+// meanLatency returns the recent mean latency of a workload. The prior is a quarter of the goal, as goals are usually
+// set to a few times the latency.
 func (b *Balancer) meanLatency(w *workload) time.Duration {
 	prior := w.goal.Seconds() / 4
 	return time.Duration(w.latency.Estimate(b.now, latencyHalfLife, prior, 2) * float64(time.Second))
 }
 
-// usualLatency is the mean latency of recent responses; a tenth of a second until there are some.
-func (b *Balancer) usualLatency() time.Duration {
+// recentLatency returns the mean latency of recent responses, with a prior of 100 ms.
+func (b *Balancer) recentLatency() time.Duration {
 	return time.Duration(b.latency.Estimate(b.now, latencyHalfLife, 0.1, 1) * float64(time.Second))
 }
 
-// recordLatency takes up the latency of a successful response.
+// recordLatency records the latency of a successful response.
 func (b *Balancer) recordLatency(w *workload, backend *backend, elapsed time.Duration) {
 	latency := elapsed.Seconds()
 	backend.slowness.Add(b.now, b.slownessHalfLife(), latency/b.meanLatency(w).Seconds())
@@ -84,7 +84,7 @@
 	b.latency.Add(b.now, latencyHalfLife, latency)
 }
 
-// flow is what one customer asks of one workload; each has a limit of its own on attempts in flight.
+// flow is the traffic of one customer for one workload. Each flow has its own limit on attempts in flight.
 type flow struct {
 	workload     *workload
 	demand       decay.Sum
@@ -98,7 +98,7 @@
 	customer api.Customer
 }
 
-// flowOf returns the flow of a workload and a customer. The limit of a new one comes down from above.
+// flowOf returns the flow of a workload and a customer. A new flow starts without a limit.
 func (b *Balancer) flowOf(w *workload, customer api.Customer) *flow {
 	key := flowKey{w.name, customer}
 	f := b.flows[key]
@@ -109,9 +109,9 @@
 	return f
 }
 
-// ratePerSecond returns the rate of a sum that decays with demandHalfLife, a time after it began. The sum of a constant
-// rate r tends to r x halfLife / ln 2; by now it has reached the share 1 - 2^(-now/halfLife) of that.
+// ratePerSecond converts a sum that decays with demandHalfLife, and started at time 0, to a rate. The sum of a constant
+// rate r converges to r x halfLife / ln 2 and has reached the share 1 - 2^(-now/halfLife) of that at time now.
 func ratePerSecond(sum float64, now time.Duration) float64 {
-	seen := float64(demandHalfLife) / math.Ln2 * (1 - math.Exp2(-float64(now)/float64(demandHalfLife)))
-	return sum / max(seen, float64(time.Second)) * float64(time.Second)
+	span := float64(demandHalfLife) / math.Ln2 * (1 - math.Exp2(-float64(now)/float64(demandHalfLife)))
+	return sum / max(span, float64(time.Second)) * float64(time.Second)
 }
