--- a/internal/agent/api/actions.go
+++ b/internal/agent/api/actions.go
@@ -2,66 +2,66 @@
 
 import "time"
 
-// Action is anything that the policy wants done: one of the structs in this file.
+// Action is a request of the policy to the adapter: one of the structs in this file.
 type Action any
 
-// StartAttempt starts the next attempt of a transaction. Without a Timeout it lasts until the client gives up.
+// StartAttempt starts the next attempt of a transaction. Without a Timeout it lasts until the client's timeout.
 type StartAttempt struct {
 	Transaction TransactionID
 	Backend     BackendID
 	Timeout     time.Duration
 }
 
-// CancelAttempt cancels an attempt; its outcome still follows.
+// CancelAttempt cancels an attempt. Its outcome is still reported by an AttemptEnded event.
 type CancelAttempt struct {
 	Transaction TransactionID
 	Attempt     AttemptNumber
 }
 
-// DeferTransaction is a final answer: the client may safely repeat the transaction, after RetryAfter if that is not 0.
+// DeferTransaction is a final answer: the client may safely repeat the transaction, after RetryAfter if it is not 0.
 type DeferTransaction struct {
 	Transaction TransactionID
 	RetryAfter  time.Duration
 	Reason      Reason
 }
 
-// FailTransaction is a final answer that promises nothing: the transaction may have run, or not.
+// FailTransaction is a final answer that leaves open whether the transaction has run.
 type FailTransaction struct {
 	Transaction TransactionID
 	Reason      Reason
 }
 
-// SetTimer sets a timer.
+// SetTimer requests a TimerFired event after a delay.
 type SetTimer struct {
 	After time.Duration
 	Timer TimerID
 }
 
-// CheckHealth checks a backend's health.
+// CheckHealth requests a health check of a backend, which a HealthChecked event reports.
 type CheckHealth struct{ Backend BackendID }
 
 // CloseIdleConnections closes the idle connections to a backend.
 type CloseIdleConnections struct{ Backend BackendID }
 
-// SendMessage sends a message to one agent, or to all others.
+// SendMessage sends a message to the agent To, or to all other agents if All is set.
 type SendMessage struct {
 	To   PeerNumber
 	All  bool
 	Data []byte
 }
 
-// WatchBackends asks discovery for changes, or stops them.
+// WatchBackends subscribes to changes from discovery, or unsubscribes.
 type WatchBackends struct{ On bool }
 
-// FetchBackends asks discovery for the whole list once.
+// FetchBackends requests the complete list from discovery once.
 type FetchBackends struct{}
 
-// CastVote casts this agent's vote on a build at a stage.
+// CastVote casts the agent's vote on a build at a stage.
 type CastVote struct {
 	Build   Build
 	Stage   Stage
 	Verdict Verdict
 }
 
-// LogLine leaves a line in the log.
+// LogLine writes a line to the log.
 type LogLine struct{ Text string }
--- a/internal/agent/api/doc.go
+++ b/internal/agent/api/doc.go
@@ -1,8 +1,8 @@
-// Package api is the interface between an adapter and the policy of one agent.
+// Package api defines the interface between an adapter and the policy of one agent.
 //
-// The adapter tells the policy what has happened by events: transactions of clients, outcomes of attempts, lists of
-// backends, the state of the rollout. The policy answers by actions that the adapter carries out: attempts to start,
-// final answers to give, timers to set, votes to cast. Nothing here decides anything.
+// The adapter passes events to the policy: client transactions, outcomes of attempts, lists of backends, the state of
+// the rollout. The policy returns actions for the adapter to execute: attempts to start, final answers, timers to set,
+// votes to cast. The package contains no logic.
 //
-// Times are counted from the start of the agent, so those of what was there before are negative.
+// Times are relative to the start of the agent. Times before that, such as the start of an older backend, are negative.
 package api
--- a/internal/agent/api/events.go
+++ b/internal/agent/api/events.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Event is anything that the policy is told: one of the structs in this file.
+// Event is an input of the policy: one of the structs in this file.
 type Event any
 
-// BackendUpdate brings the backends that discovery lists, or what changed among them.
+// BackendUpdate is a list of backends, or of changes to it, from discovery.
 type BackendUpdate struct {
 	Kind     UpdateKind
 	Version  int64
 	Backends []Backend
 }
 
-// TransactionAccepted hands the policy a transaction, to which it now owes one final answer.
+// TransactionAccepted is a new transaction. The policy must give it exactly one final answer.
 type TransactionAccepted struct {
 	ID        TransactionID
 	Workload  Workload
-	Timeout   time.Duration // until its client gives up
+	Timeout   time.Duration // of the client
 	Cost      time.Duration // expected work, valid if CostKnown
 	CostKnown bool
 	Key       AffinityKey
-	IsRetry   bool // the client has sent it before
+	IsRetry   bool // the client has already sent it
 	IsWrite   bool
 	Customer  Customer
 }
 
-// ResponseStarted says that a streamed response has begun to arrive.
+// ResponseStarted reports that a streamed response has begun to arrive.
 type ResponseStarted struct {
 	Transaction TransactionID
 	Backend     BackendID
@@ -33,7 +33,7 @@
 	Elapsed     time.Duration // since the attempt started
 }
 
-// AttemptEnded is the one outcome of an attempt.
+// AttemptEnded is the outcome of an attempt, reported exactly once.
 type AttemptEnded struct {
 	Transaction     TransactionID
 	Backend         BackendID
@@ -41,14 +41,14 @@
 	Elapsed         time.Duration // since the attempt started
 	TransactionDone bool          // the transaction has its final answer
 	Outcome         Outcome
-	Load            map[string]float64 // the backend's load report, nil if none came
+	Load            map[string]float64 // the backend's load report, nil if there was none
 }
 
-// TransactionClosed says that a transaction is over without an answer of the policy's: its client has left, or the
-// adapter has answered it.
+// TransactionClosed reports that a transaction ended without an answer of the policy: the client disconnected, or the
+// adapter answered it.
 type TransactionClosed struct{ Transaction TransactionID }
 
-// TimerFired says that a timer of the policy's is due.
+// TimerFired reports that a timer set by the policy is due.
 type TimerFired struct{ Timer TimerID }
 
 // HealthChecked is the result of one health check.
@@ -56,7 +56,7 @@
 	Backend BackendID
 	Outcome Outcome
 	Elapsed time.Duration
-	Load    map[string]float64 // the backend's load report, nil if none came
+	Load    map[string]float64 // the backend's load report, nil if there was none
 }
 
 // MessageReceived is a message from another agent.
@@ -65,29 +65,29 @@
 	Data []byte
 }
 
-// RolloutUpdate is the state of the newest build. The fields after Result hold only if Result is VoteCounted, as it is
-// where no vote was asked about.
+// RolloutUpdate is the state of the newest build. The state is valid only if Result is VoteCounted, which is also the
+// Result of updates that do not answer a vote.
 type RolloutUpdate struct {
 	Result      VoteResult
-	AnswersVote bool // it answers a vote of this agent's
+	AnswersVote bool // the update answers a vote of this agent
 	Stage       Stage
 	Build       Build
-	Age         time.Duration // of the state, when it was told
-	Cap         float64       // share of transactions that may reach the build
+	Age         time.Duration // of the state when it was sent
+	Cap         float64       // share of transactions that the build may receive
 	Phase       Phase
 }
 
-// ReleaseTally is what the platform counted in a sample of all agents' attempts.
+// ReleaseTally holds the platform's counts over a sample of all agents' attempts.
 type ReleaseTally struct {
 	Build       Build
 	Workload    Workload
 	Attempts    int
 	Failed      int
-	MeanLatency time.Duration // of those that succeeded
-	Age         time.Duration // since the end of the time over which it was counted
+	MeanLatency time.Duration // of successful attempts
+	Age         time.Duration // since the end of the counted period
 }
 
-// Complaint says that a client found a successful answer wrong.
+// Complaint reports that a client found a successful answer wrong.
 type Complaint struct {
 	Backend  BackendID
 	Workload Workload
--- a/internal/agent/api/types.go
+++ b/internal/agent/api/types.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Identifiers. Each kind is a type of its own, so that one cannot pass for another.
+// Identifiers. Each kind has its own type, so that they cannot be confused.
 type (
-	// TransactionID names a transaction; its client has chosen it.
+	// TransactionID identifies a transaction. The client chooses it.
 	TransactionID string
-	// BackendID names a backend, alike at every agent.
+	// BackendID identifies a backend, by the same value at all agents.
 	BackendID uint32
 	// Build numbers a build; a higher one is newer.
 	Build int
@@ -16,11 +16,11 @@
 	AttemptNumber int
 	// PeerNumber numbers the agents, from 0 on.
 	PeerNumber int
-	// TimerID names a timer; the policy chooses it.
+	// TimerID identifies a timer. The policy chooses it.
 	TimerID uint64
-	// Workload names a kind of transactions that the deployment knows.
+	// Workload names a kind of transactions defined by the deployment.
 	Workload string
-	// Customer names whom a transaction is for; "" if that is not known.
+	// Customer names the customer of a transaction, "" if unknown.
 	Customer string
 	// Zone names a failure domain of several cells.
 	Zone string
@@ -28,20 +28,20 @@
 	Cell int
 	// MachineType names a type of machine.
 	MachineType string
-	// AffinityKey is what a client's transactions have in common; "" if there is none.
+	// AffinityKey is a key shared by a client's transactions, "" if there is none.
 	AffinityKey string
 )
 
-// UnknownStart is the start of a backend whose start is not known: long ago.
+// UnknownStart is the value of Started if the start is unknown: long ago.
 const UnknownStart = time.Duration(-1 << 62)
 
-// BackendState is what discovery says of a backend.
+// BackendState is the state of a backend by discovery.
 type BackendState int
 
 // States of a backend.
 const (
 	StateUp       BackendState = iota
-	StateDraining              // gets nothing new and finishes what it has
+	StateDraining              // gets no new attempts and finishes those in flight
 	StateGone
 )
 
@@ -53,39 +53,39 @@
 	MachineType MachineType
 	Zone        Zone
 	State       BackendState
-	Started     time.Duration // UnknownStart if it is not known
+	Started     time.Duration // UnknownStart if unknown
 	Weight      float64
 }
 
-// Outcome is how an attempt ended. What may have run must not be repeated if the workload has an effect.
+// Outcome is the result of an attempt. An attempt that may have run must not be repeated if its workload has an effect.
 type Outcome int
 
 // Outcomes of an attempt.
 const (
 	Succeeded         Outcome = iota
 	ErrorResponse             // answered with an error; may have run
-	Rejected                  // turned away before it was looked at; never ran
+	Rejected                  // rejected before it was processed; never ran
 	TimedOut                  // no response in time; may have run
 	Unreachable               // no connection; never ran
 	ConnectionLost            // the connection broke; may have run
 	Canceled                  // canceled by the agent; may have run
 	NotSent                   // never left the agent; never ran
-	MalformedResponse         // answered with what cannot be read; may have run
-	InvalidRequest            // turned away as a request that cannot be used; may have run
+	MalformedResponse         // answered with a malformed response; may have run
+	InvalidRequest            // rejected as invalid; may have run
 )
 
-// Phase is the state of the rollout of a build.
+// Phase is the phase of a build's rollout.
 type Phase int
 
 // Phases of a rollout.
 const (
-	PhaseTrial       Phase = iota // backends run it in growing stages
-	PhaseRollingBack              // they are being taken back
+	PhaseTrial       Phase = iota // a growing number of backends runs it, in stages
+	PhaseRollingBack              // these backends are being rolled back
 	PhaseReleased
 	PhaseWithdrawn
 )
 
-// Verdict is what a vote says of the build on trial.
+// Verdict is the content of a vote on the build on trial.
 type Verdict int
 
 // Verdicts.
@@ -96,49 +96,49 @@
 	VerdictRollBack
 )
 
-// UpdateKind is how a BackendUpdate is to be read.
+// UpdateKind is the kind of a BackendUpdate.
 type UpdateKind int
 
 // Kinds of updates.
 const (
-	UpdateIncremental UpdateKind = iota // what has changed
-	UpdateSnapshot                      // the whole list
-	UpdateCached                        // the whole list as it was known before the agent started
+	UpdateIncremental UpdateKind = iota // only changes
+	UpdateSnapshot                      // the complete list
+	UpdateCached                        // the complete list, stored before the agent started
 	UpdateUnavailable                   // no list: discovery did not answer
 )
 
-// VoteResult is how the platform took a vote.
+// VoteResult is the platform's answer to a vote.
 type VoteResult int
 
 // Results of a vote.
 const (
 	VoteCounted VoteResult = iota
-	VoteStale              // it came too late for its build or stage
+	VoteStale              // too late for its build or stage
 	VoteRateLimited
-	VoteFailed     // it did not reach the platform, or was answered by an error; it did not count
-	VoteUnanswered // it may have counted
+	VoteFailed     // not delivered, or answered by an error; not counted
+	VoteUnanswered // possibly counted
 )
 
-// Reason is why a transaction was given up.
+// Reason is the reason for giving a transaction up.
 type Reason int
 
 // Reasons for giving a transaction up.
 const (
 	ReasonUnspecified      Reason = iota
-	ReasonConcurrencyLimit        // as many attempts of its workload were in flight as may be
-	ReasonNoBackend               // no backend could have it
-	ReasonNoRetry                 // its attempts failed, and it may have no more
-	ReasonMayHaveRun              // its attempt failed, may have run, and must not be repeated
-	ReasonDeadline                // its client's time was nearly up
-	ReasonInvalidRequest          // backends cannot use it
-	ReasonCount                   // how many reasons there are
+	ReasonConcurrencyLimit        // the limit on attempts in flight was reached
+	ReasonNoBackend               // no backend was eligible
+	ReasonNoRetry                 // its attempts failed, and no further attempt is allowed
+	ReasonMayHaveRun              // a failed attempt may have run and must not be repeated
+	ReasonDeadline                // the client's timeout was near
+	ReasonInvalidRequest          // backends rejected it as invalid
+	ReasonCount                   // number of reasons
 )
 
 var reasonNames = [ReasonCount]string{
 	"unsaid", "bounded", "no_appliance", "no_further_send", "may_have_run", "time_up", "unfit",
 }
 
-// String is the name of a reason in the log, which docs/oncall.md describes.
+// String returns the name of the reason in the log. docs/oncall.md describes these names.
 func (r Reason) String() string {
 	if r < 0 || r >= ReasonCount {
 		r = ReasonUnspecified
