--- a/internal/agent/engine/engine.go
+++ b/internal/agent/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine runs the policy of an agent in real time, whatever protocol brings the transactions.
+// Package engine runs the policy of an agent in real time, independent of the protocol of the transactions.
 //
-// One goroutine owns the policy: it takes events from a queue, steps the policy with the time since the start, hands
-// the returned actions out in order, and keeps the timers. The engine does no input or output, and nothing that it
-// calls may block it.
+// One goroutine owns the policy: it takes events from a queue, steps the policy with the time since the start,
+// dispatches the returned actions in order, and manages the timers. The engine does no input or output, and its
+// callbacks must not block.
 package engine
 
 import (
@@ -17,30 +17,30 @@
 	"sagelever/internal/agent/api"
 )
 
-// ErrStopped is returned for a transaction that is handed in after the engine has stopped.
+// ErrStopped is returned by Begin after the engine has stopped.
 var ErrStopped = errors.New("the engine has stopped")
 
-// DuplicateError is returned for a transaction whose id is that of one that is still open.
+// DuplicateError is returned by Begin if a transaction with the same ID is still open.
 type DuplicateError struct{ ID api.TransactionID }
 
 func (e *DuplicateError) Error() string { return fmt.Sprintf("transaction %s is open already", e.ID) }
 
-// Policy decides: it takes one event at a time and returns the actions that answer it.
+// Policy makes the decisions. Step handles one event at a time and returns the resulting actions.
 type Policy interface {
 	Step(now time.Duration, event api.Event) []api.Action
 }
 
-// eventQueueSize is how many events may wait until those who bring more have to wait, too.
+// eventQueueSize is the number of events that may be queued before senders block.
 const eventQueueSize = 1024
 
-// lateTimerThreshold is when a timer's lateness is worth a line in the log, at most one in lateTimerLogInterval. The
-// policy keeps no more than a tick, some milliseconds, between its answer and the client's time-out.
+// A timer that fires later than lateTimerThreshold is logged, at most once in lateTimerLogInterval. The policy answers
+// a tick, some milliseconds, before the client's timeout, so late timers cause late answers.
 const (
 	lateTimerThreshold   = 3 * time.Millisecond
 	lateTimerLogInterval = time.Second
 )
 
-// Engine owns one policy. Its fields below events belong to the goroutine of Run.
+// Engine runs one policy. The fields from transactions on are used only by the goroutine of Run.
 type Engine struct {
 	startedAt time.Time
 	policy    Policy
@@ -52,19 +52,19 @@
 	transactions      map[api.TransactionID]*Transaction
 	timers            timerHeap
 	lateTimerLoggedAt time.Time
-	slowestStep       time.Duration // since the last line on a late timer
+	slowestStep       time.Duration // since the last log line about a late timer
 }
 
-// queuedEvent is an event and what goes with it. Without an event it says that its transaction is closed.
+// queuedEvent is an event with its context. A nil event closes the transaction.
 type queuedEvent struct {
 	event       api.Event
 	queuedAt    time.Time
 	transaction *Transaction // nil for events of no transaction
-	accepted    chan error   // takes the result where a transaction is handed in
+	accepted    chan error   // receives the result of accepting a transaction
 }
 
-// New makes an engine for a policy whose time began at startedAt. Actions that belong to no transaction go to execute,
-// which is called by the engine's goroutine and must return at once.
+// New returns an engine for a policy whose time starts at startedAt. Actions that belong to no transaction are passed
+// to execute, which is called by the engine's goroutine and must not block.
 func New(startedAt time.Time, policy Policy, execute func(api.Action), logger *slog.Logger) *Engine {
 	return &Engine{
 		startedAt:    startedAt,
@@ -77,27 +77,27 @@
 	}
 }
 
-// StartTime is the moment from which the policy's time runs.
+// StartTime returns the origin of the policy's time.
 func (e *Engine) StartTime() time.Time { return e.startedAt }
 
-// Run serves the policy until the context ends. It is called once.
+// Run runs the policy until ctx is canceled. It must be called once.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.stopped)
 	const noTimer = time.Hour
-	alarm := time.NewTimer(noTimer)
-	defer alarm.Stop()
+	wakeup := time.NewTimer(noTimer)
+	defer wakeup.Stop()
 	for {
 		wait := noTimer
 		if len(e.timers) > 0 {
 			wait = time.Until(e.startedAt.Add(e.timers[0].at))
 		}
-		alarm.Reset(wait)
+		wakeup.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
 		case queued := <-e.events:
 			e.handle(queued)
-		case <-alarm.C:
+		case <-wakeup.C:
 		}
 		for len(e.timers) > 0 && e.timers[0].at <= time.Since(e.startedAt) {
 			e.fire(heap.Pop(&e.timers).(timer))
@@ -105,7 +105,7 @@
 	}
 }
 
-// fire tells the policy that a timer is due.
+// fire passes a due timer to the policy and logs it if it is late.
 func (e *Engine) fire(due timer) {
 	late := time.Since(e.startedAt) - due.at
 	if late > lateTimerThreshold && time.Since(e.lateTimerLoggedAt) > lateTimerLogInterval {
@@ -117,10 +117,10 @@
 	e.step(api.TimerFired{Timer: due.id})
 }
 
-// Deliver hands the policy an event that belongs to no transaction.
+// Deliver queues an event that belongs to no transaction.
 func (e *Engine) Deliver(event api.Event) { e.post(queuedEvent{event: event}) }
 
-// post queues an event; false says that the engine has stopped.
+// post queues an event. It returns false if the engine has stopped.
 func (e *Engine) post(queued queuedEvent) bool {
 	queued.queuedAt = time.Now()
 	select {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Begin hands the policy a transaction, which receives its actions from then on and must be closed. It returns
-// ErrStopped or a *DuplicateError for one that was not taken.
+// Begin passes a transaction to the policy. The returned Transaction receives its actions and must be closed. Begin
+// returns ErrStopped or a *DuplicateError if the transaction was not accepted.
 func (e *Engine) Begin(accepted api.TransactionAccepted) (*Transaction, error) {
 	t := newTransaction(e, accepted.ID)
 	result := make(chan error, 1)
@@ -166,7 +166,7 @@
 	}
 }
 
-// accept takes up a transaction, unless its id is open.
+// accept registers a transaction unless its ID is open, and passes it to the policy.
 func (e *Engine) accept(event api.TransactionAccepted, queued queuedEvent) {
 	if e.transactions[event.ID] != nil {
 		queued.accepted <- &DuplicateError{event.ID}
@@ -174,13 +174,13 @@
 	}
 	e.transactions[event.ID] = queued.transaction
 	queued.accepted <- nil
-	event.Timeout -= time.Since(queued.queuedAt) // the client has waited meanwhile
+	event.Timeout -= time.Since(queued.queuedAt) // the client's timeout includes the time in the queue
 	if !e.step(event) {
 		queued.transaction.enqueue(api.FailTransaction{Transaction: event.ID})
 	}
 }
 
-// close takes up that a transaction is over. Attempts that nobody has started by then are not sent any more.
+// close closes a transaction. Attempts that have not begun by then end as NotSent.
 func (e *Engine) close(t *Transaction) {
 	t.closed = true
 	for _, action := range t.Actions() {
@@ -192,7 +192,7 @@
 	e.removeIfDone(t)
 }
 
-// notSent ends an attempt that was ordered when its transaction was already over.
+// notSent ends an attempt of a closed transaction that has not begun.
 func (e *Engine) notSent(t *Transaction, action api.StartAttempt) {
 	number := t.takeAttemptNumber()
 	t.pendingAttempts--
@@ -206,7 +206,7 @@
 	}
 }
 
-// step steps the policy and hands out its actions. False says that the policy panicked; it goes on with the next event.
+// step steps the policy and dispatches its actions. It returns false if the policy panicked on the event.
 func (e *Engine) step(event api.Event) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -223,7 +223,7 @@
 	return true
 }
 
-// dispatch hands one action to the transaction that it belongs to, or to execute.
+// dispatch passes an action to its transaction, or to execute if it belongs to none.
 func (e *Engine) dispatch(action api.Action) {
 	switch a := action.(type) {
 	case api.SetTimer:
@@ -250,7 +250,7 @@
 	}
 }
 
-// forward hands a final answer to its transaction, unless that is over.
+// forward passes a final answer to its transaction unless that is closed.
 func (e *Engine) forward(id api.TransactionID, answer api.Action) {
 	if t := e.transactions[id]; t != nil && !t.closed {
 		t.enqueue(answer)
--- a/internal/agent/engine/timers.go
+++ b/internal/agent/engine/timers.go
@@ -6,14 +6,14 @@
 	"sagelever/internal/agent/api"
 )
 
-// timer is a timer that the policy has set.
+// timer is a timer set by the policy.
 type timer struct {
 	at time.Duration // since the engine's start
 	id api.TimerID
 }
 
-// timerHeap is a heap for container/heap with the next timer first. Timers of one moment fire in the order of their
-// ids.
+// timerHeap implements heap.Interface with the earliest timer first. Timers due at the same time fire in the order of
+// their IDs.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/agent/engine/transaction.go
+++ b/internal/agent/engine/transaction.go
@@ -6,17 +6,16 @@
 	"sagelever/internal/agent/api"
 )
 
-// Transaction is the engine's side of one transaction: what the policy wants done for it. Its methods may be called by
-// any goroutine.
+// Transaction holds the policy's actions for one transaction. Its methods are safe for concurrent use.
 type Transaction struct {
-	ID     api.TransactionID // as its client has chosen it
+	ID     api.TransactionID // chosen by the client
 	engine *Engine
 	ready  chan struct{}
 	done   chan struct{}
 
-	// These belong to the engine's goroutine.
-	pendingAttempts int  // ordered and not ended
-	closed          bool // the engine knows that it is over
+	// Used only by the engine's goroutine.
+	pendingAttempts int  // requested by the policy and not ended
+	closed          bool // the engine has processed Close
 
 	mu          sync.Mutex // guards the following
 	actions     []api.Action
@@ -46,13 +45,14 @@
 	}
 }
 
-// Ready receives a value when there are actions to take.
+// Ready returns a channel that receives a value when actions are available.
 func (t *Transaction) Ready() <-chan struct{} { return t.ready }
 
-// Done is closed when the transaction has been closed.
+// Done returns a channel that is closed when the transaction is closed.
 func (t *Transaction) Done() <-chan struct{} { return t.done }
 
-// Actions takes the actions since the last call, in order: api.StartAttempt, api.DeferTransaction, api.FailTransaction.
+// Actions returns the actions since the last call in order: api.StartAttempt, api.DeferTransaction,
+// api.FailTransaction.
 func (t *Transaction) Actions() []api.Action {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,8 +61,8 @@
 	return actions
 }
 
-// BeginAttempt numbers an attempt that is about to start. If the policy cancels it later, or has canceled it before,
-// cancel is called, which must return at once.
+// BeginAttempt assigns a number to an attempt that is about to start. cancel is called if the policy cancels the
+// attempt later or has already canceled it, and must not block.
 func (t *Transaction) BeginAttempt(cancel func()) api.AttemptNumber {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +76,7 @@
 	return number
 }
 
-// takeAttemptNumber numbers an attempt that will never start.
+// takeAttemptNumber assigns a number to an attempt that will never start.
 func (t *Transaction) takeAttemptNumber() api.AttemptNumber {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,14 +94,14 @@
 	t.canceled[number] = true
 }
 
-// EndAttempt reports how an attempt that has begun has ended. It is called exactly once for each.
+// EndAttempt reports the outcome of an attempt. It must be called exactly once for each BeginAttempt.
 func (t *Transaction) EndAttempt(ended api.AttemptEnded) {
 	ended.Transaction = t.ID
 	t.engine.post(queuedEvent{event: ended, transaction: t})
 }
 
-// Close says that the transaction is over: it has its final answer, or its client has left. Attempts that are still in
-// flight end later. It is called exactly once.
+// Close closes the transaction after its final answer, or after the client disconnected. Attempts that are still in
+// flight end later. It must be called exactly once.
 func (t *Transaction) Close() {
 	close(t.done)
 	t.engine.post(queuedEvent{transaction: t})
