--- a/internal/proxy/balancer/healthcheck.go
+++ b/internal/proxy/balancer/healthcheck.go
@@ -35,8 +35,8 @@
 	return checks
 }
 
-// HealthCheckDone records the result of a health check. It is ignored where the backend is no longer known.
-func (b *Balancer) HealthCheckDone(id string, result HealthCheckResult, now time.Time) {
+// ReportHealthCheck records the result of a health check. It is ignored where the backend is no longer known.
+func (b *Balancer) ReportHealthCheck(id string, result HealthCheckResult, now time.Time) {
 	backend := b.backends[id]
 	switch {
 	case backend == nil:
--- a/internal/proxy/balancer/outcome.go
+++ b/internal/proxy/balancer/outcome.go
@@ -114,7 +114,7 @@
 
 // undoSend reverts what assign counted for an attempt that was then withheld.
 func (s *serviceState) undoSend(request *Request) {
-	request.Sends--
+	request.Attempts--
 	canary := s.canary
 	if canary == nil || canary.tally.ServiceRequests <= 0 {
 		return
--- a/internal/proxy/balancer/pick.go
+++ b/internal/proxy/balancer/pick.go
@@ -145,7 +145,7 @@
 // assign counts an attempt that goes to a backend.
 func (b *Balancer) assign(svc *serviceState, request *Request, backend *Backend, now time.Time) *Backend {
 	backend.Drain.RequestStarted(!request.Route.Idempotent)
-	request.Sends++
+	request.Attempts++
 	request.tried = append(request.tried, backend.ID)
 	request.SentTo = Destination{ID: backend.ID, Address: backend.Address, Distance: backend.Distance}
 	if backend.warmingUp(now) {
--- a/internal/proxy/balancer/request.go
+++ b/internal/proxy/balancer/request.go
@@ -13,7 +13,7 @@
 	Service   string // set by StartRequest
 	ArrivedAt time.Time
 	Deadline  time.Time
-	Sends     int             // attempts so far
+	Attempts  int             // attempts so far
 	Delivered int             // attempts that reached their backend, or may have
 	Execution retry.Execution // over all attempts; NotExecuted while there is none
 	SentTo    Destination     // of the attempt in flight
--- a/internal/proxy/balancer/retrybudget.go
+++ b/internal/proxy/balancer/retrybudget.go
@@ -24,9 +24,9 @@
 // that reports them has come.
 func unseenProxies(proxies int) int { return proxies/2 + 2 }
 
-// MayRetry reports whether a request may be sent to another backend after the outcome of an attempt, and takes the
+// AllowRetry reports whether a request may be sent to another backend after the outcome of an attempt, and takes the
 // retry off the budget.
-func (b *Balancer) MayRetry(request *Request, outcome Outcome, now time.Time) bool {
+func (b *Balancer) AllowRetry(request *Request, outcome Outcome, now time.Time) bool {
 	if outcome.Withheld {
 		return now.Before(request.Deadline) // it was not sent: where it took the place of a retry, that one is paid for
 	}
@@ -40,7 +40,7 @@
 		return false // a final response, or the request's own fault wherever it is sent
 	}
 	// What never reached a backend does not count among the attempts of the route, within bounds.
-	if request.Delivered >= request.Route.MaxAttempts || request.Sends >= request.Route.MaxAttempts+extraSends {
+	if request.Delivered >= request.Route.MaxAttempts || request.Attempts >= request.Route.MaxAttempts+extraSends {
 		return false
 	}
 	if request.Delivered == 0 {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -171,7 +171,7 @@
 	p.mu.Lock()
 	p.balancer.ReportOutcome(request, backend, result.Outcome, now)
 	permitted := replayable && result.rule.Retry.Allows(request.Route.Idempotent)
-	retryAllowed = permitted && p.balancer.MayRetry(request, result.Outcome, now)
+	retryAllowed = permitted && p.balancer.AllowRetry(request, result.Outcome, now)
 	p.mu.Unlock()
 	switch {
 	case retryAllowed && result.Withheld:
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -40,7 +40,7 @@
 		parseHealthResponse(&result, check, resp)
 	}
 	p.mu.Lock()
-	p.balancer.HealthCheckDone(check.BackendID, result, time.Now())
+	p.balancer.ReportHealthCheck(check.BackendID, result, time.Now())
 	p.mu.Unlock()
 }
 
