--- a/internal/proxy/source/selector.go
+++ b/internal/proxy/source/selector.go
@@ -188,17 +188,17 @@
 	return searchBackoff.Delay(rounds+1, s.random())
 }
 
-// Asked records that a call to a controller begins. Answered or Failed has to follow.
-func (s *Selector) Asked(address string, now time.Time) {
+// CallStarted records that a call to a controller begins. CallAnswered or CallFailed has to follow.
+func (s *Selector) CallStarted(address string, now time.Time) {
 	known := s.controller(address)
 	known.asking++
 	known.askedAt = now
 }
 
-// Answered records the answer to a call that began at askedAt, and whether the controller has a quorum. An answer to
-// a call from before the last failure does not undo that. Answered reports whether the controller had a quorum by its
+// CallAnswered records the answer to a call that began at askedAt, and whether the controller has a quorum. An answer to
+// a call from before the last failure does not undo that. CallAnswered reports whether the controller had a quorum by its
 // answer before, or has one now.
-func (s *Selector) Answered(address string, askedAt, now time.Time, hasQuorum bool) (hadQuorum bool) {
+func (s *Selector) CallAnswered(address string, askedAt, now time.Time, hasQuorum bool) (hadQuorum bool) {
 	known := s.controllers[address]
 	if known == nil {
 		return false // forgotten meanwhile
@@ -217,9 +217,9 @@
 	return hadQuorum
 }
 
-// Failed records that a call to a controller ended without an answer. It reports whether that is its first failure
+// CallFailed records that a call to a controller ended without an answer. It reports whether that is its first failure
 // in a row.
-func (s *Selector) Failed(address string, now time.Time) (first bool) {
+func (s *Selector) CallFailed(address string, now time.Time) (first bool) {
 	known := s.controllers[address]
 	if known == nil {
 		return false // forgotten meanwhile
@@ -228,9 +228,9 @@
 	return s.avoid(known, now)
 }
 
-// Overdue records that a controller's answer to a call that is still in progress should have come by now. It reports
+// CallOverdue records that a controller's answer to a call that is still in progress should have come by now. It reports
 // whether that is its first failure in a row.
-func (s *Selector) Overdue(address string, now time.Time) (first bool) {
+func (s *Selector) CallOverdue(address string, now time.Time) (first bool) {
 	known := s.controllers[address]
 	if known == nil {
 		return false // forgotten meanwhile
--- a/internal/proxy/subscription.go
+++ b/internal/proxy/subscription.go
@@ -208,7 +208,7 @@
 	startedAt := time.Now()
 	s.mu.Lock()
 	previousAddr := s.sourceAddr
-	s.sources.Asked(addr, startedAt)
+	s.sources.CallStarted(addr, startedAt)
 	s.mu.Unlock()
 	response, err := s.pull(ctx, addr, wait)
 	if err != nil {
@@ -244,7 +244,7 @@
 // because ctx ended or the lease was released is neither counted nor logged.
 func (s *subscription) recordFailure(ctx context.Context, addr string, err error) {
 	s.mu.Lock()
-	first := s.sources.Failed(addr, time.Now())
+	first := s.sources.CallFailed(addr, time.Now())
 	s.mu.Unlock()
 	if ctx.Err() != nil || errors.Is(err, errLeaseReleased) {
 		return
@@ -258,7 +258,7 @@
 // recordOverdue records that the response of a controller is overdue, and logs the first of consecutive failures.
 func (s *subscription) recordOverdue(addr string) {
 	s.mu.Lock()
-	first := s.sources.Overdue(addr, time.Now())
+	first := s.sources.CallOverdue(addr, time.Now())
 	s.mu.Unlock()
 	if first {
 		s.proxy.log.Warn("controller does not answer in time", zap.String("controller", addr))
@@ -270,7 +270,7 @@
 func (s *subscription) recordResponse(addr, previousAddr string, startedAt time.Time, response *message.PullResponse) {
 	s.proxy.counters.pullsAnswered.Add(1)
 	s.mu.Lock()
-	hadQuorum := s.sources.Answered(addr, startedAt, time.Now(), response.HasQuorum)
+	hadQuorum := s.sources.CallAnswered(addr, startedAt, time.Now(), response.HasQuorum)
 	s.mu.Unlock()
 	if addr == previousAddr && hadQuorum && !response.HasQuorum {
 		s.proxy.log.Warn("controller has no quorum", zap.String("controller", response.Source))
