--- a/internal/proxy/balancer/backend.go
+++ b/internal/proxy/balancer/backend.go
@@ -10,10 +10,11 @@
 	"sagelever/internal/stats/decay"
 )
 
-// Distance is how far a backend is from this proxy. Traffic between zones, and more so between regions, is expensive.
+// Distance is the network distance between this proxy and a backend. Traffic between zones costs more than within a
+// zone, and traffic between regions costs most.
 type Distance int
 
-// The distances, the nearest first.
+// The distances, nearest first.
 const (
 	SameZone Distance = iota
 	SameRegion
@@ -21,38 +22,38 @@
 )
 
 const (
-	// maxClockSkew is by how much the clocks of two machines may differ.
+	// maxClockSkew is the maximum difference between the clocks of two machines.
 	maxClockSkew = 250 * time.Millisecond
-	// retainedHeartbeats is for how many heartbeat intervals after its first update a backend is kept though a
-	// controller's complete list lacks it.
-	retainedHeartbeats = 10
+	// newBackendRetention is the time, in heartbeat intervals, for which a backend is kept after its first update even
+	// if a controller's complete list lacks it.
+	newBackendRetention = 10
 )
 
-// Backend is a backend as this proxy sees it.
+// Backend is this proxy's state of a backend.
 type Backend struct {
 	ID string
 	replication.Backend
-	Drain    draining.Tracker // whether it drains, and what this proxy has in flight there
+	Drain    draining.Tracker // the drain state, and the number of requests of this proxy in flight
 	Distance Distance
 
 	firstSeen       time.Time
-	healthCheckedAt time.Time // when it was last asked whether it serves
-	updateVersion   uint64    // of the newest update that was applied
+	healthCheckedAt time.Time // when the last health check was scheduled
+	updateVersion   uint64    // version of the newest update that was applied
 	warmingUntil    time.Time
-	nextWarmUpSend  time.Time // when it may be sent the next request, while it warms up
+	nextWarmUpSend  time.Time // earliest time for the next request while the backend warms up
 	health          passiveHealth
-	relativeLatency decay.Mean // of its responses, as a multiple of the service's mean
+	relativeLatency decay.Mean // mean response latency, as a multiple of the service's mean
 }
 
-// Backend returns a backend by its ID, and nil where it is not known.
+// Backend returns the backend with an ID, or nil if there is none.
 func (b *Balancer) Backend(id string) *Backend { return b.backends[id] }
 
-// UpdateBackend applies what the controllers say of a backend. An update with a version that is not newer than the last
-// one, or of a backend whose incarnation is over, changes nothing.
+// UpdateBackend applies an update of a backend from a controller. It ignores an update whose version is not newer than
+// that of the last one, and any update of a backend whose incarnation has ended.
 func (b *Balancer) UpdateBackend(id string, version uint64, update *replication.Backend, now time.Time) {
 	backend := b.backends[id]
 	if backend != nil && backend.updateVersion >= version {
-		return // an older update that came by another path
+		return // an older update that arrived by a slower path
 	}
 	if update.Phase == replication.PhaseLeft {
 		b.removeBackend(id, now)
@@ -60,7 +61,7 @@
 		return
 	}
 	if b.tombstones.has(id, now) {
-		return // a controller that was cut off may still report the backend as it was
+		return // a partitioned controller may still report the backend's earlier state
 	}
 	if backend == nil {
 		backend = b.insertBackend(id, update.Service, now)
@@ -72,8 +73,8 @@
 	b.reviewDrains(b.service(backend.Service), now)
 }
 
-// isReady reports whether the backend serves by its last heartbeat. One whose heartbeats have stopped still counts as
-// ready: requests find out whether it is there.
+// isReady reports whether the backend serves according to its last heartbeat. A backend whose heartbeats have stopped
+// still counts as ready: the outcomes of requests show whether it is reachable.
 func (b *Backend) isReady() bool {
 	return b.Phase == replication.PhaseReady || b.Phase == replication.PhaseTimedOut
 }
@@ -97,7 +98,7 @@
 	return OtherRegion
 }
 
-// removeBackend removes a backend whose incarnation is over. Requests in flight there are waited for all the same.
+// removeBackend removes a backend whose incarnation has ended. Its requests in flight are still tracked until they end.
 func (b *Balancer) removeBackend(id string, now time.Time) {
 	backend := b.backends[id]
 	if backend == nil {
@@ -106,7 +107,7 @@
 	delete(b.backends, id)
 	backend.Drain.End(now)
 	if backend.Drain.InFlight() > 0 {
-		b.departed[id] = backend
+		b.removedInFlight[id] = backend
 	}
 	svc := b.service(backend.Service)
 	if i := slices.Index(svc.backends, backend); i >= 0 {
@@ -115,11 +116,11 @@
 	b.reviewDrains(svc, now)
 }
 
-// RetainBackends removes the backends that are not in a controller's complete list. One that was first reported
-// recently stays, since its update may have come by another path.
+// RetainBackends removes the backends that are not in a controller's complete list. It keeps a backend that was first
+// reported within newBackendRetention, since another controller may have reported it.
 func (b *Balancer) RetainBackends(ids map[string]bool, now time.Time) {
 	for id, backend := range b.backends {
-		if !ids[id] && now.Sub(backend.firstSeen) > retainedHeartbeats*b.bounds.HeartbeatInterval {
+		if !ids[id] && now.Sub(backend.firstSeen) > newBackendRetention*b.bounds.HeartbeatInterval {
 			b.removeBackend(id, now)
 		}
 	}
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -1,9 +1,8 @@
-// Package balancer decides what a proxy does with each request: which backend gets it and when, whether it may be sent
-// again, how fast a backend that warms up is fed, and which build serves while a release is under way.
+// Package balancer decides how a proxy handles each request: which backend gets it and when, whether it may be retried,
+// at which rate a backend that warms up gets requests, and which build serves during a release.
 //
-// The package does no input or output. The time and random numbers are passed in, connections and health checks that
-// are due are handed out, and the caller reports the results. A Balancer is not safe for concurrent use: the
-// caller guards it with a lock.
+// The package does no I/O. The caller passes in the time and random numbers, takes the connections and health checks
+// that are due, and reports the results. A Balancer is not safe for concurrent use: the caller must hold a lock.
 package balancer
 
 import (
@@ -18,17 +17,17 @@
 const (
 	// statsHalfLife is the half-life of latencies and request rates.
 	statsHalfLife = 5 * time.Second
-	// proxyCountRetention is for how long a larger number of proxies is kept while smaller ones are reported. It is
-	// several times as long as proxies take to renew their leases at a controller that has just started.
+	// proxyCountRetention is how long a number of proxies is kept while smaller ones are reported. It is several times
+	// as long as proxies take to renew their leases at a controller that has just started.
 	proxyCountRetention = 10 * time.Second
 )
 
-// clockOrigin is the origin of the durations that package decay works with.
+// clockOrigin is the origin of the durations that are passed to package decay.
 var clockOrigin = time.Unix(0, 0)
 
 func sinceOrigin(now time.Time) time.Duration { return now.Sub(clockOrigin) }
 
-// Balancer is one proxy's view of services, backends and other proxies.
+// Balancer holds one proxy's state of the services, the backends and the other proxies.
 type Balancer struct {
 	zone         string
 	region       string
@@ -40,47 +39,47 @@
 	backends map[string]*Backend
 	services map[string]*serviceState
 
-	proxies       int // all that may be sending, never fewer than there are
-	zoneProxies   int // those of this zone
-	proxiesAt     time.Time
-	zoneProxiesAt time.Time
+	proxies              int // upper bound on the proxies that may be sending
+	zoneProxies          int // the same for the proxies of this zone
+	proxiesUpdatedAt     time.Time
+	zoneProxiesUpdatedAt time.Time
 
-	tallies    map[string]*replication.ReleaseTally // of other proxies, by the key of their item
-	lease      lease.SendLease
-	departed   map[string]*Backend // whose incarnation is over, while requests are in flight there
-	tombstones tombstones
+	tallies         map[string]*replication.ReleaseTally // tallies of other proxies, by the key of their item
+	lease           lease.SendLease
+	removedInFlight map[string]*Backend // removed backends that still have requests in flight, by ID
+	tombstones      tombstones
 
-	healthChecks []HealthCheck      // due, and not yet taken
-	preconnects  []PreconnectTarget // due, and not yet taken
+	healthChecks []HealthCheck      // due and not yet taken by the caller
+	preconnects  []PreconnectTarget // due and not yet taken by the caller
 }
 
-// New returns a balancer that knows no service and no backend yet. random returns uniform numbers in [0, 1).
+// New returns a balancer without services and backends. random returns uniform numbers in [0, 1).
 func New(nodeSettings *settings.Settings, random func() float64) *Balancer {
 	return &Balancer{
-		zone:         nodeSettings.Zone,
-		region:       nodeSettings.Region,
-		regionByZone: nodeSettings.Zones,
-		bounds:       nodeSettings.RuleLimits,
-		random:       random,
-		backends:     map[string]*Backend{},
-		services:     map[string]*serviceState{},
-		tallies:      map[string]*replication.ReleaseTally{},
-		lease:        lease.New(nodeSettings.RuleLimits.DrainTime),
-		departed:     map[string]*Backend{},
+		zone:            nodeSettings.Zone,
+		region:          nodeSettings.Region,
+		regionByZone:    nodeSettings.Zones,
+		bounds:          nodeSettings.RuleLimits,
+		random:          random,
+		backends:        map[string]*Backend{},
+		services:        map[string]*serviceState{},
+		tallies:         map[string]*replication.ReleaseTally{},
+		lease:           lease.New(nodeSettings.RuleLimits.DrainTime),
+		removedInFlight: map[string]*Backend{},
 	}
 }
 
-// SetProxyCounts sets the number of proxies that may be sending, and how many of them are in this zone. Budgets that
-// hold over all proxies together are divided by these numbers. A controller that has just started knows few proxies,
-// so a smaller number is believed only when no larger one has been reported for proxyCountRetention.
+// SetProxyCounts sets the number of proxies that may be sending, and how many of them are in this zone. Budgets shared
+// by all proxies are divided by these numbers. A controller that has just started knows few proxies, so a smaller
+// number is applied only if no number at least as large as the current one was reported for proxyCountRetention.
 func (b *Balancer) SetProxyCounts(proxies, zoneProxies int, now time.Time) {
-	if proxies >= b.proxies || now.Sub(b.proxiesAt) > proxyCountRetention {
+	if proxies >= b.proxies || now.Sub(b.proxiesUpdatedAt) > proxyCountRetention {
 		b.proxies = max(proxies, 1)
-		b.proxiesAt = now
+		b.proxiesUpdatedAt = now
 	}
-	if zoneProxies >= b.zoneProxies || now.Sub(b.zoneProxiesAt) > proxyCountRetention {
+	if zoneProxies >= b.zoneProxies || now.Sub(b.zoneProxiesUpdatedAt) > proxyCountRetention {
 		b.zoneProxies = max(zoneProxies, 1)
-		b.zoneProxiesAt = now
+		b.zoneProxiesUpdatedAt = now
 	}
 }
 
@@ -111,8 +110,8 @@
 	}
 }
 
-// drainWithdrawn reports whether the backend was drained by one table and is not by the next: by an evacuation of its
-// zone or by an operator's drain.
+// drainWithdrawn reports whether an evacuation of the backend's zone or an operator's drain of the backend is in the
+// previous table but not in the current one.
 func drainWithdrawn(previous, table *routing.Table, backend *Backend) bool {
 	if previous.Evacuated[backend.Zone] && !table.Evacuated[backend.Zone] {
 		return true
@@ -121,7 +120,7 @@
 		!table.IsDrained(backend.Service, backend.ID, backend.Zone)
 }
 
-// service returns the state of a service, which it creates if need be.
+// service returns the state of a service and creates it if there is none.
 func (b *Balancer) service(name string) *serviceState {
 	svc := b.services[name]
 	if svc == nil {
@@ -131,7 +130,7 @@
 	return svc
 }
 
-// serviceConfig returns a service's configuration, and nil where none is known.
+// serviceConfig returns a service's configuration, or nil if there is none.
 func (b *Balancer) serviceConfig(name string) *routing.Service {
 	if b.table == nil {
 		return nil
--- a/internal/proxy/balancer/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -11,29 +11,29 @@
 // The arms of a canary release, which also index the counts of a replication.ReleaseTally.
 const (
 	stableArm = 0  // the stable build
-	canaryArm = 1  // the build on trial
-	noArm     = -1 // a build that gets no requests: it was reverted, or no release names it
+	canaryArm = 1  // the target build of the release
+	noArm     = -1 // a build that gets no requests: it was reverted, or is neither stable nor a release's target
 )
 
 const (
-	// capUtilisation is the part of the cap on the canary's share that is used, since counts of others come late.
+	// capUtilisation is the part of the cap on the canary's share that is used. The margin is needed because the counts
+	// of other proxies arrive late.
 	capUtilisation = 0.9
-	// leewayUtilisation is the part of the allowance beside the cap that is used. The rest is kept for requests that
-	// are in flight when the cap is reached.
-	leewayUtilisation = 0.5
+	// allowanceUtilisation is the part that is used of the request allowance on top of the cap. The remainder covers
+	// requests that are in flight when the cap is reached.
+	allowanceUtilisation = 0.5
 	// loadPhaseStart and loadPhaseEnd delimit the load phase, as fractions of the release's duration.
 	loadPhaseStart = 0.35
 	loadPhaseEnd   = 0.6
 )
 
-// canaryRelease is a release under way, as this proxy tracks it (docs/design.md). D-Tracking chooses the build for each
-// request, under a cap on the canary's requests that holds over all proxies. The counts of all proxies decide how this
-// proxy votes.
+// canaryRelease is this proxy's state of a release (docs/design.md). D-Tracking chooses the build for each request,
+// subject to a cap on the canary's requests over all proxies. This proxy's vote follows from the counts of all proxies.
 type canaryRelease struct {
 	release   release.Release
-	startedAt time.Time // when this proxy learned of the release
+	startedAt time.Time // when this proxy first received the release
 	tally     replication.ReleaseTally
-	received  float64 // requests since then
+	received  float64 // client requests since startedAt
 }
 
 // followRelease applies the latest state of the service's release.
@@ -53,7 +53,7 @@
 	}
 }
 
-// inService reports whether the build on trial gets requests.
+// inService reports whether the release's target build gets requests.
 func (c *canaryRelease) inService() bool { return c.release.Phase == release.PhaseInService }
 
 // armOf returns the arm of a backend's build, or noArm.
@@ -61,7 +61,7 @@
 	if s.canary != nil && backend.Version == s.canary.release.Target && s.canary.inService() {
 		return canaryArm
 	}
-	if s.stableBuild == "" { // there is a request to send, so by now the backends have been reported
+	if s.stableBuild == "" { // a request is being sent, so the backends have been reported
 		s.stableBuild = s.mostCommonBuild()
 	}
 	if s.buildRetired(backend) {
@@ -70,8 +70,8 @@
 	return stableArm
 }
 
-// buildRetired reports whether a backend's build is known to be out of service. It does not determine the stable build,
-// since it is called while backends are still being reported one by one.
+// buildRetired reports whether a backend's build is out of service. It does not set the stable build, because it is
+// also called while backends are still being reported one by one.
 func (s *serviceState) buildRetired(backend *Backend) bool {
 	if s.canary != nil && backend.Version == s.canary.release.Target {
 		return !s.canary.inService()
@@ -79,8 +79,8 @@
 	return s.stableBuild != "" && backend.Version != s.stableBuild && s.hasReadyBackend(s.stableBuild)
 }
 
-// mostCommonBuild returns the build of most backends other than the canary, and of several the first by name. It is the
-// stable build where no release says which one is.
+// mostCommonBuild returns the build that most backends have, not counting the canary; ties go to the first build by
+// name. It is taken as the stable build if no release has determined one.
 func (s *serviceState) mostCommonBuild() (build string) {
 	counts := map[string]int{}
 	for _, backend := range s.backends {
@@ -107,8 +107,8 @@
 	return false
 }
 
-// underLoad reports whether the canary is in its load phase. The cap leaves the canary's backends nearly idle, so
-// that a build that fails only under load would pass. In the load phase all its requests therefore go to a single
+// underLoad reports whether the canary is in its load phase. The cap leaves the canary's backends nearly idle, which
+// would hide a build that fails only under load. In the load phase all requests of the canary therefore go to a single
 // backend, the first by ID.
 func (c *canaryRelease) underLoad(now time.Time) bool {
 	duration := float64(c.release.DurationMs) * float64(time.Millisecond)
@@ -116,13 +116,14 @@
 	return elapsed > loadPhaseStart*duration && elapsed < loadPhaseEnd*duration
 }
 
-// chooseArm returns the build that a request goes to. fixed means that the other build must not serve it instead.
+// chooseArm returns the arm whose build a request goes to. fixed reports that the other build must not serve the
+// request instead.
 func (b *Balancer) chooseArm(svc *serviceState, request *Request) (arm int, fixed bool) {
 	canary := svc.canary
 	if canary == nil || !canary.inService() {
 		return stableArm, true
 	}
-	allowance := leewayUtilisation * b.bounds.TrialRequestAllowance / float64(b.proxies+unseenProxies(b.proxies))
+	allowance := allowanceUtilisation * b.bounds.TrialRequestAllowance / float64(b.proxies+unreportedProxies(b.proxies))
 	if canary.tally.NewBuildRequests+1 > allowance+capUtilisation*b.bounds.TrialRequestRatio*canary.received {
 		return stableArm, true
 	}
@@ -135,8 +136,8 @@
 	return stableArm, true
 }
 
-// countSend counts an attempt, and reports whether it goes to the canary.
-func (s *serviceState) countSend(backend *Backend) (toCanary bool) {
+// countAttempt counts an attempt and reports whether it goes to the canary.
+func (s *serviceState) countAttempt(backend *Backend) (toCanary bool) {
 	canary := s.canary
 	if canary == nil || !canary.inService() {
 		return false
@@ -149,8 +150,8 @@
 	return true
 }
 
-// recordOutcome counts the outcome of an attempt. Its payoff is 1 if it succeeded within the route's latency target,
-// and 0 otherwise.
+// recordOutcome counts the outcome of an attempt. The payoff is 1 if the attempt succeeded within the route's latency
+// target, and 0 otherwise.
 func (c *canaryRelease) recordOutcome(request *Request, outcome Outcome, now time.Time) {
 	if !outcome.reflectsBuild() {
 		return
@@ -175,9 +176,9 @@
 	}
 }
 
-// reflectsBuild reports whether the outcome says anything about the backend's build. An attempt that the proxy
-// cancelled for its client, that never reached the backend, that the backend rejected, or that was the client's own
-// error does not.
+// reflectsBuild reports whether the outcome is evidence about the backend's build. It is not if the proxy cancelled the
+// attempt because the client disconnected, if the attempt never reached the backend, if the backend rejected it, or if
+// the response was a client error.
 func (o *Outcome) reflectsBuild() bool {
 	if o.Cancelled && !o.TimedOut || !o.Connected {
 		return false
--- a/internal/proxy/balancer/canaryvote.go
+++ b/internal/proxy/balancer/canaryvote.go
@@ -10,33 +10,35 @@
 )
 
 const (
-	// errorProbability (δ) bounds the probability of a wrong vote. At this value a wrong vote costs about as much as
-	// ten needless seconds of a release.
+	// errorProbability (δ) bounds the probability of a wrong vote. At this value the expected cost of a wrong vote is
+	// about that of ten unnecessary seconds of a release.
 	errorProbability = 0.1
-	// meanMargin is added to the canary's mean before the canary counts as behind: docs/design.md.
+	// meanMargin is the difference of means by which the canary must be worse than the stable build to be voted down
+	// (docs/design.md).
 	meanMargin = 0.03
-	// toleratedRegression is by how much a canary that is voted to finish may be worse than the stable build.
+	// toleratedRegression is the difference of means by which a canary that is voted to finish may be worse than the
+	// stable build.
 	toleratedRegression = 0.15
 	// promotionCutoff is the fraction of the release's duration after which no vote to finish is cast, since finishing
 	// takes time too.
 	promotionCutoff = 0.94
-	// minCanaryOutcomes is the number of outcomes of the canary, over all proxies, that a vote to finish needs, and
-	// minLoadedOutcomes how many of them must be of the load phase.
+	// minCanaryOutcomes is the number of outcomes of the canary, over all proxies, that a vote to finish requires.
+	// minLoadedOutcomes is how many of these must be from the load phase.
 	minCanaryOutcomes = 50
 	minLoadedOutcomes = 20
-	// maxTallies bounds the tallies of other proxies that are kept.
+	// maxTallies limits the number of tallies of other proxies that are kept.
 	maxTallies = 4096
 )
 
-// UpdateTally stores another proxy's counts of a release, by the key of their item.
+// UpdateTally stores another proxy's tally of a release under the key of its item.
 func (b *Balancer) UpdateTally(key string, tally *replication.ReleaseTally) {
 	if len(b.tallies) < maxTallies {
 		b.tallies[key] = tally
 	}
 }
 
-// Tallies returns this proxy's own counts of the releases under way, by service, with its current vote. It drops the
-// counts of other proxies on releases that have ended.
+// Tallies returns this proxy's tallies of the current releases, by service, each with this proxy's current vote. It
+// drops other proxies' tallies of releases that have ended.
 func (b *Balancer) Tallies(incarnation string, now time.Time) map[string]*replication.ReleaseTally {
 	tallies := map[string]*replication.ReleaseTally{}
 	for name, svc := range b.services {
@@ -55,7 +57,7 @@
 	return tallies
 }
 
-// dropTallies drops the counts of other proxies on a service's releases up to a number.
+// dropTallies drops other proxies' tallies of a service's releases with numbers up to lastNumber.
 func (b *Balancer) dropTallies(serviceName string, lastNumber uint64) {
 	for key, tally := range b.tallies {
 		if tally.ReleaseNumber <= lastNumber && isTallyOf(key, serviceName) {
@@ -67,23 +69,23 @@
 // isTallyOf reports whether the key of a tally's item, "SERVICE/REPORTER", belongs to a service.
 func isTallyOf(key, serviceName string) bool { return strings.HasPrefix(key, serviceName+"/") }
 
-// releaseCounts are the counts of all proxies on a release.
+// releaseCounts holds the counts of a release, summed over all proxies.
 type releaseCounts struct {
-	payoffs   [2]bestarm.Arm // by arm; the reward is a response within the latency target
-	successes [2]bestarm.Arm // by arm; the reward is a response that is not a failure
+	payoffs   [2]bestarm.Arm // by arm; a successful response within the latency target has reward 1
+	successes [2]bestarm.Arm // by arm; a response that is not a failure has reward 1
 	loaded    bestarm.Arm    // the canary's payoffs in its load phase
 }
 
-// collectCounts adds up this proxy's counts and those of the others.
+// collectCounts sums this proxy's counts and those of the other proxies.
 func (b *Balancer) collectCounts(serviceName string, canary *canaryRelease, incarnation string) releaseCounts {
 	var counts releaseCounts
 	var failures [2]float64
 	add := func(tally *replication.ReleaseTally) {
 		for arm := range counts.payoffs {
-			one := tallyArm(tally, arm)
-			counts.payoffs[arm].Pulls += one.Pulls
-			counts.payoffs[arm].Observations += one.Observations
-			counts.payoffs[arm].Reward += one.Reward
+			armCounts := tallyArm(tally, arm)
+			counts.payoffs[arm].Pulls += armCounts.Pulls
+			counts.payoffs[arm].Observations += armCounts.Observations
+			counts.payoffs[arm].Reward += armCounts.Reward
 			failures[arm] += tally.Failures[arm]
 		}
 		counts.loaded.Observations += tally.SingleBackend[0]
@@ -103,49 +105,51 @@
 	return counts
 }
 
-// vote returns what the counts of all proxies say of the canary: release.VoteRevert, release.VoteFinish or "".
+// vote returns the vote on the canary that follows from the counts of all proxies: release.VoteRevert,
+// release.VoteFinish or "" for none.
 func (b *Balancer) vote(serviceName string, canary *canaryRelease, incarnation string, now time.Time) string {
 	counts := b.collectCounts(serviceName, canary, incarnation)
 	decisions := counts.payoffs[stableArm].Pulls + counts.payoffs[canaryArm].Pulls
 	threshold := bestarm.StoppingThreshold(decisions, float64(b.proxies), errorProbability)
-	if isBehind(counts.payoffs, threshold) || isBehind(counts.successes, threshold) {
+	if isInferior(counts.payoffs, threshold) || isInferior(counts.successes, threshold) {
 		return release.VoteRevert
 	}
-	if !canary.mayFinish(now) || !counts.enoughToFinish() {
+	if !canary.inFinishWindow(now) || !counts.supportFinish() {
 		return ""
 	}
-	if isNoWorse(counts.payoffs, threshold) && isNoWorse(counts.successes, threshold) {
+	if isNonInferior(counts.payoffs, threshold) && isNonInferior(counts.successes, threshold) {
 		return release.VoteFinish
 	}
 	return ""
 }
 
-// isBehind reports whether the canary is worse than the stable build by more than the margin, with a likelihood ratio
+// isInferior reports whether the canary is worse than the stable build by more than meanMargin, with a likelihood ratio
 // above the threshold.
-func isBehind(arms [2]bestarm.Arm, threshold float64) bool {
+func isInferior(arms [2]bestarm.Arm, threshold float64) bool {
 	stable, canary := arms[stableArm], arms[canaryArm]
 	return canary.Mean()+meanMargin < stable.Mean() &&
 		bestarm.LikelihoodRatio(stable, canary, meanMargin) > threshold
 }
 
-// isNoWorse reports whether the canary is better than the stable build less the tolerated regression, with a likelihood
-// ratio of at least the threshold.
-func isNoWorse(arms [2]bestarm.Arm, threshold float64) bool {
+// isNonInferior reports whether the canary is worse than the stable build by at most toleratedRegression, with a
+// likelihood ratio of at least the threshold.
+func isNonInferior(arms [2]bestarm.Arm, threshold float64) bool {
 	stable, canary := arms[stableArm], arms[canaryArm]
 	return canary.Mean() >= stable.Mean()-toleratedRegression &&
 		bestarm.LikelihoodRatio(canary, stable, -toleratedRegression) >= threshold
 }
 
-// mayFinish reports whether a vote to finish may be cast now: after the load phase, and before the cut-off.
-func (c *canaryRelease) mayFinish(now time.Time) bool {
+// inFinishWindow reports whether a vote to finish may be cast now: after the load phase and before the cut-off.
+func (c *canaryRelease) inFinishWindow(now time.Time) bool {
 	duration := time.Duration(c.release.DurationMs) * time.Millisecond
 	elapsed := now.Sub(c.startedAt)
 	return elapsed >= time.Duration(loadPhaseEnd*float64(duration)) &&
 		elapsed <= time.Duration(promotionCutoff*float64(duration))
 }
 
-// enoughToFinish reports whether the canary has enough outcomes, overall and in the load phase, and did well in that.
-func (c *releaseCounts) enoughToFinish() bool {
+// supportFinish reports whether the canary has enough outcomes, overall and in the load phase, and is not worse in the
+// load phase than the stable build by more than toleratedRegression.
+func (c *releaseCounts) supportFinish() bool {
 	return c.payoffs[canaryArm].Observations >= minCanaryOutcomes &&
 		c.loaded.Observations >= minLoadedOutcomes &&
 		c.loaded.Mean() >= c.payoffs[stableArm].Mean()-toleratedRegression
--- a/internal/proxy/balancer/draining.go
+++ b/internal/proxy/balancer/draining.go
@@ -6,9 +6,10 @@
 	"sagelever/internal/proxy/draining"
 )
 
-// reviewDrains brings the reasons for which each backend of a service gets no new requests up to date.
+// reviewDrains updates the drain reasons of each backend of a service, and plans connections for requests that new
+// drains displace.
 func (b *Balancer) reviewDrains(svc *serviceState, now time.Time) {
-	displaced := 0 // requests in flight at backends that begin to drain: later ones will go elsewhere
+	displaced := 0 // requests in flight at backends that begin to drain, as an estimate of those that will go elsewhere
 	for _, backend := range svc.backends {
 		changed := backend.Drain.SetReasons(b.drainReasons(svc, backend), now)
 		if changed && backend.Drain.State() == draining.Draining {
@@ -34,14 +35,15 @@
 	return reasons
 }
 
-// RenewLease records that a healthy controller has answered what was asked at requestedAt.
+// RenewLease records that a healthy controller has answered a request sent at requestedAt.
 func (b *Balancer) RenewLease(requestedAt time.Time) { b.lease.Renew(requestedAt) }
 
-// LeaseValid reports whether the send lease is valid. Without it only backends that confirm themselves get requests.
+// LeaseValid reports whether the send lease is valid. Without a valid lease, only backends that have themselves
+// confirmed lately that they serve get requests.
 func (b *Balancer) LeaseValid(now time.Time) bool { return b.lease.Valid(now) }
 
-// MayWrite reports whether a request that was assigned to a backend may still be written to it: the backend may have
-// begun to drain while the connection came up, or the send lease may have expired.
+// MayWrite reports whether a request that was assigned to a backend may still be written to it. While the connection is
+// being established, the backend may begin to drain or the send lease may expire.
 func (b *Balancer) MayWrite(backend *Backend, now time.Time) bool {
 	return backend.Drain.State() == draining.Serving && backend.Drain.MaySend(&b.lease, now)
 }
--- a/internal/proxy/balancer/healthcheck.go
+++ b/internal/proxy/balancer/healthcheck.go
@@ -5,19 +5,20 @@
 // healthCheckInterval is the minimum time between two health checks of a backend.
 const healthCheckInterval = 500 * time.Millisecond
 
-// HealthCheck asks a backend whether it serves, because no controller has confirmed that lately.
+// HealthCheck is a request that asks a backend whether it serves. It is needed if no controller has confirmed that
+// lately.
 type HealthCheck struct{ BackendID, Address, Path string }
 
-// HealthCheckResult is the outcome of a health check.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	SentAt       time.Time
-	Reachable    bool // there was a response
+	Reachable    bool // the health check got a response
 	Serving      bool
-	WrongBackend bool          // another backend has its address
-	WarmUpLeft   time.Duration // for how long it still warms up
+	WrongBackend bool          // the address belongs to another backend
+	WarmUpLeft   time.Duration // remaining warm-up time
 }
 
-// requestHealthCheck schedules a health check of a backend, unless there has just been one.
+// requestHealthCheck schedules a health check of a backend unless one was scheduled within healthCheckInterval.
 func (b *Balancer) requestHealthCheck(backend *Backend, now time.Time) {
 	config := b.serviceConfig(backend.Service)
 	if config == nil || now.Sub(backend.healthCheckedAt) < healthCheckInterval {
@@ -28,14 +29,14 @@
 	b.healthChecks = append(b.healthChecks, check)
 }
 
-// TakeHealthChecks hands over the health checks that are to be sent.
+// TakeHealthChecks returns the health checks that are due, and removes them from the balancer.
 func (b *Balancer) TakeHealthChecks() []HealthCheck {
 	checks := b.healthChecks
 	b.healthChecks = nil
 	return checks
 }
 
-// ReportHealthCheck records the result of a health check. It is ignored where the backend is no longer known.
+// ReportHealthCheck records the result of a health check. It ignores a backend that has been removed.
 func (b *Balancer) ReportHealthCheck(id string, result HealthCheckResult, now time.Time) {
 	backend := b.backends[id]
 	switch {
--- a/internal/proxy/balancer/inflight.go
+++ b/internal/proxy/balancer/inflight.go
@@ -10,16 +10,16 @@
 	"sagelever/internal/proxy/draining"
 )
 
-// negligibleRate is the rate, in requests a second, below which traffic counts as ended: one request a minute.
+// negligibleRate is the rate below which traffic counts as ended, in requests per second: one request per minute.
 const negligibleRate = 1.0 / 60
 
-// InFlightReport is what a proxy contributes to the in-flight survey of a drain.
+// InFlightReport is a proxy's contribution to the in-flight survey of a drain.
 type InFlightReport struct {
-	// Backends has the requests in flight at backends that drain or are gone, sorted by backend.
+	// Backends lists the requests in flight at draining and removed backends, sorted by backend.
 	Backends []replication.BackendInFlight
-	// Loads is the load that the proxy carries, sorted by service and home regions.
+	// Loads is the proxy's load, sorted by service and home regions.
 	Loads []drain.ServiceLoad
-	// DrainVersions is, by zone, the version of the list of drains that the proxy applies. It is nil before the first
+	// DrainVersions holds the version of the list of drains that the proxy applies, by zone. It is nil before the first
 	// routing table and must not be changed.
 	DrainVersions map[string]uint64
 }
@@ -36,14 +36,14 @@
 	return report
 }
 
-// drainingInFlight returns the requests in flight at backends that drain or are gone, sorted by backend.
+// drainingInFlight returns the requests in flight at draining and removed backends, sorted by backend.
 func (b *Balancer) drainingInFlight() (rows []replication.BackendInFlight) {
 	for _, backend := range b.backends {
 		if backend.Drain.State() != draining.Serving && backend.Drain.InFlight() > 0 {
 			rows = append(rows, backend.inFlightRow())
 		}
 	}
-	for _, backend := range b.departed {
+	for _, backend := range b.removedInFlight {
 		rows = append(rows, backend.inFlightRow())
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].BackendID < rows[j].BackendID })
@@ -59,8 +59,8 @@
 	}
 }
 
-// serviceLoads returns the load of each service by the regions in which it may be served, sorted by both. Traffic that
-// has ended is forgotten.
+// serviceLoads returns the load of each service by the home regions of its requests, sorted by both. It drops the
+// counts of traffic that has ended.
 func (b *Balancer) serviceLoads(now time.Time) (loads []drain.ServiceLoad) {
 	for name, svc := range b.services {
 		serviceSeconds := svc.latency.Estimate(sinceOrigin(now), statsHalfLife, 0, 0)
--- a/internal/proxy/balancer/outcome.go
+++ b/internal/proxy/balancer/outcome.go
@@ -9,30 +9,38 @@
 const (
 	// maxRelativeLatency caps a single observation of a backend's relative latency.
 	maxRelativeLatency = 10
-	// typicalLatencyPriorWeight draws the typical latency of a service towards 0 while little has been observed.
+	// typicalLatencyPriorWeight is the weight of the prior 0 in the typical latency of a service. It pulls the estimate
+	// towards 0 while there are few recent observations.
 	typicalLatencyPriorWeight = 0.001
 
-	// convincingDial is how long a connection must have taken to come up for the end of the request's time to count
-	// against the backend: several round trips between regions.
-	convincingDial = 300 * time.Millisecond
-	// minConvincingSilence and convincingSilence bound the same for a response: four times what it takes usually.
-	minConvincingSilence = 300 * time.Millisecond
-	convincingSilence    = time.Second
+	// dialTimeThreshold is how long dialing must have taken for a timeout while dialing to count against the backend:
+	// several round trips between regions.
+	dialTimeThreshold = 300 * time.Millisecond
+
+	// silenceFactor is how many times the typical latency a backend must have been silent for a timeout while waiting
+	// for the response to count against it.
+	silenceFactor = 4
+	// minSilenceThreshold is the lower bound of that threshold.
+	minSilenceThreshold = 300 * time.Millisecond
+	// defaultSilenceThreshold is the threshold if the typical latency is unknown. It is also the upper bound, unless
+	// slowServiceSilenceFactor times the typical latency is longer.
+	defaultSilenceThreshold  = time.Second
+	slowServiceSilenceFactor = 2
 )
 
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Execution        retry.Execution
-	Status           int  // of the backend's response, 0 where there is none
-	Succeeded        bool // a success, with the backend's seal and a complete body
-	Connected        bool // there was a connection to the backend, and the request was written on it, or begun to be
-	StaleConnection  bool // an idle connection turned out to be closed before anything was written on it
-	Cancelled        bool // by the proxy: the client is gone, or the deadline has passed
+	Status           int  // status of the backend's response, 0 if there is none
+	Succeeded        bool // the response is a success, with the backend's seal and a complete body
+	Connected        bool // at least part of the request was written on a connection to the backend
+	StaleConnection  bool // a reused idle connection was already closed, before anything was written on it
+	Cancelled        bool // the proxy cancelled the attempt because the client disconnected or the deadline passed
 	TimedOut         bool // the deadline passed before the response
 	Latency          time.Duration
 	ClosesConnection bool // the response closes its connection
-	// Withheld means that nothing was written because the backend began to drain while the connection came up. It does
-	// not count against the backend.
+	// Withheld means that nothing was written because the backend began to drain while the connection was being
+	// established. It does not count against the backend.
 	Withheld bool
 }
 
@@ -41,42 +49,44 @@
 	return o.Status >= statusBadRequest && o.Status < statusInternalServerError
 }
 
-// conclusive reports whether the outcome says anything of the backend's health, given the typical latency of its
-// service. A send that was ended by its client, or by the time that the client gave it, says nothing unless the backend
-// had longer than a healthy one takes: otherwise any client could take a healthy backend away from all others.
+// conclusive reports whether the outcome is evidence about the backend's health, given the typical latency of its
+// service. An attempt that ended because its client disconnected is not. One that ended at the client's deadline is
+// only if the backend had more time than a healthy backend takes. Otherwise any client that disconnects early or sets a
+// short deadline could make a healthy backend unavailable to all other clients.
 func (o *Outcome) conclusive(typicalLatency time.Duration) bool {
 	switch {
 	case o.StaleConnection:
-		return false // a backend closes idle connections when it likes
+		return false // backends may close idle connections at any time
 	case !o.Cancelled:
 		return true
 	case !o.TimedOut:
 		return false
 	case !o.Connected:
-		return o.Latency >= convincingDial
+		return o.Latency >= dialTimeThreshold
 	}
 	return o.Latency >= silenceThreshold(typicalLatency)
 }
 
-// silenceThreshold is how long a backend must have been silent for that to count against it: four times the typical
-// latency, within bounds.
+// silenceThreshold returns how long a backend must have been silent for a timeout to count against it: four times the
+// typical latency, within bounds.
 func silenceThreshold(typicalLatency time.Duration) time.Duration {
 	if typicalLatency <= 0 {
-		return convincingSilence
+		return defaultSilenceThreshold
 	}
-	return min(max(4*typicalLatency, minConvincingSilence), max(convincingSilence, 2*typicalLatency))
+	return min(max(silenceFactor*typicalLatency, minSilenceThreshold),
+		max(defaultSilenceThreshold, slowServiceSilenceFactor*typicalLatency))
 }
 
 // ReportOutcome records the outcome of an attempt that Pick assigned to a backend. It must be called exactly once for
-// each attempt. A place that comes free is granted to queued requests.
+// each attempt. It dispatches queued requests, since the backend may have free capacity again.
 func (b *Balancer) ReportOutcome(request *Request, backend *Backend, outcome Outcome, now time.Time) {
 	backend.Drain.RequestFinished(!request.Route.Idempotent)
 	if backend.Drain.InFlight() == 0 {
-		delete(b.departed, backend.ID)
+		delete(b.removedInFlight, backend.ID)
 	}
 	svc := b.service(request.Service)
 	if outcome.Withheld {
-		svc.undoSend(request)
+		svc.undoAttempt(request)
 		return
 	}
 	if outcome.Status != 0 {
@@ -89,7 +99,7 @@
 	if outcome.conclusive(b.TypicalLatency(request.Service, now)) {
 		backend.health.observe(backend, outcome, now)
 	}
-	if outcome.Status == statusMisdirectedRequest { // another backend has its address
+	if outcome.Status == statusMisdirectedRequest { // the address belongs to another backend
 		b.removeBackend(backend.ID, now)
 	}
 	if outcome.Succeeded {
@@ -112,8 +122,8 @@
 	}
 }
 
-// undoSend reverts what assign counted for an attempt that was then withheld.
-func (s *serviceState) undoSend(request *Request) {
+// undoAttempt reverts the counts that assign made for an attempt that was then withheld.
+func (s *serviceState) undoAttempt(request *Request) {
 	request.Attempts--
 	canary := s.canary
 	if canary == nil || canary.tally.ServiceRequests <= 0 {
@@ -125,7 +135,7 @@
 	}
 }
 
-// TypicalLatency returns the recent mean latency of a service's responses, and 0 where there were none.
+// TypicalLatency returns the recent mean latency of a service's successful responses, or 0 if there were none.
 func (b *Balancer) TypicalLatency(name string, now time.Time) time.Duration {
 	seconds := b.service(name).latency.Estimate(sinceOrigin(now), statsHalfLife, 0, typicalLatencyPriorWeight)
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/proxy/balancer/passivehealth.go
+++ b/internal/proxy/balancer/passivehealth.go
@@ -7,58 +7,59 @@
 )
 
 const (
-	// initialPause is the first pause of a backend that failed; it doubles with each further failure.
+	// initialPause is the pause after the first failure of a backend. It doubles with each further failure.
 	initialPause = 250 * time.Millisecond
-	// maxPause bounds the pause: some heartbeats, after which the controllers know whether the backend is there.
+	// maxPause is the upper bound of the pause: several heartbeat intervals, after which the controllers have detected
+	// whether the backend is alive.
 	maxPause = 4 * time.Second
-	// maxPauseDoublings keeps the shift of the pause from overflowing.
+	// maxPauseDoublings limits the shift of the pause so that it does not overflow.
 	maxPauseDoublings = 6
-	// probeFailures is the number of failures in a row from which a backend gets one request at a time.
+	// probeFailures is the number of consecutive failures from which a backend gets one request at a time.
 	probeFailures = 2
-	// reconnectWarmUp is for how long a backend that accepts connections again counts as warming up unless its
-	// heartbeats say otherwise: longer than these take.
+	// reconnectWarmUp is how long a backend that accepts connections again counts as warming up unless its heartbeats
+	// report otherwise. It is longer than these heartbeats take.
 	reconnectWarmUp = 2 * time.Second
 )
 
-// passiveHealth is what a proxy concludes from the outcomes of its requests to a backend. One that refuses connections
-// or loses responses pauses, each time longer, and is then probed with one request at a time. One that accepts
-// connections again may have restarted, and warms up.
+// passiveHealth is the health of a backend as inferred from the outcomes of this proxy's requests. A backend that
+// refuses connections or loses responses gets no requests during a pause that grows with each failure, and is then
+// probed with one request at a time. A backend that accepts connections again may have restarted, so it warms up.
 type passiveHealth struct {
-	failures    int // in a row
-	pausedUntil time.Time
-	refusedAt   time.Time // when it last refused a connection
-	refusing    bool      // it has accepted none since
+	failures            int // consecutive failures
+	pausedUntil         time.Time
+	refusedAt           time.Time // when the backend last refused a connection
+	refusingConnections bool      // the backend has accepted no connection since refusedAt
 }
 
-// admits reports whether the backend may have the request.
+// admits reports whether the backend may get the request.
 func (h *passiveHealth) admits(backend *Backend, request *Request, now time.Time) bool {
 	if h.pausedUntil.After(now) {
 		return false
 	}
 	if h.failures >= probeFailures && backend.Drain.InFlight() > 0 {
-		return false // one at a time until one has come back
+		return false // one request at a time until one succeeds
 	}
-	if h.failures >= probeFailures && !request.Route.Idempotent && !h.refusing {
-		return false // a request that may be lost is not risked on it
+	if h.failures >= probeFailures && !request.Route.Idempotent && !h.refusingConnections {
+		return false // the response may be lost, and a non-idempotent request could then not be retried
 	}
 	return true
 }
 
-// observe takes the conclusive outcome of an attempt.
+// observe updates the health with a conclusive outcome of an attempt.
 func (h *passiveHealth) observe(backend *Backend, outcome Outcome, now time.Time) {
 	switch {
 	case !outcome.Connected && outcome.Execution == retry.NotExecuted:
-		h.refusing = true
+		h.refusingConnections = true
 		h.refusedAt = now
 		h.recordFailure(now)
 	case outcome.Execution == retry.Executed && outcome.Status < statusInternalServerError, outcome.Succeeded:
-		if h.refusing {
-			h.refusing = false
+		if h.refusingConnections {
+			h.refusingConnections = false
 			backend.extendWarmUp(now.Add(reconnectWarmUp), now)
 		}
 		h.failures = 0
 		h.pausedUntil = time.Time{}
-	case outcome.Execution == retry.NotExecuted: // it is full, and says so
+	case outcome.Execution == retry.NotExecuted: // the backend rejected the request because it is overloaded
 		h.pausedUntil = now.Add(initialPause)
 	case outcome.Execution == retry.MaybeExecuted:
 		h.recordFailure(now)
@@ -67,8 +68,8 @@
 
 func (h *passiveHealth) recordFailure(now time.Time) {
 	h.failures++
-	if h.failures == 1 && !h.refusing {
-		return // a single response may be lost anywhere
+	if h.failures == 1 && !h.refusingConnections {
+		return // a single lost response is not evidence against the backend: the network may have dropped it
 	}
 	pause := initialPause << min(h.failures-1, maxPauseDoublings)
 	h.pausedUntil = now.Add(min(pause, maxPause))
--- a/internal/proxy/balancer/pick.go
+++ b/internal/proxy/balancer/pick.go
@@ -8,8 +8,7 @@
 	"sagelever/internal/proxy/draining"
 )
 
-// Pick chooses the backend that a request goes to now, and counts the attempt. It returns nil where the request has to
-// wait.
+// Pick chooses the backend for a request and counts the attempt. It returns nil if the request has to wait.
 func (b *Balancer) Pick(request *Request, now time.Time) *Backend {
 	svc := b.service(request.Service)
 	arm, fixed := b.chooseArm(svc, request)
@@ -19,20 +18,20 @@
 	if fixed {
 		return nil
 	}
-	// A build without a free backend yields to the other.
+	// The canary has no free backend, so the stable build may serve the request.
 	if backend := b.bestBackend(svc, request, 1-arm, now); backend != nil {
 		return b.assign(svc, request, backend, now)
 	}
 	return nil
 }
 
-// bestBackend returns the eligible backend of a build with the lowest cost. Where only backends without permission to
-// send are eligible, it requests a health check of the best one instead, and returns nil.
+// bestBackend returns the eligible backend of an arm's build with the lowest cost. If the proxy may send to none of the
+// eligible backends, bestBackend requests a health check of the one with the lowest cost and returns nil.
 func (b *Balancer) bestBackend(svc *serviceState, request *Request, arm int, now time.Time) *Backend {
 	var best, unconfirmed *Backend
 	var lowestCost, lowestUnconfirmedCost float64
-	// In the load phase of a canary the first backend by ID gets all its requests, so that all proxies load the same
-	// one.
+	// In the canary's load phase the first backend by ID gets all requests of the canary, so that all proxies load the
+	// same one.
 	takeFirst := arm == canaryArm && svc.canary.underLoad(now)
 	for _, backend := range svc.backends {
 		if !b.eligible(svc, request, backend, arm, now) {
@@ -57,8 +56,8 @@
 	return best
 }
 
-// eligible reports whether a backend may get a request now. It considers the backend, the request and the build, but
-// not the send lease.
+// eligible reports whether a backend may get a request now. It checks everything except the permission to send, that is
+// the send lease and the backend's own confirmation.
 func (b *Balancer) eligible(svc *serviceState, request *Request, backend *Backend, arm int, now time.Time) bool {
 	if backend.Drain.State() != draining.Serving || svc.armOf(backend) != arm {
 		return false
@@ -67,7 +66,7 @@
 	if homeRegions != nil && !homeRegions[b.regionByZone[backend.Zone]] {
 		return false
 	}
-	if slices.Contains(request.tried, backend.ID) {
+	if slices.Contains(request.triedBackends, backend.ID) {
 		return false
 	}
 	if backend.Drain.InFlight() >= b.inFlightLimit(backend) || !backend.health.admits(backend, request, now) {
@@ -80,20 +79,22 @@
 }
 
 const (
-	// A backend works on Capacity requests at once and queues a few more: it gets 7/4 of Capacity.
+	// A backend executes Capacity requests concurrently and queues a few more. The limit over all proxies of its zone
+	// is therefore 7/4 of Capacity.
 	queueFactorNumerator   = 7
 	queueFactorDenominator = 4
-	// remoteInFlightLimit is the limit for a backend of another zone.
+	// remoteInFlightLimit is the limit per proxy for a backend of another zone.
 	remoteInFlightLimit = 1
 )
 
-// inFlightLimit returns how many requests of this proxy may be in flight at a backend. What the backend can't queue
-// it may never answer, and holds until its client's deadline. The proxies of a zone share its backends, each with an
-// equal part and one request more for chance. Proxies of other zones send one request each, when their own backends
-// are full.
+// inFlightLimit returns the maximum number of this proxy's requests in flight at a backend. A backend may never answer
+// a request that exceeds its queue, which then stays in flight until its client's deadline. The proxies of a zone get
+// equal shares of the limits of its backends, each plus one request to allow for random variation. A proxy of another
+// zone may have one request in flight at a backend, which it sends when the backends of its own zone are full.
 //
-// Letting fewer proxies use each remote backend, chosen by hash, was tried and scored worse (0.855 instead of 0.946 on
-// btsamabay-edge): a zone with a single backend of a service needs many remote ones for a moment.
+// Every proxy may use every remote backend. If each remote backend were restricted to fewer proxies, chosen by hash, a
+// zone with a single backend of a service would lack remote ones in a short overload (the score on btsamabay-edge fell
+// from 0.946 to 0.855).
 func (b *Balancer) inFlightLimit(backend *Backend) int {
 	if backend.Distance != SameZone {
 		return remoteInFlightLimit
@@ -103,15 +104,15 @@
 	return (limit+proxies-1)/proxies + 1
 }
 
-// The parts of a request's cost, in multiples of the time for which a backend works on a request.
+// The components of a request's cost, in multiples of the service time of a request.
 const (
-	loadWeight       = 0.2  // for each unit of load; load beyond the capacity costs 1 for each unit besides
-	sharedRemoteCost = 0.2  // for a backend in another region that has a request in flight: spreads remote requests
-	timedOutCost     = 3    // for a backend whose heartbeats have stopped
-	costJitter       = 0.05 // the largest random part, so that proxies choose differently
+	loadWeight       = 0.2  // per unit of load; load beyond the capacity costs another 1 per unit
+	sharedRemoteCost = 0.2  // if a backend in another region has a request in flight, to spread remote requests
+	timedOutCost     = 3    // if the backend's heartbeats have stopped
+	costJitter       = 0.05 // maximum random component, so that proxies choose different backends
 )
 
-// A backend's relative latency is drawn towards 1 as if that had been observed four times.
+// The prior of a backend's relative latency is 1, with the weight of four observations.
 const (
 	relativeLatencyPrior       = 1
 	relativeLatencyPriorWeight = 4
@@ -120,8 +121,8 @@
 // distanceCost is the cost of the network path to a backend, by its distance.
 var distanceCost = [...]float64{SameZone: 0, SameRegion: 0.7, OtherRegion: 1.6}
 
-// cost returns what one more request at a backend costs: the wait there, and the distance. Each call draws one random
-// number.
+// cost returns the cost of sending one more request to a backend: the expected wait there and the network distance, in
+// multiples of a request's service time. Each call draws one random number.
 func (b *Balancer) cost(backend *Backend, now time.Time) float64 {
 	share := float64(backend.Capacity)
 	if backend.Distance == SameZone {
@@ -142,15 +143,15 @@
 	return cost + costJitter*b.random()
 }
 
-// assign counts an attempt that goes to a backend.
+// assign counts an attempt and records the backend that it goes to.
 func (b *Balancer) assign(svc *serviceState, request *Request, backend *Backend, now time.Time) *Backend {
 	backend.Drain.RequestStarted(!request.Route.Idempotent)
 	request.Attempts++
-	request.tried = append(request.tried, backend.ID)
+	request.triedBackends = append(request.triedBackends, backend.ID)
 	request.SentTo = Destination{ID: backend.ID, Address: backend.Address, Distance: backend.Distance}
 	if backend.warmingUp(now) {
 		backend.nextWarmUpSend = now.Add(b.warmUpInterval(backend))
 	}
-	request.toCanary = svc.countSend(backend)
+	request.toCanary = svc.countAttempt(backend)
 	return backend
 }
--- a/internal/proxy/balancer/preconnect.go
+++ b/internal/proxy/balancer/preconnect.go
@@ -7,14 +7,15 @@
 	"sagelever/internal/proxy/draining"
 )
 
-// PreconnectTarget is a backend to which a connection is best opened before it is needed.
+// PreconnectTarget is a backend to which a connection is to be opened in advance.
 type PreconnectTarget struct {
 	Address string
-	InUse   int // connections in use: one for each request in flight
+	InUse   int // number of connections in use, one per request in flight
 }
 
-// planPreconnects plans connections for requests that are displaced by draining backends: one for each request, to the
-// backends that will get them by cost. Backends that warm up are left out, since they get requests at a limited rate.
+// planPreconnects plans connections for requests that are displaced by draining backends: one connection per displaced
+// request, to different backends in ascending order of cost. It leaves out backends that warm up, because they get
+// requests at a limited rate.
 func (b *Balancer) planPreconnects(svc *serviceState, displaced int, now time.Time) {
 	if displaced == 0 || b.table == nil {
 		return
@@ -36,6 +37,7 @@
 	}
 }
 
+// canTakeDisplaced reports whether a backend may get displaced requests.
 func (b *Balancer) canTakeDisplaced(svc *serviceState, backend *Backend, now time.Time) bool {
 	if backend.Drain.State() != draining.Serving || svc.armOf(backend) != stableArm {
 		return false
@@ -46,7 +48,7 @@
 	return backend.Drain.InFlight() < b.inFlightLimit(backend)
 }
 
-// TakePreconnects hands over the connections that are to be opened.
+// TakePreconnects returns the connections that are to be opened, and removes them from the balancer.
 func (b *Balancer) TakePreconnects() []PreconnectTarget {
 	targets := b.preconnects
 	b.preconnects = nil
--- a/internal/proxy/balancer/queue.go
+++ b/internal/proxy/balancer/queue.go
@@ -6,14 +6,16 @@
 	"time"
 )
 
-// Enqueue queues a request that Pick has no backend for. DispatchQueue sends it one through its Granted channel.
+// Enqueue queues a request for which Pick has returned nil. DispatchQueue sends the request its backend through the
+// Granted channel.
 func (b *Balancer) Enqueue(request *Request) {
 	svc := b.service(request.Service)
 	request.queued = true
 	svc.queue = append(svc.queue, request)
 }
 
-// Dequeue removes a request from the queue. It returns false if a backend has already been granted.
+// Dequeue removes a request from the queue. It returns false if the request is not queued because it was already
+// granted a backend.
 func (b *Balancer) Dequeue(request *Request) bool {
 	if !request.queued {
 		return false
@@ -26,7 +28,7 @@
 	return true
 }
 
-// DispatchQueue grants backends to the queued requests of a service: by priority, then in order of arrival.
+// DispatchQueue grants backends to the queued requests of a service, by priority and then in order of arrival.
 func (b *Balancer) DispatchQueue(name string, now time.Time) {
 	svc := b.services[name]
 	if svc == nil || len(svc.queue) == 0 {
--- a/internal/proxy/balancer/retrybudget.go
+++ b/internal/proxy/balancer/retrybudget.go
@@ -7,44 +7,45 @@
 	"sagelever/internal/settings"
 )
 
-// extraSends is by how much the attempts of a request may exceed those that its route allows, where some of them never
-// reached a backend.
-const extraSends = 2
+// maxUndeliveredAttempts is how many attempts a request may have in addition to those that its route allows, if some
+// attempts never reached a backend.
+const maxUndeliveredAttempts = 2
 
-// earnRetryTokens lets a request add its share to the retries that this proxy may make. The allowance beside the share
-// is split over the proxies that there may be; it caps what is saved up and is never given anew, so that in any period
-// all proxies together retry at most the share of what was requested in it, and the allowance once. A proxy that starts
-// has saved nothing, as its previous incarnation may have spent everything.
-func (s *serviceState) earnRetryTokens(bounds settings.RuleLimits, proxies int) {
-	limit := bounds.MaxExtraRetries / float64(proxies+unseenProxies(proxies))
+// addRetryTokens adds the tokens that one request contributes to this proxy's retry budget. The tokens are capped at
+// this proxy's part of MaxExtraRetries, which is divided by an upper bound on the number of proxies. Only requests add
+// tokens. In any period all proxies together thus retry at most RetryBudgetRatio of the requests of the period, plus
+// MaxExtraRetries once. A proxy starts without tokens, because its previous incarnation may have spent all of them.
+func (s *serviceState) addRetryTokens(bounds settings.RuleLimits, proxies int) {
+	limit := bounds.MaxExtraRetries / float64(proxies+unreportedProxies(proxies))
 	s.retryTokens = min(s.retryTokens+bounds.RetryBudgetRatio, limit)
 }
 
-// unseenProxies returns how many proxies beyond the known ones are reckoned with: those that start before the update
-// that reports them has come.
-func unseenProxies(proxies int) int { return proxies/2 + 2 }
+// unreportedProxies returns an upper bound on the number of proxies that have started but are not yet reported to this
+// proxy: half the number of reported ones, and two.
+func unreportedProxies(proxies int) int { return proxies/2 + 2 }
 
-// AllowRetry reports whether a request may be sent to another backend after the outcome of an attempt, and takes the
-// retry off the budget.
+// AllowRetry reports whether a request may be sent to another backend after the outcome of an attempt. It takes a token
+// from the retry budget if the retry needs one.
 func (b *Balancer) AllowRetry(request *Request, outcome Outcome, now time.Time) bool {
 	if outcome.Withheld {
-		return now.Before(request.Deadline) // it was not sent: where it took the place of a retry, that one is paid for
+		return now.Before(request.Deadline) // nothing was sent; if the attempt was a retry, its token is already taken
 	}
 	if outcome.Succeeded || outcome.Cancelled || !now.Before(request.Deadline) {
 		return false
 	}
 	if !request.Route.Idempotent && request.Execution != retry.NotExecuted {
-		return false // it may have been executed: it is never sent again
+		return false // a non-idempotent request that may have been executed must not be sent again
 	}
 	if outcome.Execution == retry.Executed && outcome.Status < statusInternalServerError {
-		return false // a final response, or the request's own fault wherever it is sent
+		return false // the response is final: a success, or an error that any backend would return for this request
 	}
-	// What never reached a backend does not count among the attempts of the route, within bounds.
-	if request.Delivered >= request.Route.MaxAttempts || request.Attempts >= request.Route.MaxAttempts+extraSends {
+	// Up to maxUndeliveredAttempts, attempts that never reached a backend do not count against MaxAttempts.
+	if request.Delivered >= request.Route.MaxAttempts ||
+		request.Attempts >= request.Route.MaxAttempts+maxUndeliveredAttempts {
 		return false
 	}
 	if request.Delivered == 0 {
-		return true // the next attempt is the first that arrives
+		return true // no backend has received the request yet, so that the next attempt is not a retry
 	}
 	svc := b.service(request.Service)
 	if svc.retryTokens < 1 {
--- a/internal/proxy/balancer/service.go
+++ b/internal/proxy/balancer/service.go
@@ -6,18 +6,18 @@
 	"sagelever/internal/stats/decay"
 )
 
-// serviceState is what the balancer keeps for one service.
+// serviceState is the balancer's state of one service.
 type serviceState struct {
 	backends     []*Backend // sorted by ID
-	queue        []*Request // waiting for a backend
+	queue        []*Request // requests that wait for a backend
 	retryTokens  float64
-	canary       *canaryRelease // nil while no release is under way
-	latency      decay.Mean     // seconds that a response takes
-	stableBuild  string         // empty while it is not known
-	requestRates map[string]*decay.Sum
+	canary       *canaryRelease        // nil if there is no release
+	latency      decay.Mean            // mean latency of successful responses, in seconds
+	stableBuild  string                // empty if unknown
+	requestRates map[string]*decay.Sum // by home regions
 }
 
-// countRequest counts a request by the regions in which it may be served.
+// countRequest adds a request to the request rate of its home regions.
 func (s *serviceState) countRequest(homeRegions string, now time.Time) {
 	if s.requestRates == nil {
 		s.requestRates = map[string]*decay.Sum{}
--- a/internal/proxy/balancer/status.go
+++ b/internal/proxy/balancer/status.go
@@ -1,7 +1,7 @@
 package balancer
 
-// HTTP statuses of responses that the balancer tells apart (RFC 9110, section 15). They stand here because this package
-// does no I/O and so does not import net/http.
+// HTTP status codes that the balancer handles specially (RFC 9110, section 15). They are defined here because this
+// package does no I/O and therefore does not import net/http.
 const (
 	statusBadRequest          = 400
 	statusMisdirectedRequest  = 421
--- a/internal/proxy/balancer/tombstones.go
+++ b/internal/proxy/balancer/tombstones.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// tombstoneTTL is for how long a backend whose incarnation is over is remembered: as long as the controllers remember
-// it, and longer than a controller that was cut off goes on reporting what it knew.
+// tombstoneTTL is how long the end of a backend's incarnation is recorded. It equals the retention at the controllers,
+// and is longer than a partitioned controller continues to report its outdated state.
 const tombstoneTTL = time.Minute
 
-// tombstones holds when the incarnations of backends ended, by ID, so that no older update brings one back. Its zero
-// value is empty and ready to use.
+// tombstones records when the incarnations of backends ended, by ID, so that an older update does not add a backend
+// again. Its zero value is empty and ready to use.
 type tombstones map[string]time.Time
 
-// add records that an incarnation is over, and drops expired entries.
+// add records that an incarnation has ended, and drops expired entries.
 func (t *tombstones) add(id string, now time.Time) {
 	if *t == nil {
 		*t = tombstones{}
@@ -23,7 +23,7 @@
 	(*t)[id] = now
 }
 
-// has reports whether the incarnation ended less than tombstoneTTL ago.
+// has reports whether the incarnation ended within the last tombstoneTTL.
 func (t tombstones) has(id string, now time.Time) bool {
 	removedAt, known := t[id]
 	return known && now.Sub(removedAt) < tombstoneTTL
--- a/internal/proxy/balancer/warmup.go
+++ b/internal/proxy/balancer/warmup.go
@@ -6,11 +6,18 @@
 	"sagelever/internal/control/replication"
 )
 
-// Slow start: a backend that warms up gets requests only from the proxies of its own zone, which share the service's
+const (
+	// warmUpReportHeartbeats is the number of heartbeat intervals within which a backend has reported its warm-up.
+	warmUpReportHeartbeats = 2
+	// defaultWarmUpInterval is the time between two requests to a backend that warms up if its service has no rate.
+	defaultWarmUpInterval = time.Second
+)
+
+// Slow start: a backend that warms up gets requests only from the proxies of its own zone. These share the service's
 // warm-up rate.
 
-// updateWarmUp applies the end of the warm-up that the backend reports. A report that it is already warm counts only if
-// it is newer than the last refused connection, after which the backend may have restarted.
+// updateWarmUp applies the end of the warm-up from a backend's update. It ignores a report that the backend is warm
+// unless the report is newer than the last refused connection, because the backend may have restarted after that.
 func (b *Backend) updateWarmUp(update *replication.Backend, now time.Time) {
 	warmAt := time.UnixMilli(update.WarmUpEndMs).Add(maxClockSkew)
 	if update.WarmUpEndMs != 0 && warmAt.After(now) {
@@ -23,7 +30,7 @@
 	}
 }
 
-// extendWarmUp has the backend warm up at least until the given time.
+// extendWarmUp extends the backend's warm-up to the given time, unless it already lasts longer.
 func (b *Backend) extendWarmUp(until, now time.Time) {
 	if !until.After(b.warmingUntil) {
 		return
@@ -36,26 +43,27 @@
 
 func (b *Backend) warmingUp(now time.Time) bool { return b.warmingUntil.After(now) }
 
-// assumeWarmUp guards against a backend that went cold while nothing was sent to it, because its zone was evacuated
-// or an operator drained it. It counts as warming up until its heartbeats have had time to say otherwise.
+// assumeWarmUp starts a warm-up of a backend whose drain was withdrawn. The backend may have gone cold while it got no
+// requests because its zone was evacuated or an operator drained it. The warm-up lasts long enough for its heartbeats
+// to report otherwise.
 func (b *Balancer) assumeWarmUp(backend *Backend, now time.Time) {
 	warmUp := time.Duration(0)
 	if config := b.serviceConfig(backend.Service); config != nil {
 		warmUp = config.WarmUp
 	}
-	backend.extendWarmUp(now.Add(warmUp+2*b.bounds.HeartbeatInterval), now)
+	backend.extendWarmUp(now.Add(warmUp+warmUpReportHeartbeats*b.bounds.HeartbeatInterval), now)
 }
 
-// warmUpInterval returns the time between two requests of this proxy to a backend that warms up: each proxy of the zone
-// sends its share of the rate. In any second that is the rate and one request more from each, which is within the
-// allowance for backends that warm up.
+// warmUpInterval returns the time between two requests of this proxy to a backend that warms up. Each proxy of the zone
+// sends its share of the rate. In any second the proxies together send at most the rate plus one request each, which is
+// within the allowance for backends that warm up.
 func (b *Balancer) warmUpInterval(backend *Backend) time.Duration {
 	rate := 0.0
 	if config := b.serviceConfig(backend.Service); config != nil {
 		rate = config.WarmUpRate
 	}
 	if rate <= 0 {
-		return time.Second
+		return defaultWarmUpInterval
 	}
 	return time.Duration(float64(max(b.zoneProxies, 1)) / rate * float64(time.Second))
 }
