--- a/internal/proxy/retry/event.go
+++ b/internal/proxy/retry/event.go
@@ -1,31 +1,31 @@
 package retry
 
-// Event is what ends a send, or happens to it.
+// Event is something that ends an attempt or occurs during one.
 type Event uint8
 
-// The events. Those up to MalformedResponse are responses, or bytes in the place of one (see IsResponse). A response
-// belongs to this attempt if it carries the attempt's id.
+// The events. Those up to MalformedResponse are responses or invalid bytes in place of one (see IsResponse). A response
+// belongs to this attempt if it carries the attempt's ID.
 const (
 	ResponseReceived     Event = iota // a response to this attempt: a success with its seal, or a status below 500
-	ServerError                       // one with a status of 500 or more, which says that the request was executed
-	Declined                          // one that says that the request was not executed there
-	Misdirected                       // one with status 421: the address belongs to another backend by now
-	RequestRejected                   // one with a 4xx that says that the request, wrong in itself, was not executed
-	UnconfirmedRefusal                // one with a status that promises clients no execution, but does not confirm it
-	ForeignResponse                   // a response with the id of another attempt
-	UnidentifiedResponse              // a response without the id of an attempt
+	ServerError                       // a response to this attempt with a status of 500 or more: the request was executed
+	Declined                          // a response to this attempt that states that the request was not executed
+	Misdirected                       // a response to this attempt with status 421: the address belongs to another backend
+	RequestRejected                   // a 4xx response to this attempt: the request was invalid and not executed
+	UnconfirmedRefusal                // a status that means "not executed" to clients, without the backend's statement
+	ForeignResponse                   // a response with the ID of another attempt
+	UnidentifiedResponse              // a response without an attempt ID
 	UnsealedResponse                  // a success for this attempt without the backend's seal
-	MalformedResponse                 // bytes that are no response, or a response without a recognizable end
-	ConnectionReset                   // the connection is reset or refused, or the other machine acknowledges nothing
+	MalformedResponse                 // bytes that are not a response, or a response whose end can't be determined
+	ConnectionReset                   // the connection is reset or refused, or the peer acknowledges nothing
 	ConnectionClosed                  // the connection is closed
-	Timeout                           // nothing arrives within the time of the request, or of the dial
+	Timeout                           // the time limit of the request or of the dial has passed
 	ClientDisconnected                // the client closes its connection
 	Shutdown                          // the proxy begins to shut down
-	PermissionRevoked                 // the backend may not be sent to any more: the lease has expired, or it drains
+	PermissionRevoked                 // sending is no longer allowed: the lease has expired, or the backend drains
 	eventCount
 )
 
-// AllEvents returns all events in their order.
+// AllEvents returns all events in order.
 func AllEvents() []Event { return enumerate(eventCount) }
 
 func (e Event) String() string {
@@ -49,5 +49,5 @@
 	}[e]
 }
 
-// IsResponse reports whether the event is a response, or bytes in the place of one.
+// IsResponse reports whether the event is a response, or invalid bytes in place of one.
 func (e Event) IsResponse() bool { return e <= MalformedResponse }
--- a/internal/proxy/retry/phase.go
+++ b/internal/proxy/retry/phase.go
@@ -1,24 +1,24 @@
 package retry
 
-// Phase is how far one send of a request to a backend has come.
+// Phase is the progress of an attempt to send a request to a backend.
 type Phase uint8
 
-// The phases in their order.
+// The phases, in order.
 const (
 	Queued           Phase = iota // the request has no backend yet
 	Dialing                       // the connection is being established
-	Connected                     // there is a connection, new or reused, and nothing is written on it
-	WritingHeader                 // a part of the request's header is written
-	WritingBody                   // the header is written, the body in part
-	AwaitingResponse              // the request is written completely
-	ReadingHeader                 // a part of a response's header has arrived
-	ReadingBody                   // the response's header is complete, its body is not, and the client has none of it
-	Streaming                     // the client has a part of a response that is too long to buffer
+	Connected                     // there is a new or reused connection, and nothing has been written on it
+	WritingHeader                 // part of the request's header has been written
+	WritingBody                   // the header and part of the body have been written
+	AwaitingResponse              // the request has been written completely
+	ReadingHeader                 // part of a response's header has arrived
+	ReadingBody                   // the response's header is complete, its body is not; nothing was sent to the client
+	Streaming                     // part of the response was sent to the client, because it is too long to buffer
 	Complete                      // the response is complete
 	phaseCount
 )
 
-// AllPhases returns all phases in their order.
+// AllPhases returns all phases in order.
 func AllPhases() []Phase { return enumerate(phaseCount) }
 
 func (p Phase) String() string {
@@ -36,7 +36,7 @@
 	}[p]
 }
 
-// enumerate returns the values from 0 up to, and without, count.
+// enumerate returns the values from 0 to count-1.
 func enumerate[T ~uint8](count T) []T {
 	values := make([]T, count)
 	for i := range values {
--- a/internal/proxy/retry/table.go
+++ b/internal/proxy/retry/table.go
@@ -1,6 +1,6 @@
 package retry
 
-// Rules that hold in several phases.
+// Rules that apply in several phases.
 var (
 	impossibleRule   = Rule{}
 	continuesRule    = Rule{Possible: true, Continuation: Continues, Response: Pending, Connection: Reuse}
@@ -15,8 +15,8 @@
 	abandonedRule    = Rule{Possible: true, Continuation: EndedIfIdempotent, Response: BadGateway}
 )
 
-// rules is the whole table. What is written, even in part, may have been executed unless a response to this very
-// attempt says otherwise, because how much of it has arrived is not known here.
+// rules is the rule table. A request of which any part was written may have been executed unless a response to this
+// attempt states otherwise, because the proxy can't determine how much of it reached the backend.
 var rules = [phaseCount][eventCount]Rule{
 	Queued:           queuedRules(),
 	Dialing:          dialingRules(),
@@ -24,7 +24,7 @@
 	WritingHeader:    writingRules(),
 	WritingBody:      writingRules(),
 	AwaitingResponse: awaitingResponseRules(),
-	ReadingHeader:    awaitingResponseRules(), // the response that has begun becomes one of those
+	ReadingHeader:    awaitingResponseRules(), // the complete header determines the event of the response
 	ReadingBody:      readingBodyRules(),
 	Streaming:        streamingRules(),
 	Complete:         completeRules(),
@@ -33,7 +33,8 @@
 // Decide returns the rule for an event in a phase.
 func Decide(phase Phase, event Event) Rule { return rules[phase][event] }
 
-// queuedRules: a request whose client is gone is not begun, and a shutdown interrupts none.
+// queuedRules returns the rules of Queued. A request whose client has disconnected is not sent. A shutdown does not
+// affect a queued request.
 func queuedRules() (row [eventCount]Rule) {
 	rejected := unavailableRule.withConnection(NoConnection)
 	row[Timeout] = rejected
@@ -45,8 +46,8 @@
 	return row
 }
 
-// dialingRules: the permission to send is checked again before the first byte is written, so that it may end here and
-// be granted again without effect.
+// dialingRules returns the rules of Dialing. PermissionRevoked has no effect, because the permission to send is checked
+// again before the first byte is written.
 func dialingRules() (row [eventCount]Rule) {
 	row = queuedRules()
 	failed := declinedRule.withConnection(NoConnection)
@@ -55,7 +56,8 @@
 	return row
 }
 
-// connectedRules: what arrives before a request is written belongs to no request, and the connection is unusable.
+// connectedRules returns the rules of Connected. Bytes that arrive before the request is written belong to no request,
+// and make the connection unusable.
 func connectedRules() (row [eventCount]Rule) {
 	for _, event := range AllEvents() {
 		row[event] = declinedRule.withConnection(Discard)
@@ -66,8 +68,9 @@
 	return row
 }
 
-// writingRules: a response may arrive before the request is written completely. It counts, but what the backend makes
-// of the rest of the request is unknown, so that no other request follows on that connection.
+// writingRules returns the rules of WritingHeader and WritingBody. A response may arrive before the request is written
+// completely. It is valid, but the backend's handling of the remaining bytes is unknown, so the connection must not
+// carry another request.
 func writingRules() (row [eventCount]Rule) {
 	row = awaitingResponseRules()
 	for _, event := range AllEvents() {
@@ -78,7 +81,8 @@
 	return row
 }
 
-// awaitingResponseRules: only a response with the id of this attempt says anything about it.
+// awaitingResponseRules returns the rules of AwaitingResponse. Only a response with the ID of this attempt is evidence
+// of its execution.
 func awaitingResponseRules() (row [eventCount]Rule) {
 	row[ResponseReceived] = responseRule
 	row[ServerError] = serverErrorRule
@@ -99,7 +103,8 @@
 	return row
 }
 
-// readingBodyRules: the header has shown which attempt the response belongs to.
+// readingBodyRules returns the rules of ReadingBody. The header has already shown that the response belongs to this
+// attempt.
 func readingBodyRules() (row [eventCount]Rule) {
 	row = awaitingResponseRules()
 	row[ForeignResponse] = impossibleRule
@@ -108,7 +113,8 @@
 	return row
 }
 
-// streamingRules: the client has a part of the response, so that no other can take its place.
+// streamingRules returns the rules of Streaming. The client has received part of the response, so no other response can
+// replace it.
 func streamingRules() (row [eventCount]Rule) {
 	row[ResponseReceived] = responseRule
 	row[ServerError] = responseRule
@@ -121,7 +127,8 @@
 	return row
 }
 
-// completeRules: nothing changes a complete response. The connection ends with whatever arrives after it.
+// completeRules returns the rules of Complete. No event changes a complete response. The connection is discarded if
+// anything arrives on it after the response.
 func completeRules() (row [eventCount]Rule) {
 	for _, event := range AllEvents() {
 		row[event] = responseRule.withConnection(Discard)
