--- a/internal/proxy/draining/tracker.go
+++ b/internal/proxy/draining/tracker.go
@@ -1,22 +1,23 @@
 // Package draining decides whether a proxy may send to a backend that is being removed.
 //
-// From one moment on no proxy sends a draining backend anything new; the requests in flight finish there; then it is
-// free to go. A Tracker holds the state of one backend as one proxy sees it. Together with the proxy's
-// lease.SendLease it says whether a request may be sent. The package does no input or output: the time is passed in,
-// and callers guard its values against concurrent use.
+// Once a backend drains, no proxy sends it new requests. The requests in flight finish at the backend, after which it
+// may shut down. A Tracker holds the state of one backend at one proxy. Together with the proxy's lease.SendLease it
+// determines whether a request may be sent. The package does no I/O. The caller passes in the time and must guard the
+// package's values against concurrent use.
 //
 //	state     input                                    next      effect
-//	serving   a reason begins                          draining  no new requests; queued ones are placed elsewhere
-//	serving   a reason begins, nothing is in flight    drained   the same
-//	draining  another reason begins or ends            draining  the moment from which nothing new may go stays
-//	draining  the last response comes back             drained   free
-//	draining  its last reason ends                     serving   new requests; warming up if it may have restarted
-//	drained   its last reason ends                     serving   the same
-//	any       its incarnation ends: sign-off, lost,    ended     no request ever again; what is in flight is waited for
-//	          a 421 response
-//	serving   the send lease expires                   serving   nothing new until a controller or the backend confirms
+//	serving   first reason begins                      draining  no new requests; queued requests go to other backends
+//	serving   first reason begins, none in flight      drained   the same
+//	draining  another reason begins or ends            draining  none; DrainingSince does not change
+//	draining  last request in flight ends              drained   the backend may shut down
+//	draining  last reason ends                         serving   new requests; warm-up if it may have restarted
+//	drained   last reason ends                         serving   the same
+//	any       incarnation ends: the backend left, was  ended     no new requests ever; requests in flight finish
+//	          lost, or responded with status 421
+//	serving   send lease expires                       serving   no new requests until a controller or the backend
+//	                                                             confirms that it serves
 //
-// docs/leaving.md derives the times.
+// docs/leaving.md derives the durations.
 package draining
 
 import (
@@ -25,20 +26,20 @@
 	"sagelever/internal/lease"
 )
 
-// Tracker follows one backend at one proxy. Its zero value is a backend that serves.
+// Tracker tracks the state of one backend at one proxy. Its zero value is a backend that serves.
 //
-// Invariant: drainingSince is zero exactly while the state is Serving.
+// Invariant: drainingSince is zero if and only if the state is Serving.
 type Tracker struct {
 	reasons            Reasons
 	ended              bool
 	drainingSince      time.Time
-	inFlight           [requestKinds]int // requests of this proxy, by kind
-	confirmedAt        time.Time         // when it last said itself that it was not draining
-	consecutiveCloses  int               // responses in a row that closed their connection
-	closesWhileServing bool              // it closes connections though it said that it serves
+	inFlight           [requestKinds]int // requests of this proxy in flight, by kind
+	confirmedAt        time.Time         // when the backend itself last confirmed that it was not draining
+	consecutiveCloses  int               // number of consecutive responses that closed their connection
+	closesWhileServing bool              // whether the backend is known to close connections while it serves
 }
 
-// The kinds of requests that are counted apart.
+// The kinds of requests that are counted separately.
 const (
 	idempotentKind = iota
 	nonIdempotentKind
@@ -61,16 +62,16 @@
 // Reasons returns why the backend gets no new requests.
 func (t *Tracker) Reasons() Reasons { return t.reasons }
 
-// DrainingSince returns the moment from which nothing new may be sent; zero while the backend serves.
+// DrainingSince returns the time from which no new requests may be sent, or the zero time while the backend serves.
 func (t *Tracker) DrainingSince() time.Time { return t.drainingSince }
 
-// InFlight returns the number of requests of this proxy that the backend has.
+// InFlight returns the number of requests of this proxy in flight at the backend.
 func (t *Tracker) InFlight() int { return t.inFlight[idempotentKind] + t.inFlight[nonIdempotentKind] }
 
-// NonIdempotentInFlight returns how many of them must run at most once.
+// NonIdempotentInFlight returns how many of the requests in flight are non-idempotent.
 func (t *Tracker) NonIdempotentInFlight() int { return t.inFlight[nonIdempotentKind] }
 
-// SetReasons replaces the reasons. It reports whether the backend begins to drain, or serves again.
+// SetReasons replaces the reasons. It reports whether the backend begins to drain or begins to serve again.
 func (t *Tracker) SetReasons(reasons Reasons, now time.Time) (changed bool) {
 	if t.ended {
 		return false
@@ -88,7 +89,7 @@
 	return true
 }
 
-// End records that the backend's incarnation is over. Later reasons change nothing.
+// End records that the backend's incarnation has ended. SetReasons has no effect after that.
 func (t *Tracker) End(now time.Time) {
 	if t.State() == Serving {
 		t.drainingSince = now
@@ -96,11 +97,11 @@
 	t.ended = true
 }
 
-// RequestStarted counts a request that is about to be sent to the backend.
+// RequestStarted adds a request in flight, which is about to be sent to the backend.
 func (t *Tracker) RequestStarted(nonIdempotent bool) { t.inFlight[kindIndex(nonIdempotent)]++ }
 
-// RequestFinished counts a request that has come to its end, however it ended. Nothing else lowers the number in
-// flight.
+// RequestFinished removes a request in flight that has ended in any way. No other method reduces the number of requests
+// in flight.
 func (t *Tracker) RequestFinished(nonIdempotent bool) { t.inFlight[kindIndex(nonIdempotent)]-- }
 
 func kindIndex(nonIdempotent bool) int {
@@ -110,10 +111,11 @@
 	return idempotentKind
 }
 
-// MaySend reports whether a request may go to the backend now, as far as confirmation goes: that of the controllers,
-// which is the lease, or the backend's own, which lasts as long. A backend that may be draining before the
-// controllers have said so, as it closed the connection of drainingCloseCount responses in a row, gets nothing until
-// it answers a health check.
+// MaySend reports whether it is sufficiently confirmed that the backend serves for a request to be sent now. The
+// confirmation is either the lease, which the controllers renew, or the backend's own, which is valid for the same
+// duration. A backend that closed the connection after drainingCloseCount consecutive responses may be draining before
+// the controllers report it: MaySend returns false until a health check confirms that the backend serves. MaySend does
+// not take the state into account.
 func (t *Tracker) MaySend(sendLease *lease.SendLease, now time.Time) bool {
 	if t.suspectedDraining() {
 		return false
@@ -121,12 +123,12 @@
 	return sendLease.Valid(now) || now.Before(t.confirmedAt.Add(sendLease.Duration()))
 }
 
-// drainingCloseCount is how many responses in a row with `Connection: close` say that a backend may be draining: all
-// responses of a draining one have that header, and now and then another's does.
+// drainingCloseCount is the number of consecutive responses with `Connection: close` after which a backend is suspected
+// to be draining. All responses of a draining backend have that header, but other responses have it occasionally too.
 const drainingCloseCount = 2
 
-// ObserveResponse records a response of the backend to a request sent at sentAt. One that keeps the connection open
-// proves that the backend was not draining at that time.
+// ObserveResponse records a response of the backend to a request sent at sentAt. A response that keeps the connection
+// open proves that the backend was not draining at sentAt.
 func (t *Tracker) ObserveResponse(sentAt time.Time, closesConnection bool) {
 	if closesConnection {
 		t.consecutiveCloses++
@@ -136,7 +138,7 @@
 	t.confirm(sentAt)
 }
 
-// ObserveHealthCheck records the backend's answer to a health check sent at sentAt: whether it serves.
+// ObserveHealthCheck records the backend's response to a health check sent at sentAt.
 func (t *Tracker) ObserveHealthCheck(sentAt time.Time, serving bool) {
 	if !serving {
 		return
@@ -148,8 +150,8 @@
 	t.confirm(sentAt)
 }
 
-// suspectedDraining reports whether the backend's closed connections suggest that it drains, and it has not shown that
-// it closes them while it serves.
+// suspectedDraining reports whether the backend's closed connections suggest that it drains. They do not if the backend
+// is known to close connections while it serves.
 func (t *Tracker) suspectedDraining() bool {
 	return t.consecutiveCloses >= drainingCloseCount && !t.closesWhileServing
 }
