--- a/internal/proxy/source/selector.go
+++ b/internal/proxy/source/selector.go
@@ -1,6 +1,6 @@
-// Package source decides which controller a proxy pulls from: the one to ask next in a search, the pace of the search,
-// and whether a nearer controller than the present one is worth asking. It is pure: its callers do the calls, keep the
-// time and hand in the randomness.
+// Package source selects the controller that a proxy pulls from. It determines the next controller to call in a search,
+// the delay between the calls of a search, and whether to switch to a nearer controller than the current one. The
+// package does no I/O: callers make the calls and pass in the time and random numbers.
 package source
 
 import (
@@ -12,70 +12,70 @@
 	"sagelever/internal/control/membership"
 )
 
-// Distance says how far a controller is from the proxy.
+// Distance is the network distance between the proxy and a controller.
 type Distance int
 
-// Distances, nearest first.
+// The distances, nearest first.
 const (
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
-	Unknown // nothing but its address is known
+	Unknown // the controller's zone is not known
 )
 
 // noQuorumDelay is how long a controller without quorum is avoided. It is short because a controller that has just
-// started is without quorum for a moment.
+// started has no quorum for a short time.
 const noQuorumDelay = 500 * time.Millisecond
 
 var (
-	// failureBackoff is how long a controller is avoided that did not answer.
+	// failureBackoff determines how long a controller is avoided after a failed or overdue call.
 	failureBackoff = backoff.Policy{Initial: 2 * time.Second, Max: 30 * time.Second}
 
-	// searchBackoff is the pause between two controllers that are asked in a search. It grows with each round through
-	// all of them.
+	// searchBackoff determines the delay between two calls of a search. It grows with each round through all
+	// controllers.
 	searchBackoff = backoff.Policy{Initial: 100 * time.Millisecond, Max: 400 * time.Millisecond}
 )
 
-// Locality says where a proxy is.
+// Locality is the location of a proxy.
 type Locality struct {
 	Zone         string
 	Region       string
 	RegionByZone map[string]string
 }
 
-// controller is what is known of one controller.
+// controller is the state of one controller.
 type controller struct {
-	address    string
-	distance   Distance
-	seed       bool // named by the settings; kept even if it is not a member
-	member     bool
-	asking     int       // calls to it in progress
-	askedAt    time.Time // when the last call to it began
-	failures   int       // in a row
-	failedAt   time.Time
-	noQuorum   bool      // by its last answer
-	avoidUntil time.Time // until when it is no reason to leave a controller that is farther away
-}
-
-// usable reports whether nothing speaks against a controller.
+	address         string
+	distance        Distance
+	seed            bool // listed in the settings; kept even if it is not a member
+	member          bool
+	callsInProgress int
+	lastCallAt      time.Time // when the last call started
+	failures        int       // consecutive failures
+	failedAt        time.Time
+	noQuorum        bool      // whether the last answer reported no quorum
+	avoidUntil      time.Time // until then, Nearer does not return the controller
+}
+
+// usable reports whether the last call to a controller did not fail and its last answer reported a quorum.
 func (c *controller) usable() bool { return c.failures == 0 && !c.noQuorum }
 
-// Selector keeps what a proxy knows of the controllers. It is not safe for concurrent use.
+// Selector tracks the controllers for a proxy. It is not safe for concurrent use.
 //
-// Invariant: a search asks no controller twice before it has asked all others once, however many there are and however
-// long that takes. It therefore reaches a living controller after one round at the latest.
+// Invariant: a search calls no controller twice before it has called all others once, regardless of their number and of
+// the duration of the calls. It therefore reaches any controller that is alive within one round.
 type Selector struct {
 	locality    Locality
 	random      func() float64
 	controllers map[string]*controller // by address
 }
 
-// NewSelector returns a selector that knows no controller. random returns a number from 0 to 1.
+// NewSelector returns a selector without controllers. random returns a number between 0 and 1.
 func NewSelector(locality Locality, random func() float64) *Selector {
 	return &Selector{locality: locality, random: random, controllers: map[string]*controller{}}
 }
 
-// AddSeeds adds controllers that are asked even if they are not members: the settings name them.
+// AddSeeds adds controllers that are listed in the settings. They are called even if they are not members.
 func (s *Selector) AddSeeds(addresses []string) {
 	for _, address := range addresses {
 		s.controller(address).seed = true
@@ -85,34 +85,34 @@
 // AddMembers adds members of the control group.
 func (s *Selector) AddMembers(members []membership.Member) {
 	for _, member := range members {
-		known := s.controller(member.Addr)
-		known.member = true
-		known.distance = s.distance(member)
+		entry := s.controller(member.Addr)
+		entry.member = true
+		entry.distance = s.distance(member)
 	}
 }
 
-// SetMembers replaces the members of the control group. A former member is forgotten; if it is a seed it is kept, but
-// counts as far away.
+// SetMembers replaces the members of the control group. It removes former members, except for seeds, whose distance
+// becomes Unknown.
 func (s *Selector) SetMembers(members []membership.Member) {
-	for address, known := range s.controllers {
-		known.member = false
-		known.distance = Unknown
+	for address, entry := range s.controllers {
+		entry.member = false
+		entry.distance = Unknown
 		isMember := slices.ContainsFunc(members, func(m membership.Member) bool { return m.Addr == address })
-		if !known.seed && !isMember {
+		if !entry.seed && !isMember {
 			delete(s.controllers, address)
 		}
 	}
 	s.AddMembers(members)
 }
 
-// controller returns the state of the controller at an address, which it adds if it is not known.
+// controller returns the state of the controller at an address and adds the controller if there is none.
 func (s *Selector) controller(address string) *controller {
-	known := s.controllers[address]
-	if known == nil {
-		known = &controller{address: address, distance: Unknown}
-		s.controllers[address] = known
+	entry := s.controllers[address]
+	if entry == nil {
+		entry = &controller{address: address, distance: Unknown}
+		s.controllers[address] = entry
 	}
-	return known
+	return entry
 }
 
 func (s *Selector) distance(member membership.Member) Distance {
@@ -127,13 +127,14 @@
 	return OtherRegion
 }
 
-// Next returns the controller to ask next in a search, of those that are not being asked: the nearest of those that
-// have answered with quorum when they were asked last or were never asked, then of the others the one asked longest
-// ago. ok is false if there is none.
+// Next returns the controller to call next in a search. It considers only controllers without a call in progress. It
+// prefers usable ones, that is those that were never called or whose last call was answered with quorum, and returns
+// the nearest of them. If there is none, it returns the controller whose last call started longest ago. ok is false if
+// all controllers have calls in progress.
 func (s *Selector) Next() (address string, ok bool) {
 	var best *controller
 	for _, candidate := range s.controllers {
-		if candidate.asking > 0 {
+		if candidate.callsInProgress > 0 {
 			continue
 		}
 		if best == nil || compare(candidate, best) < 0 {
@@ -146,7 +147,7 @@
 	return best.address, true
 }
 
-// compare orders controllers for a search.
+// compare orders controllers for a search: usable ones first by distance, then the others by the time of the last call.
 func compare(a, b *controller) int {
 	switch {
 	case a.usable() && b.usable():
@@ -156,11 +157,12 @@
 	case b.usable():
 		return 1
 	}
-	return cmp.Or(a.askedAt.Compare(b.askedAt), cmp.Compare(a.distance, b.distance), cmp.Compare(a.address, b.address))
+	return cmp.Or(a.lastCallAt.Compare(b.lastCallAt),
+		cmp.Compare(a.distance, b.distance), cmp.Compare(a.address, b.address))
 }
 
-// Nearer returns the nearest controller that is nearer than the one at an address, and is neither avoided nor being
-// asked. ok is false if there is none.
+// Nearer returns the nearest of the controllers that are nearer than the one at an address, are not avoided, and have
+// no call in progress. ok is false if there is none.
 func (s *Selector) Nearer(address string, now time.Time) (nearer string, ok bool) {
 	limit := Unknown
 	if current := s.controllers[address]; current != nil {
@@ -168,7 +170,7 @@
 	}
 	var best *controller
 	for _, candidate := range s.controllers {
-		if candidate.asking > 0 || now.Before(candidate.avoidUntil) || candidate.distance >= limit {
+		if candidate.callsInProgress > 0 || now.Before(candidate.avoidUntil) || candidate.distance >= limit {
 			continue
 		}
 		if best == nil || cmp.Or(cmp.Compare(candidate.distance, best.distance),
@@ -182,63 +184,64 @@
 	return best.address, true
 }
 
-// SearchDelay returns the pause after a number of controllers was asked in a search, until the next is asked.
-func (s *Selector) SearchDelay(asked int) time.Duration {
-	rounds := asked / max(1, len(s.controllers))
+// SearchDelay returns the delay before the next call of a search that has made the given number of calls.
+func (s *Selector) SearchDelay(calls int) time.Duration {
+	rounds := calls / max(1, len(s.controllers))
 	return searchBackoff.Delay(rounds+1, s.random())
 }
 
-// CallStarted records that a call to a controller begins. CallAnswered or CallFailed has to follow.
+// CallStarted records the start of a call to a controller. CallAnswered or CallFailed must follow.
 func (s *Selector) CallStarted(address string, now time.Time) {
-	known := s.controller(address)
-	known.asking++
-	known.askedAt = now
-}
-
-// CallAnswered records the answer to a call that began at askedAt, and whether the controller has a quorum. An answer to
-// a call from before the last failure does not undo that. CallAnswered reports whether the controller had a quorum by its
-// answer before, or has one now.
-func (s *Selector) CallAnswered(address string, askedAt, now time.Time, hasQuorum bool) (hadQuorum bool) {
-	known := s.controllers[address]
-	if known == nil {
-		return false // forgotten meanwhile
-	}
-	known.asking = max(0, known.asking-1)
-	hadQuorum = hasQuorum || !known.noQuorum
-	known.noQuorum = !hasQuorum
-	if !askedAt.After(known.failedAt) {
+	entry := s.controller(address)
+	entry.callsInProgress++
+	entry.lastCallAt = now
+}
+
+// CallAnswered records the answer to a call that started at startedAt, and whether the controller has a quorum. If the
+// call started before the last failure, the controller is still avoided because of that failure. CallAnswered reports
+// whether the controller has a quorum now or had one by its previous answer.
+func (s *Selector) CallAnswered(address string, startedAt, now time.Time, hasQuorum bool) (hadQuorum bool) {
+	entry := s.controllers[address]
+	if entry == nil {
+		return false // removed in the meantime
+	}
+	entry.callsInProgress = max(0, entry.callsInProgress-1)
+	hadQuorum = hasQuorum || !entry.noQuorum
+	entry.noQuorum = !hasQuorum
+	if !startedAt.After(entry.failedAt) {
 		return hadQuorum
 	}
-	known.failures = 0
-	known.avoidUntil = time.Time{}
+	entry.failures = 0
+	entry.avoidUntil = time.Time{}
 	if !hasQuorum {
-		known.avoidUntil = now.Add(noQuorumDelay)
+		entry.avoidUntil = now.Add(noQuorumDelay)
 	}
 	return hadQuorum
 }
 
-// CallFailed records that a call to a controller ended without an answer. It reports whether that is its first failure
-// in a row.
+// CallFailed records that a call to a controller ended without an answer. It reports whether this is the controller's
+// first failure since its last successful call.
 func (s *Selector) CallFailed(address string, now time.Time) (first bool) {
-	known := s.controllers[address]
-	if known == nil {
-		return false // forgotten meanwhile
+	entry := s.controllers[address]
+	if entry == nil {
+		return false // removed in the meantime
 	}
-	known.asking = max(0, known.asking-1)
-	return s.avoid(known, now)
+	entry.callsInProgress = max(0, entry.callsInProgress-1)
+	return s.avoid(entry, now)
 }
 
-// CallOverdue records that a controller's answer to a call that is still in progress should have come by now. It reports
-// whether that is its first failure in a row.
+// CallOverdue records that the answer to a call in progress is overdue, which counts as a failure. It reports whether
+// this is the controller's first failure since its last successful call.
 func (s *Selector) CallOverdue(address string, now time.Time) (first bool) {
-	known := s.controllers[address]
-	if known == nil {
-		return false // forgotten meanwhile
+	entry := s.controllers[address]
+	if entry == nil {
+		return false // removed in the meantime
 	}
-	return s.avoid(known, now)
+	return s.avoid(entry, now)
 }
 
-// avoid avoids a controller after a failure, longer with each in a row.
+// avoid records a failure of a controller, which is then avoided for longer with each consecutive failure. It reports
+// whether the failure is the first.
 func (s *Selector) avoid(failed *controller, now time.Time) (first bool) {
 	failed.failures++
 	failed.failedAt = now
