--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// The arithmetic of docs/leaving.md: a lease outlasts the pull that has renewed it and the next one, with a fifth to
-// spare, and keeps a quarter of the drain time for a request on its way and a controller that has just lost the others.
+// The durations satisfy the bounds that docs/leaving.md derives. A lease outlasts the pull that renewed it and the next
+// pull, with a fifth of its duration to spare. It leaves a quarter of the drain time for requests in transit and for a
+// controller that has just lost contact with the others.
 func TestDurations(t *testing.T) {
 	for _, drainTime := range []time.Duration{
 		0, 400 * time.Millisecond, time.Second, 3 * time.Second, 4 * time.Second, time.Minute,
