--- a/internal/control/replica/output.go
+++ b/internal/control/replica/output.go
@@ -16,8 +16,8 @@
 	Responses   []OutgoingResponse
 	Completions []Completion
 	LogEntries  []LogEntry
-	// ForgottenKeys are the keys of items that are no longer held, to be removed from the disk.
-	ForgottenKeys []string
+	// DeletedKeys are the keys of items that are no longer held, to be removed from the disk.
+	DeletedKeys []string
 	// PullNow lists replicas that have just shown to be up. A pull of them that is under way may hang; they are best
 	// pulled at once or, if they are no members, asked who the members are.
 	PullNow []message.Member
@@ -85,7 +85,7 @@
 
 // forget lists an item's key among those to be removed from the disk.
 func (r *Replica) forget(key string) {
-	r.output.ForgottenKeys = append(r.output.ForgottenKeys, key)
+	r.output.DeletedKeys = append(r.output.DeletedKeys, key)
 }
 
 // notifyAfter has the pending pulls checked again after a delay, or earlier where that is due already.
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -177,7 +177,7 @@
 }
 
 // Leave announces that the process is about to end: pending pulls are answered at once so that their senders turn to
-// other members, and the members are asked for a successor. See HandingOver.
+// other members, and the members are asked for a successor. See AwaitingReplacement.
 func (r *Replica) Leave(now time.Time) {
 	r.leaving = true
 	r.notifyAfter(0)
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -11,7 +11,7 @@
 
 // ItemsToPersist returns what has become known since a local sequence number, the progress that it amounts to once it
 // is on disk, and the sequence number to continue from. The caller saves it from time to time; dropped items are
-// listed in Output.ForgottenKeys. While registers, which are part of the progress, are not on disk yet, it returns
+// listed in Output.DeletedKeys. While registers, which are part of the progress, are not on disk yet, it returns
 // nothing.
 func (r *Replica) ItemsToPersist(since uint64) (items []PersistedItem, progress replication.Vector, next uint64) {
 	if len(r.pendingSaves) > 0 || r.saveFailed {
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -172,10 +172,10 @@
 	r.startInternalWrite(now, updates, func() { local.proposing = false })
 }
 
-// HandingOver reports whether a process that is to end should go on for a while: until it is replaced, where a
+// AwaitingReplacement reports whether a process that is to end should go on for a while: until it is replaced, where a
 // successor is ready, and until so many members are active in the new epoch that one more failure can't lose what only
 // this replica holds besides.
-func (r *Replica) HandingOver(now time.Time) bool {
+func (r *Replica) AwaitingReplacement(now time.Time) bool {
 	local := &r.local
 	if !r.leaving || !local.identity.EverActive || !local.diskConfirmed {
 		return false
--- a/internal/control/server/driver.go
+++ b/internal/control/server/driver.go
@@ -33,7 +33,7 @@
 	s.sendRequests(output.Requests)
 	s.deliverResponses(output.Responses)
 	s.deliverCompletions(output.Completions)
-	for _, key := range output.ForgottenKeys {
+	for _, key := range output.DeletedKeys {
 		s.saved.pending[itemPrefix+key] = ""
 	}
 	s.pullNow(output.PullNow)
--- a/internal/control/server/run.go
+++ b/internal/control/server/run.go
@@ -147,7 +147,7 @@
 	poll(ctx, handoverPollInterval, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return !s.replica.HandingOver(s.now())
+		return !s.replica.AwaitingReplacement(s.now())
 	})
 }
 
