--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -114,7 +114,7 @@
 // been lost for BackendTimeout, and that have not turned to another. Of the members that are reachable the first by
 // name does it for all.
 func (r *Replica) expireOrphanedBackends(now time.Time) {
-	if !r.noteLostPeers(now) || !r.HasQuorum(now) {
+	if !r.updateUnreachablePeers(now) || !r.HasQuorum(now) {
 		return
 	}
 	var timedOut []replication.Item
@@ -123,7 +123,7 @@
 		if !ok || backend.Phase != replication.PhaseReady && backend.Phase != replication.PhaseDraining {
 			return
 		}
-		if since, lost := r.ownerLostSince(now, backend.Owner); lost && now.Sub(since) > r.config.BackendTimeout {
+		if since, lost := r.ownerUnreachableSince(now, backend.Owner); lost && now.Sub(since) > r.config.BackendTimeout {
 			id := strings.TrimPrefix(item.Key, replication.BackendKeyPrefix)
 			timedOut = append(timedOut, backend.TimedOut(id, item.Version))
 		}
@@ -134,34 +134,34 @@
 	}
 }
 
-// noteLostPeers notes which peers have become unreachable since the last call. It reports whether this replica is the
+// updateUnreachablePeers notes which peers have become unreachable since the last call. It reports whether this replica is the
 // first by name of those that are reachable.
-func (r *Replica) noteLostPeers(now time.Time) (first bool) {
+func (r *Replica) updateUnreachablePeers(now time.Time) (first bool) {
 	first = true
 	for node, peer := range r.peers {
 		switch {
 		case r.reachable(node, now):
-			peer.lostSince = time.Time{}
+			peer.unreachableSince = time.Time{}
 			first = first && r.config.Self.Node < node
-		case peer.lostSince.IsZero() && peer.heardOnce:
-			peer.lostSince = now
+		case peer.unreachableSince.IsZero() && peer.hasResponded:
+			peer.unreachableSince = now
 		}
 	}
 	return first
 }
 
-// ownerLostSince reports whether the owner of a backend is lost, and since when: a member that is unreachable, or a
+// ownerUnreachableSince reports whether the owner of a backend is lost, and since when: a member that is unreachable, or a
 // node that is no member.
-func (r *Replica) ownerLostSince(now time.Time, owner string) (since time.Time, lost bool) {
+func (r *Replica) ownerUnreachableSince(now time.Time, owner string) (since time.Time, lost bool) {
 	if peer := r.peers[owner]; peer != nil {
-		delete(r.lostOwners, owner)
-		return peer.lostSince, !peer.lostSince.IsZero()
+		delete(r.departedOwners, owner)
+		return peer.unreachableSince, !peer.unreachableSince.IsZero()
 	}
 	if owner == r.config.Self.Node {
 		return time.Time{}, false
 	}
-	if _, noted := r.lostOwners[owner]; !noted {
-		r.lostOwners[owner] = now
+	if _, noted := r.departedOwners[owner]; !noted {
+		r.departedOwners[owner] = now
 	}
-	return r.lostOwners[owner], true
+	return r.departedOwners[owner], true
 }
--- a/internal/control/replica/clock.go
+++ b/internal/control/replica/clock.go
@@ -15,16 +15,16 @@
 		moveBack(setBack, &op.expiresAt, &op.attempt.deadline, &op.retryAt)
 	}
 	for key, value := range r.undecided {
-		moveBack(setBack, &value.repairAt, &value.since)
+		moveBack(setBack, &value.repairAt, &value.noticedAt)
 		r.undecided[key] = value
 	}
 	for _, peer := range r.peers {
-		moveBack(setBack, &peer.lastHeard, &peer.lastPull, &peer.memberSince)
+		moveBack(setBack, &peer.lastResponseAt, &peer.lastPullAt, &peer.memberSince)
 	}
 	for _, candidate := range r.candidates {
-		moveBack(setBack, &candidate.lastPull)
+		moveBack(setBack, &candidate.lastPullAt)
 	}
-	moveBack(setBack, &r.nextRepairAt, &r.startedAt, &r.lastCallbackAt, &r.local.adoptedAt)
+	moveBack(setBack, &r.nextRepairAt, &r.startedAt, &r.lastEpochPullAt, &r.local.adoptedAt)
 }
 
 // moveBack subtracts a duration from each time that is set.
--- a/internal/control/replica/confirm.go
+++ b/internal/control/replica/confirm.go
@@ -97,7 +97,7 @@
 // the rounds of the first can end before the next one's begin.
 func (r *Replica) endConfirmation(now time.Time, op *operation) {
 	r.finish(op, nil, nil)
-	turn := r.repairTurn(now)
+	turn := r.repairTurnDelay(now)
 	later := repairDelay/2 + r.jitter(repairDelay/2)
 	for _, key := range op.confirmation.Keys {
 		value, undecided := r.undecided[key]
@@ -108,16 +108,16 @@
 		switch {
 		case !r.isAwaited(key):
 			at = now.Add(later)
-		case value.since.Add(repairDelay / 2).After(now):
-			at = value.since.Add(repairDelay / 2)
+		case value.noticedAt.Add(repairDelay / 2).After(now):
+			at = value.noticedAt.Add(repairDelay / 2)
 		}
 		r.scheduleRepair(key, at.Add(turn), true)
 	}
 }
 
-// repairTurn returns how long this replica leaves rounds of repairs to the members that precede it, by name, among those
+// repairTurnDelay returns how long this replica leaves rounds of repairs to the members that precede it, by name, among those
 // that it reaches: a round of a large change may take as long as an attempt.
-func (r *Replica) repairTurn(now time.Time) (turn time.Duration) {
+func (r *Replica) repairTurnDelay(now time.Time) (turn time.Duration) {
 	for node := range r.peers {
 		if node < r.config.Self.Node && r.reachable(node, now) {
 			turn += attemptTimeout
--- a/internal/control/replica/contention.go
+++ b/internal/control/replica/contention.go
@@ -17,12 +17,12 @@
 // compete with each other as before.
 
 const (
-	// contentionMemory is how long after a defeat changes are handed over without an attempt of their own.
-	contentionMemory = 2 * time.Second
+	// contentionPeriod is how long after a defeat changes are handed over without an attempt of their own.
+	contentionPeriod = 2 * time.Second
 
-	// handOverMemory is the same after a change that was handed over: where changes follow each other that fast, they
-	// would compete again if all replicas began to propose theirs at the end of contentionMemory.
-	handOverMemory = 500 * time.Millisecond
+	// handOverPeriod is the same after a change that was handed over: where changes follow each other that fast, they
+	// would compete again if all replicas began to propose theirs at the end of contentionPeriod.
+	handOverPeriod = 500 * time.Millisecond
 )
 
 // ContentionStats counts what competing rounds have led to since the start.
@@ -72,31 +72,31 @@
 		return
 	}
 	if coordinator, ok := r.coordinator(now); ok {
-		if until := now.Add(handOverMemory); until.After(r.contendedUntil) {
+		if until := now.Add(handOverPeriod); until.After(r.contendedUntil) {
 			r.contendedUntil = until
 		}
 		r.finish(op, nil, &ContendedError{Coordinator: coordinator})
 	}
 }
 
-// noteDefeat notes that a competing round has defeated a batch of this replica, and hands its changes over.
-func (r *Replica) noteDefeat(now time.Time, batch []*operation) {
-	r.contendedUntil = now.Add(contentionMemory)
+// handleDefeat notes that a competing round has defeated a batch of this replica, and hands its changes over.
+func (r *Replica) handleDefeat(now time.Time, batch []*operation) {
+	r.contendedUntil = now.Add(contentionPeriod)
 	r.contentionStats.Defeats++
 	for _, op := range batch {
 		r.handOver(now, op)
 	}
 }
 
-// noteCompetitor notes a round of another replica that competes with a change that is being proposed here. Whichever of
+// detectCompetingRound notes a round of another replica that competes with a change that is being proposed here. Whichever of
 // the two wins: who always wins would interrupt the others' rounds for as long as it has changes.
-func (r *Replica) noteCompetitor(now time.Time, request *message.PeerRequest) {
+func (r *Replica) detectCompetingRound(now time.Time, request *message.PeerRequest) {
 	if request.Proposal.Proposer == r.local.proposerID() {
 		return
 	}
 	for _, op := range r.operations {
 		if op.kind == proposeWrite && !op.parked && op.proposal.concerns(request) {
-			r.contendedUntil = now.Add(contentionMemory)
+			r.contendedUntil = now.Add(contentionPeriod)
 			return
 		}
 	}
@@ -127,12 +127,12 @@
 func coordinatorRank(node string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(node))
-	return mix(hash.Sum64())
+	return mixHash(hash.Sum64())
 }
 
-// mix spreads a hash over all of its bits (the finalizer of SplitMix64): FNV changes the high ones little between names
+// mixHash spreads a hash over all of its bits (the finalizer of SplitMix64): FNV changes the high ones little between names
 // that differ in their last letters.
-func mix(x uint64) uint64 {
+func mixHash(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/internal/control/replica/full_pull.go
+++ b/internal/control/replica/full_pull.go
@@ -12,14 +12,14 @@
 // fullPull is a pull of everything that takes several responses of one member. What the member doesn't hold is dropped
 // here once the last of them has come, and not before: the first ones only lack what was held back for size.
 type fullPull struct {
-	source   string          // the member's node
-	received map[string]bool // the keys that came meanwhile, from whichever member
-	progress replication.Vector
-	lastPart time.Time
+	source     string          // the member's node
+	received   map[string]bool // the keys that came meanwhile, from whichever member
+	progress   replication.Vector
+	lastPartAt time.Time
 }
 
 // isStuck reports whether the next part of a full pull is overdue.
-func (p *fullPull) isStuck(now time.Time) bool { return now.Sub(p.lastPart) > PeerTimeout }
+func (p *fullPull) isStuck(now time.Time) bool { return now.Sub(p.lastPartAt) > PeerTimeout }
 
 // continuedPull returns the full pull that is under way and of which a member sends the next part; nil if there is none.
 func (r *Replica) continuedPull(now time.Time, node string) *fullPull {
@@ -52,7 +52,7 @@
 		pull.progress[origin] = max(pull.progress[origin], sequence)
 	}
 	if response.Truncated && len(pull.progress) > 0 {
-		pull.lastPart = now
+		pull.lastPartAt = now
 		r.fullPull = pull
 		r.progressValid = false // until the last part: one that never comes is followed by another full pull
 		r.items.Advance(response.Progress)
@@ -68,7 +68,7 @@
 	r.fullPull = nil
 	isRegister := func(item replication.Item) bool { return strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) }
 	for _, key := range r.items.ReplaceReceived(pull.received, pull.progress, isRegister) {
-		r.forget(key)
+		r.deleteFromDisk(key)
 		if id, ok := strings.CutPrefix(key, replication.BackendKeyPrefix); ok {
 			delete(r.backends, id)
 		}
--- a/internal/control/replica/identity.go
+++ b/internal/control/replica/identity.go
@@ -160,7 +160,7 @@
 	r.advanceGeneration(now)
 	r.startTakeover(now)
 	r.continueVerification(now)
-	r.noteQuorumChange(now)
+	r.reportQuorumChange(now)
 }
 
 // recordGeneration notes the generation of another replica's disk, unless a later one is known.
--- a/internal/control/replica/leases.go
+++ b/internal/control/replica/leases.go
@@ -94,7 +94,7 @@
 	r.expireLeases(now)
 	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
-		if !ok || !r.listens(now, item.Key, lease) {
+		if !ok || !r.acceptsClients(now, item.Key, lease) {
 			return
 		}
 		switch {
@@ -117,9 +117,9 @@
 	return addrs[:min(len(addrs), limit)]
 }
 
-// listens reports whether the holder of a lease is a proxy that takes clients. The lease has to be confirmed: by a
+// acceptsClients reports whether the holder of a lease is a proxy that takes clients. The lease has to be confirmed: by a
 // renewal since this replica's start if it was granted here, otherwise by a grantor that is reachable.
-func (r *Replica) listens(now time.Time, key string, lease *replication.Lease) bool {
+func (r *Replica) acceptsClients(now time.Time, key string, lease *replication.Lease) bool {
 	if lease.Ended || lease.ListenAddress == "" || lease.Role != message.RoleProxy {
 		return false
 	}
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -73,12 +73,12 @@
 	local := &r.local
 	identity := persisted.Identity
 	if identity.DiskID == "" {
-		founding := r.config.Bootstrap || persisted.LegacyDisk
+		bootstrapped := r.config.Bootstrap || persisted.LegacyDisk
 		identity = Identity{
 			DiskID:       r.newDiskID(now),
 			Generation:   1,
-			Bootstrapped: founding,
-			EverActive:   founding,
+			Bootstrapped: bootstrapped,
+			EverActive:   bootstrapped,
 			InitialPeers: r.config.InitialPeers,
 		}
 	}
--- a/internal/control/replica/maintenance.go
+++ b/internal/control/replica/maintenance.go
@@ -19,7 +19,7 @@
 	r.startDiskConfirmation(now)
 	r.startTakeover(now)
 	r.reconfigure(now)
-	r.noteQuorumChange(now)
+	r.reportQuorumChange(now)
 	r.continueVerification(now)
 	r.repairUndecided(now)
 	r.retrySave(now)
@@ -83,7 +83,7 @@
 		delete(r.tombstones, key)
 		if strings.HasPrefix(key, replication.ReleaseTallyKeyPrefix) || r.backendIsGone(key) {
 			r.items.Delete(key)
-			r.forget(key)
+			r.deleteFromDisk(key)
 		}
 	}
 }
--- a/internal/control/replica/operation.go
+++ b/internal/control/replica/operation.go
@@ -257,7 +257,7 @@
 		op.retryAt = now.Add(minRetryDelay + r.jitter(retryJitter))
 		return
 	}
-	r.noteDefeat(now, op.proposal.batch)
+	r.handleDefeat(now, op.proposal.batch)
 	op.defeats++
 	op.retryAt = now.Add(r.defeatBackoff().Delay(op.defeats, r.config.Random()))
 }
--- a/internal/control/replica/output.go
+++ b/internal/control/replica/output.go
@@ -83,8 +83,8 @@
 
 func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// forget lists an item's key among those to be removed from the disk.
-func (r *Replica) forget(key string) {
+// deleteFromDisk lists an item's key among those to be removed from the disk.
+func (r *Replica) deleteFromDisk(key string) {
 	r.output.DeletedKeys = append(r.output.DeletedKeys, key)
 }
 
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -12,14 +12,14 @@
 // peerState is what a replica knows of another member of the configuration.
 type peerState struct {
 	message.Member
-	lastPull    time.Time // when the last pull of it began
-	lastHeard   time.Time // when it responded last
-	heardOnce   bool      // it has responded since this replica's start
-	lostSince   time.Time // when it was noticed to be unreachable; zero while it is reachable
-	memberSince time.Time // when this replica learned that it is a member
-	leaving     bool      // its process is about to end
-	activeEpoch uint64    // the epoch in which it was active by its last response
-	origin      string    // of the items that it publishes in its current incarnation
+	lastPullAt       time.Time // when the last pull of it began
+	lastResponseAt   time.Time // when it responded last
+	hasResponded     bool      // it has responded since this replica's start
+	unreachableSince time.Time // when it was noticed to be unreachable; zero while it is reachable
+	memberSince      time.Time // when this replica learned that it is a member
+	leaving          bool      // its process is about to end
+	activeEpoch      uint64    // the epoch in which it was active by its last response
+	origin           string    // of the items that it publishes in its current incarnation
 
 	responseTime time.Duration // to a phase of a round, smoothed; zero: not known
 
@@ -28,10 +28,10 @@
 	legacySequence uint64
 }
 
-// heard notes a response of the peer.
-func (p *peerState) heard(now time.Time, response *message.PullResponse) {
-	p.lastHeard = now
-	p.heardOnce = true
+// recordResponse notes a response of the peer.
+func (p *peerState) recordResponse(now time.Time, response *message.PullResponse) {
+	p.lastResponseAt = now
+	p.hasResponded = true
 	p.activeEpoch = response.ActiveEpoch
 	p.legacySource = ""
 	p.legacySequence = 0
@@ -98,11 +98,11 @@
 		return
 	}
 	r.recordGeneration(request.From, request.DiskGeneration)
-	if request.KnownEpoch > r.local.configuration.Epoch && now.Sub(r.lastCallbackAt) > stuckPullTimeout {
-		r.lastCallbackAt = now // all members that this replica knows may be gone
+	if request.KnownEpoch > r.local.configuration.Epoch && now.Sub(r.lastEpochPullAt) > stuckPullTimeout {
+		r.lastEpochPullAt = now // all members that this replica knows may be gone
 		r.output.PullNow = append(r.output.PullNow, request.From)
 	}
-	peer := r.callingPeer(request)
+	peer := r.pullingPeer(request)
 	if peer == nil {
 		r.registerCandidate(now, request)
 		return
@@ -111,8 +111,8 @@
 	peer.leaving = request.Leaving
 }
 
-// callingPeer returns the member that sent a pull, or nil where the sender is a proxy or a candidate.
-func (r *Replica) callingPeer(request *message.PullRequest) *peerState {
+// pullingPeer returns the member that sent a pull, or nil where the sender is a proxy or a candidate.
+func (r *Replica) pullingPeer(request *message.PullRequest) *peerState {
 	peer := r.peers[request.From.Node]
 	if request.Role != message.RoleController || peer == nil || !peer.SameReplica(request.From) {
 		return nil
@@ -126,7 +126,7 @@
 		return true
 	}
 	peer := r.peers[node]
-	return peer != nil && peer.heardOnce && now.Sub(peer.lastHeard) < PeerTimeout
+	return peer != nil && peer.hasResponded && now.Sub(peer.lastResponseAt) < PeerTimeout
 }
 
 // HasQuorum reports whether this replica's items can be relied on: it is a member and reaches a majority of the
@@ -158,9 +158,9 @@
 		now.Sub(local.adoptedAt) < takeoverGrace
 }
 
-// noteQuorumChange logs when this replica gains or loses its quorum, and has the pending pulls answered, whose
+// reportQuorumChange logs when this replica gains or loses its quorum, and has the pending pulls answered, whose
 // responses say it.
-func (r *Replica) noteQuorumChange(now time.Time) {
+func (r *Replica) reportQuorumChange(now time.Time) {
 	hasQuorum := r.HasQuorum(now)
 	if hasQuorum == r.hadQuorum {
 		return
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -37,7 +37,7 @@
 		isRegister := strings.HasPrefix(saved.Item.Key, replication.RegisterKeyPrefix)
 		switch {
 		case expired && !isRegister && saved.Origin != "":
-			r.forget(saved.Item.Key)
+			r.deleteFromDisk(saved.Item.Key)
 		case isRegister && !r.restoreRegisterBody(&saved.Item):
 			if lowest, known := lost[saved.Origin]; !known || saved.Sequence < lowest {
 				lost[saved.Origin] = saved.Sequence
--- a/internal/control/replica/pull_answer.go
+++ b/internal/control/replica/pull_answer.go
@@ -43,16 +43,16 @@
 	if request.ProtocolVersion >= message.ProtocolVersion {
 		pending.complete = len(request.Progress) == 0
 	}
-	peer := r.callingPeer(request)
+	peer := r.pullingPeer(request)
 	if peer == nil {
 		return pending
 	}
-	if !r.reachable(peer.Node, now) && now.Sub(peer.lastPull) > stuckPullTimeout {
-		peer.lastPull = now
+	if !r.reachable(peer.Node, now) && now.Sub(peer.lastPullAt) > stuckPullTimeout {
+		peer.lastPullAt = now
 		r.output.PullNow = append(r.output.PullNow, peer.Member)
 	}
 	if !request.MembersOnly {
-		r.notePullProgress(now, request, pending.complete)
+		r.recordPullProgress(now, request, pending.complete)
 	}
 	return pending
 }
@@ -78,7 +78,7 @@
 		response.Authority = r.authority(pending, response)
 		ready = ready || response.Authority == message.AuthorityConfirmed
 	}
-	if r.wantsMembers(request, response) {
+	if r.shouldListMembers(request, response) {
 		response.Members = r.pullTargets()
 	}
 	return response, ready || len(response.Items) > 0
@@ -121,14 +121,14 @@
 		return !known
 	default:
 		r.addMissingItems(pending, response)
-		return pending.complete || !r.heardBy(request)
+		return pending.complete || !r.knownToSender(request)
 	}
 }
 
-// heardBy reports whether the sender of a pull has heard of this replica's current incarnation.
-func (r *Replica) heardBy(request *message.PullRequest) bool {
-	_, heard := request.Progress[r.items.Origin]
-	return heard
+// knownToSender reports whether the sender of a pull has heard of this replica's current incarnation.
+func (r *Replica) knownToSender(request *message.PullRequest) bool {
+	_, known := request.Progress[r.items.Origin]
+	return known
 }
 
 // itemFilter returns which items to send to a role, by their keys; nil for all. Proxies need neither leases nor the
@@ -189,13 +189,13 @@
 	return beyond
 }
 
-// wantsMembers reports whether a response is to list the members: where they were asked for, or for a proxy together
+// shouldListMembers reports whether a response is to list the members: where they were asked for, or for a proxy together
 // with new items or when it hears of this incarnation for the first time.
-func (r *Replica) wantsMembers(request *message.PullRequest, response *message.PullResponse) bool {
+func (r *Replica) shouldListMembers(request *message.PullRequest, response *message.PullResponse) bool {
 	if request.MembersOnly {
 		return true
 	}
-	return request.Role == message.RoleProxy && (len(response.Items) > 0 || !r.heardBy(request))
+	return request.Role == message.RoleProxy && (len(response.Items) > 0 || !r.knownToSender(request))
 }
 
 // pullTargets returns the members that may be pulled from. This replica is one of them only while it is a member
--- a/internal/control/replica/pull_request.go
+++ b/internal/control/replica/pull_request.go
@@ -55,14 +55,14 @@
 	if peer == nil {
 		return
 	}
-	if peer.heardOnce && now.Sub(peer.lastHeard) < recentlyHeard {
+	if peer.hasResponded && now.Sub(peer.lastResponseAt) < recentResponseWindow {
 		wait := PeerPullWait
 		if !r.local.isMember() {
 			wait = candidatePullWait
 		}
 		request.WaitMs = wait.Milliseconds()
 	}
-	peer.lastPull = now
+	peer.lastPullAt = now
 	request.PeerActiveEpoch = peer.activeEpoch
 	if peer.legacySource != "" {
 		request.LegacyVector = map[string]uint64{peer.legacySource: peer.legacySequence}
@@ -78,7 +78,7 @@
 // DeferPull reports whether to put off pulling a member: shortly after the start only the nearest one is pulled, so
 // that what this replica lacks is sent once and not by everybody.
 func (r *Replica) DeferPull(now time.Time, to message.Member) bool {
-	if r.heardFromPeer || now.Sub(r.startedAt) > firstPullHeadStart {
+	if r.peerResponded || now.Sub(r.startedAt) > nearestPullPeriod {
 		return false
 	}
 	for _, peer := range r.OtherMembers() {
--- a/internal/control/replica/pull_response.go
+++ b/internal/control/replica/pull_response.go
@@ -30,9 +30,9 @@
 		}
 		r.lastPullAt = now
 	}
-	r.notePeerResponse(now, from, response)
+	r.recordPeerResponse(now, from, response)
 	r.save(now, Save{Entries: changed}, nil)
-	r.noteQuorumChange(now)
+	r.reportQuorumChange(now)
 }
 
 // mergeItems merges the items of a response. It returns the register entries that have changed, to be saved, and the
@@ -52,10 +52,10 @@
 	return changed, received
 }
 
-// notePeerResponse notes that a member has responded. One that was not heard before counts as heard only once it has sent
+// recordPeerResponse notes that a member has responded. One that was not heard before counts as heard only once it has sent
 // all that this replica lacks: until then this replica is not up to date with it. The disk is compared because a candidate may have taken over a
 // member's address; protocol version 1 doesn't tell it.
-func (r *Replica) notePeerResponse(now time.Time, from message.Member, response *message.PullResponse) {
+func (r *Replica) recordPeerResponse(now time.Time, from message.Member, response *message.PullResponse) {
 	peer := r.peers[from.Node]
 	if peer == nil {
 		return
@@ -66,8 +66,8 @@
 	if response.Truncated && !r.reachable(peer.Node, now) {
 		return
 	}
-	peer.heard(now, response)
-	r.heardFromPeer = true
+	peer.recordResponse(now, response)
+	r.peerResponded = true
 }
 
 // mergeItem merges an item of a response; without an origin it is published as this replica's own. It returns the
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -104,8 +104,8 @@
 	r.expediteRepair(now, op.read.undecided)
 }
 
-// noteRead tells the reads that wait for a register that its value is known to be chosen.
-func (r *Replica) noteRead(entry quorum.Entry) {
+// resolveReads tells the reads that wait for a register that its value is known to be chosen.
+func (r *Replica) resolveReads(entry quorum.Entry) {
 	for _, id := range r.operationIDs() {
 		op := r.operations[id]
 		if op == nil || op.kind != quorumRead || !op.read.undecided[entry.Key] {
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -12,7 +12,7 @@
 // candidate is a controller that has pulled here and is no member of the configuration.
 type candidate struct {
 	membership.Candidate
-	lastPull time.Time
+	lastPullAt time.Time
 }
 
 // registerCandidate takes the pull of a controller that is no member.
@@ -28,8 +28,8 @@
 			LogField{"ready", strconv.FormatBool(ready)})
 	}
 	r.candidates[request.From.Node] = &candidate{
-		Candidate: membership.Candidate{Member: request.From, CaughtUp: ready},
-		lastPull:  now,
+		Candidate:  membership.Candidate{Member: request.From, CaughtUp: ready},
+		lastPullAt: now,
 	}
 	if ready {
 		r.reconfigure(now)
@@ -46,7 +46,7 @@
 func (r *Replica) liveCandidates(now time.Time) []membership.Candidate {
 	var live []membership.Candidate
 	for node, candidate := range r.candidates {
-		if now.Sub(candidate.lastPull) > candidateTimeout {
+		if now.Sub(candidate.lastPullAt) > candidateTimeout {
 			delete(r.candidates, node)
 		} else {
 			live = append(live, candidate.Candidate)
@@ -66,7 +66,7 @@
 		r.proposeFirstConfiguration(now)
 		return
 	}
-	if !r.leaving && (!r.HasQuorum(now) || !r.isCoordinator(now)) {
+	if !r.leaving && (!r.HasQuorum(now) || !r.isFirstReachable(now)) {
 		return
 	}
 	if !r.takeoverComplete(now) {
@@ -87,8 +87,8 @@
 	for node, peer := range r.peers {
 		member := membership.MemberStatus{Member: peer.Member, Leaving: peer.leaving}
 		if !r.reachable(node, now) {
-			silent := now.Sub(latestOf(peer.lastHeard, peer.memberSince, r.startedAt))
-			member.SinceLastHeartbeat = max(1, silent) // 0 stands for a member that is reachable
+			sinceResponse := now.Sub(latestOf(peer.lastResponseAt, peer.memberSince, r.startedAt))
+			member.SinceLastHeartbeat = max(1, sinceResponse) // 0 stands for a member that is reachable
 		}
 		members = append(members, member)
 	}
@@ -113,16 +113,16 @@
 		return true
 	}
 	for _, peer := range r.peers {
-		givenUp := now.Sub(latestOf(peer.lastHeard, peer.memberSince)) >= PeerTimeout
-		if !givenUp && peer.activeEpoch != local.configuration.Epoch {
+		timedOut := now.Sub(latestOf(peer.lastResponseAt, peer.memberSince)) >= PeerTimeout
+		if !timedOut && peer.activeEpoch != local.configuration.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// isCoordinator reports whether this replica is the first by name of the members that are reachable.
-func (r *Replica) isCoordinator(now time.Time) bool {
+// isFirstReachable reports whether this replica is the first by name of the members that are reachable.
+func (r *Replica) isFirstReachable(now time.Time) bool {
 	for node := range r.peers {
 		if node < r.config.Self.Node && r.reachable(node, now) {
 			return false
@@ -149,7 +149,7 @@
 	turn := time.Duration(0)
 	for _, peer := range local.configuration.Members {
 		if peer.Addr < local.self.Addr {
-			turn += bootstrapTurn
+			turn += bootstrapTurnDelay
 		}
 	}
 	if now.Sub(local.bootstrapPossibleSince) >= turn {
--- a/internal/control/replica/registers.go
+++ b/internal/control/replica/registers.go
@@ -50,10 +50,10 @@
 	var changed []quorum.Entry
 	switch path {
 	case message.PreparePath:
-		r.noteCompetitor(now, request)
+		r.detectCompetingRound(now, request)
 		response, changed = r.servePrepare(request)
 	case message.AcceptPath:
-		r.noteCompetitor(now, request)
+		r.detectCompetingRound(now, request)
 		response, changed = r.serveAccept(request)
 	case message.ConfirmPath:
 		response, changed = r.serveConfirm(request)
@@ -135,7 +135,7 @@
 			continue
 		}
 		r.publishEntry(entry)
-		r.dropUndecided(now, entry)
+		r.resolveUndecided(now, entry)
 		if entry.Key == membership.RegisterKey {
 			r.adoptConfiguration(now, entry)
 		}
--- a/internal/control/replica/repair.go
+++ b/internal/control/replica/repair.go
@@ -17,11 +17,11 @@
 
 // undecidedValue is the state of a register whose value this replica has accepted without knowing that it is chosen.
 type undecidedValue struct {
-	accepted quorum.ProposalNumber // under which it was accepted
-	since    time.Time             // when that was noticed; zero: before this replica's start
-	repairAt time.Time             // when the next step is due
-	asked    bool                  // the others were asked to confirm it: the next step is a round
-	rounds   int                   // that were begun for it here
+	accepted   quorum.ProposalNumber // under which it was accepted
+	noticedAt  time.Time             // when that was noticed; zero: before this replica's start
+	repairAt   time.Time             // when the next step is due
+	needsRound bool                  // the others were asked to confirm it: the next step is a round
+	rounds     int                   // that were begun for it here
 }
 
 // trackUndecided schedules the repair of those of some registers whose values this replica has accepted without knowing
@@ -40,7 +40,7 @@
 		if scheduled, ok := r.undecided[entry.Key]; ok && scheduled.accepted == current.Accepted {
 			continue
 		}
-		r.undecided[entry.Key] = undecidedValue{accepted: current.Accepted, since: now}
+		r.undecided[entry.Key] = undecidedValue{accepted: current.Accepted, noticedAt: now}
 		if isConfirmable(entry.Key) {
 			r.scheduleRepair(entry.Key, confirmAt, false)
 		} else {
@@ -52,7 +52,7 @@
 // expediteRepair begins the repair of registers that somebody waits for.
 func (r *Replica) expediteRepair(now time.Time, keys map[string]bool) {
 	for key := range keys {
-		if value, known := r.undecided[key]; known && !value.asked {
+		if value, known := r.undecided[key]; known && !value.needsRound {
 			r.scheduleRepair(key, now, false)
 		}
 	}
@@ -74,13 +74,13 @@
 
 // scheduleRepair sets when the next step for the present value of an undecided register is due. asked says that the step
 // is a round.
-func (r *Replica) scheduleRepair(key string, at time.Time, asked bool) {
+func (r *Replica) scheduleRepair(key string, at time.Time, needsRound bool) {
 	r.undecided[key] = undecidedValue{
-		accepted: r.acceptor.Get(key).Accepted,
-		since:    r.undecided[key].since,
-		repairAt: at,
-		asked:    asked,
-		rounds:   r.undecided[key].rounds,
+		accepted:   r.acceptor.Get(key).Accepted,
+		noticedAt:  r.undecided[key].noticedAt,
+		repairAt:   at,
+		needsRound: needsRound,
+		rounds:     r.undecided[key].rounds,
 	}
 	if r.nextRepairAt.IsZero() || at.Before(r.nextRepairAt) {
 		r.nextRepairAt = at
@@ -112,7 +112,7 @@
 		r.updateNextRepair(now)
 		return
 	}
-	turn, random := r.repairTurn(now), r.config.Random()
+	turn, random := r.repairTurnDelay(now), r.config.Random()
 	for _, key := range confirm {
 		r.scheduleRepair(key, now.Add(attemptTimeout+turn), true)
 	}
@@ -148,14 +148,14 @@
 	for _, key := range slices.Sorted(maps.Keys(r.undecided)) {
 		entry := r.acceptor.Get(key)
 		if entry.Chosen || entry.Accepted == (quorum.ProposalNumber{}) {
-			r.dropUndecided(now, entry)
+			r.resolveUndecided(now, entry)
 			continue
 		}
 		repairable := key == membership.RegisterKey || !r.epochClosed()
 		value := r.undecided[key]
 		switch {
 		case !repairable || now.Before(value.repairAt):
-		case !value.asked:
+		case !value.needsRound:
 			confirm = append(confirm, key)
 		case len(propose) < maxRepairRounds*maxRepairKeys:
 			propose = append(propose, key)
@@ -167,9 +167,9 @@
 	return confirm, propose
 }
 
-// dropUndecided notes that the value of a register is known to be chosen.
-func (r *Replica) dropUndecided(now time.Time, entry quorum.Entry) {
+// resolveUndecided notes that the value of a register is known to be chosen.
+func (r *Replica) resolveUndecided(now time.Time, entry quorum.Entry) {
 	delete(r.undecided, entry.Key)
-	r.noteRead(entry)
-	r.noteVerified(now, entry.Key)
+	r.resolveReads(entry)
+	r.resolveVerification(now, entry.Key)
 }
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -43,7 +43,7 @@
 	peers           map[string]*peerState
 	candidates      map[string]*candidate
 	diskGenerations map[string]message.DiskGeneration // of other replicas' disks, by node
-	lastCallbackAt  time.Time                         // when a replica that knows a newer epoch was last asked for it
+	lastEpochPullAt time.Time                         // when a replica that knows a newer epoch was last asked for it
 
 	// Replicated items.
 	items         *replication.ItemStore
@@ -51,14 +51,14 @@
 	lastPullAt    time.Time // of the last response to a pull, from whichever member
 	fullPull      *fullPull // under way; nil for none
 	resetCount    int       // how often the items were replaced by a complete response
-	heardFromPeer bool      // since the start
+	peerResponded bool      // since the start
 	pullProgress  map[string]peerProgress
 	tombstones    map[string]time.Time // items to be dropped, and when
 
 	// Proxies and backends.
 	liveness         *replication.MemberTable
 	backends         map[string]*replication.Backend // the last heartbeat of the backends that send them here
-	lostOwners       map[string]time.Time            // nodes that own backends and are no members, and since when
+	departedOwners   map[string]time.Time            // nodes that own backends and are no members, and since when
 	decidingReleases map[string]bool                 // services whose release is being decided
 	survey           surveyState
 }
@@ -81,7 +81,7 @@
 		pullProgress:     map[string]peerProgress{},
 		tombstones:       map[string]time.Time{},
 		backends:         map[string]*replication.Backend{},
-		lostOwners:       map[string]time.Time{},
+		departedOwners:   map[string]time.Time{},
 		decidingReleases: map[string]bool{},
 	}
 	r.items = replication.NewItemStore(cfg.Source, newOrigin(cfg.Self.Node, now, cfg.Random()))
--- a/internal/control/replica/replicated.go
+++ b/internal/control/replica/replicated.go
@@ -12,19 +12,19 @@
 type peerProgress struct {
 	vector         replication.Vector
 	legacySequence uint64 // in this replica's local sequence numbers, in protocol version 1
-	at             time.Time
+	recordedAt     time.Time
 }
 
-// notePullProgress notes how far the member that sent a pull has come.
-func (r *Replica) notePullProgress(now time.Time, request *message.PullRequest, complete bool) {
+// recordPullProgress notes how far the member that sent a pull has come.
+func (r *Replica) recordPullProgress(now time.Time, request *message.PullRequest, complete bool) {
 	node := request.From.Node
 	previous, known := r.pullProgress[node]
 	r.pullProgress[node] = peerProgress{
 		vector:         request.Progress,
 		legacySequence: request.LegacyVector[r.items.LegacySource],
-		at:             now,
+		recordedAt:     now,
 	}
-	if away := now.Sub(previous.at); known && away > PeerTimeout+LeaseTerm {
+	if away := now.Sub(previous.recordedAt); known && away > PeerTimeout+LeaseTerm {
 		missing, _ := r.items.Missing(request.Progress, r.items.LocalSequence(), nil)
 		r.logEvent("member returned",
 			LogField{"member", node},
--- a/internal/control/replica/save.go
+++ b/internal/control/replica/save.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		r.saveFailed = true
 	} else {
-		r.noteSaved(id, saved.entries)
+		r.markSaved(id, saved.entries)
 	}
 	if saved.done != nil {
 		saved.done(now, err)
@@ -54,9 +54,9 @@
 	return pending
 }
 
-// noteSaved notes that a save of some registers is on disk. Those that were changed and handed to the disk again since
+// markSaved notes that a save of some registers is on disk. Those that were changed and handed to the disk again since
 // are not.
-func (r *Replica) noteSaved(id uint64, keys []string) {
+func (r *Replica) markSaved(id uint64, keys []string) {
 	for _, key := range keys {
 		if r.unsavedEntries[key] == id {
 			delete(r.unsavedEntries, key)
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -192,7 +192,7 @@
 		LogField{"epoch", formatUint(epoch)},
 		LogField{"registers", strconv.Itoa(len(r.acceptor.AcceptedEntries()))},
 		LogField{"afterMs", formatMs(now.Sub(local.adoptedAt))})
-	r.noteQuorumChange(now)
+	r.reportQuorumChange(now)
 	r.notifyAfter(0)
 }
 
--- a/internal/control/replica/timing.go
+++ b/internal/control/replica/timing.go
@@ -45,13 +45,13 @@
 
 // Timing of pulls between controllers.
 const (
-	// recentlyHeard is how long after a member's last response the next pull of it may wait for items. It exceeds the
+	// recentResponseWindow is how long after a member's last response the next pull of it may wait for items. It exceeds the
 	// pause between two pulls. Later the response itself is the news: it shows that the member is reachable.
-	recentlyHeard = time.Second
+	recentResponseWindow = time.Second
 
-	// firstPullHeadStart is how long after its start a replica pulls only from the nearest member, so that it is sent
+	// nearestPullPeriod is how long after its start a replica pulls only from the nearest member, so that it is sent
 	// what it lacks once and not by everybody. It covers setting up a connection between regions.
-	firstPullHeadStart = 150 * time.Millisecond
+	nearestPullPeriod = 150 * time.Millisecond
 
 	// stuckPullTimeout is the age at which a pull may hang on a member that was down when the pull began.
 	stuckPullTimeout = 250 * time.Millisecond
@@ -116,8 +116,8 @@
 	// without those that are missing. All are normally started within a fraction of a second.
 	bootstrapWait = 1500 * time.Millisecond
 
-	// bootstrapTurn is how long an initial peer leaves the first proposal to each peer that precedes it.
-	bootstrapTurn = 300 * time.Millisecond
+	// bootstrapTurnDelay is how long an initial peer leaves the first proposal to each peer that precedes it.
+	bootstrapTurnDelay = 300 * time.Millisecond
 
 	// generationInterval is how often a running replica advances the generation of its disk. An old copy of a disk is
 	// detected when it is older than this and the longest time between two pulls (PeerPullWait and a second) together.
--- a/internal/control/replica/verification.go
+++ b/internal/control/replica/verification.go
@@ -64,8 +64,8 @@
 	r.expediteRepair(now, v.undecided)
 }
 
-// noteVerified notes that the value of a register is known to be chosen.
-func (r *Replica) noteVerified(now time.Time, key string) {
+// resolveVerification notes that the value of a register is known to be chosen.
+func (r *Replica) resolveVerification(now time.Time, key string) {
 	v := &r.verification
 	if !v.undecided[key] {
 		return
