--- a/internal/control/replica/batch.go
+++ b/internal/control/replica/batch.go
@@ -8,15 +8,15 @@
 	"sagelever/internal/control/quorum"
 )
 
-// Rounds of one replica never compete with each other. A proposal that has a register in common with an earlier one,
-// which has not ended, is parked. The next attempt of the earlier one takes it along: one round decides a batch of
-// proposals, one after the other in the order in which they began.
+// Rounds of one replica never compete with each other. A proposal is parked while an earlier proposal that shares a
+// register with it is in progress. The next attempt of the earlier proposal includes the parked one: its round decides
+// a batch of proposals, one after the other in the order of their starts.
 
-// maxBatchKeys bounds the registers of a batch, and so the size of its messages. A proposal that sets more by itself is
-// a batch of its own.
+// maxBatchKeys limits the registers of a batch, and thus the size of its messages. A proposal with more registers is a
+// batch of its own.
 const maxBatchKeys = 512
 
-// beginProposal notes the place of a proposal among those of this replica, and its registers, at its first attempt.
+// beginProposal initialises the order and the key set of a proposal at its first attempt.
 func (r *Replica) beginProposal(op *operation) {
 	if op.proposal.order != 0 {
 		return
@@ -29,13 +29,13 @@
 	}
 }
 
-// precedes reports whether a proposal that has not ended began before another and has a register in common with it.
+// precedes reports whether a proposal began before another one and shares a register with it.
 func (op *operation) precedes(other *operation) bool {
 	return op != other && op.kind.runsRound() && op.proposal.order != 0 &&
 		op.proposal.order < other.proposal.order && op.proposal.overlaps(&other.proposal)
 }
 
-// overlaps reports whether two proposals have a register in common.
+// overlaps reports whether two proposals share a register.
 func (p *proposal) overlaps(other *proposal) bool {
 	if len(p.keys) > len(other.keys) {
 		p, other = other, p
@@ -43,7 +43,7 @@
 	return slices.ContainsFunc(p.keys, func(key string) bool { return other.keySet[key] })
 }
 
-// isPreceded reports whether an operation has to wait for an earlier proposal that is not among some others.
+// isPreceded reports whether an operation has to wait for an earlier proposal other than the given ones.
 func (r *Replica) isPreceded(op *operation, others []*operation) bool {
 	for _, earlier := range r.operations {
 		if earlier.precedes(op) && !slices.Contains(others, earlier) {
@@ -53,13 +53,13 @@
 	return false
 }
 
-// park has a proposal wait until an earlier one ends or takes it along.
+// park suspends a proposal until the earlier proposals end or one of them includes it in its batch.
 func (r *Replica) park(op *operation) {
 	op.parked = true
 	op.attempt = attempt{number: op.attempt.number + 1}
 }
 
-// unpark has the parked proposals go on that wait for none any more.
+// unpark resumes the parked proposals that no longer have to wait for an earlier one.
 func (r *Replica) unpark() {
 	for _, op := range r.operations {
 		if op.parked && op.retryAt.IsZero() && !r.isPreceded(op, nil) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// batchFor returns the proposals that the next round of an operation decides: its own and the parked ones that wait
-// for nothing else, in the order in which they began.
+// batchFor returns the proposals that the next round of an operation decides: its own, and the parked ones that wait
+// only for proposals of the batch, in the order of their starts.
 func (r *Replica) batchFor(leader *operation) []*operation {
 	var parked []*operation
 	for _, op := range r.operations {
@@ -103,8 +103,8 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// decideBatch is the decision of a batch: each proposal decides on what those before it have left. It notes for each
-// what its registers hold after it.
+// decideBatch returns the decision of a batch: each proposal is applied to the values that the previous ones result in.
+// The values of its registers after that are stored as the proposal's result.
 func decideBatch(batch []*operation) quorum.DecideFunc {
 	return func(current map[string]quorum.Value) map[string]quorum.Value {
 		values := maps.Clone(current)
--- a/internal/control/replica/confirm.go
+++ b/internal/control/replica/confirm.go
@@ -10,12 +10,12 @@
 	"sagelever/internal/control/quorum"
 )
 
-// maxConfirmKeys bounds the registers of one confirmation, and so the size of its messages. Those of a larger change are
-// confirmed by several at the same time.
+// maxConfirmKeys limits the registers of one confirmation, and thus the size of its messages. A larger change is
+// confirmed by several concurrent confirmations.
 const maxConfirmKeys = 2048
 
-// confirmValues begins to ask all members whether they have accepted the values of some undecided registers, together
-// for those that were accepted under one proposal number.
+// confirmValues starts confirmations, which ask all members whether they have accepted the values of some undecided
+// registers. Registers that were accepted under the same proposal number are confirmed together.
 func (r *Replica) confirmValues(now time.Time, keys []string) {
 	byProposal := map[quorum.ProposalNumber][]string{}
 	var proposals []quorum.ProposalNumber
@@ -58,8 +58,8 @@
 	})
 }
 
-// serveConfirm accepts values again that were accepted here under a proposal number. What it confirms and is not on disk
-// yet is among the changed entries, so that the response waits for it.
+// serveConfirm accepts those values again that this replica has accepted under the given proposal number. The changed
+// entries include the confirmed ones that are not on disk yet, so that the response waits for them.
 func (r *Replica) serveConfirm(request *message.PeerRequest) (*message.PeerResponse, []quorum.Entry) {
 	if r.epochClosed() && !concernsOnlyConfiguration(request) {
 		return &message.PeerResponse{}, nil
@@ -73,7 +73,8 @@
 	return &message.PeerResponse{OK: true, Unconfirmed: unconfirmed}, changed
 }
 
-// handleConfirmed takes a member's response to a confirmation. Values that are chosen by it are published at once.
+// handleConfirmed handles a member's response to a confirmation and publishes the values that are now known to be
+// chosen.
 func (r *Replica) handleConfirmed(now time.Time, op *operation, from string, response *message.PeerResponse) {
 	if !response.OK {
 		return
@@ -92,9 +93,9 @@
 	}
 }
 
-// endConfirmation ends a confirmation. The values that it could not show to be chosen are proposed again by rounds: not
-// before their own round has had its time, later where nobody waits for them, and by one member after the other, so that
-// the rounds of the first can end before the next one's begin.
+// endConfirmation ends a confirmation and schedules rounds for the values that are still undecided. These start only
+// after the original round has had time to end, later if no operation waits for the value, and one member after the
+// other, so that the rounds of one member can end before those of the next one begin.
 func (r *Replica) endConfirmation(now time.Time, op *operation) {
 	r.finish(op, nil, nil)
 	turn := r.repairTurnDelay(now)
@@ -115,8 +116,8 @@
 	}
 }
 
-// repairTurnDelay returns how long this replica leaves rounds of repairs to the members that precede it, by name, among those
-// that it reaches: a round of a large change may take as long as an attempt.
+// repairTurnDelay returns how long this replica waits for the repair rounds of the reachable members that precede it by
+// name. It is one attemptTimeout for each, because a round of a large change can take that long.
 func (r *Replica) repairTurnDelay(now time.Time) (turn time.Duration) {
 	for node := range r.peers {
 		if node < r.config.Self.Node && r.reachable(node, now) {
@@ -126,6 +127,6 @@
 	return turn
 }
 
-// isConfirmable reports whether the value of a register may be confirmed: that of the configuration is decided by rounds
-// only, see epochClosed.
+// isConfirmable reports whether the value of a register may be confirmed. The configuration is decided only by rounds;
+// see epochClosed.
 func isConfirmable(key string) bool { return key != membership.RegisterKey }
--- a/internal/control/replica/operation.go
+++ b/internal/control/replica/operation.go
@@ -11,37 +11,37 @@
 	"sagelever/internal/control/rangesync"
 )
 
-// operationKind is what an operation does.
+// operationKind is the kind of an operation.
 type operationKind int
 
 const (
-	// proposeWrite changes registers by a Paxos round.
+	// proposeWrite changes registers by Paxos rounds.
 	proposeWrite operationKind = iota
 
-	// quorumRead collects what enough members hold of some registers, and waits until what it has found is decided.
+	// quorumRead collects some registers from a read quorum, and waits until their values are known to be chosen.
 	quorumRead
 
-	// verifyRegisters collects what enough members hold of all registers; see verification.go.
+	// verifyRegisters collects all registers from a read quorum; see verification.go.
 	verifyRegisters
 
 	// confirmValues asks all members whether they have accepted some values; see confirm.go.
 	confirmValues
 
-	// repairValues proposes values again that this replica holds and doesn't know to be chosen.
+	// repairValues proposes accepted values again that are not known to be chosen; see repair.go.
 	repairValues
 
-	// confirmDisk asks others whether this replica's disk is an old copy.
+	// confirmDisk asks other members whether this replica's disk is an old copy; see identity.go.
 	confirmDisk
 
-	// takeOverEpoch collects what the members of the previous epoch hold, so that this replica can be active in the
-	// current one.
+	// takeOverEpoch collects the registers of the previous epoch's members, so that this replica can become active in
+	// the current epoch; see takeover.go.
 	takeOverEpoch
 
-	// catchUp copies what an active member holds, as a candidate.
+	// catchUp copies the registers of an active member to a candidate.
 	catchUp
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k operationKind) String() string {
 	switch k {
 	case proposeWrite:
@@ -73,51 +73,51 @@
 // reads reports whether operations of the kind read registers of other members.
 func (k operationKind) reads() bool { return k == quorumRead || k == verifyRegisters }
 
-// operation is something that a replica does with the help of others. It consists of attempts: one that fails or times
-// out is followed by the next after a random pause, until the operation ends.
+// operation is a task that requires responses of other replicas. It consists of attempts: an attempt that fails or
+// times out is followed by the next one after a random pause, until the operation ends.
 type operation struct {
 	id               uint64
 	kind             operationKind
-	expiresAt        time.Time // when it fails; zero: never
-	reportCompletion bool      // by a Completion
-	onEnd            func()    // called at its end; may be nil
+	expiresAt        time.Time // when the operation fails; zero for never
+	reportCompletion bool      // the end is reported by a Completion
+	onEnd            func()    // called when the operation ends; may be nil
 
 	proposal     proposal
 	read         readState
-	confirmation *quorum.Confirmation // of confirmValues
+	confirmation *quorum.Confirmation // set for confirmValues
 
 	attempt attempt
 	retryAt time.Time // when the next attempt begins; zero while one is under way or the operation is parked
-	parked  bool      // waits for an earlier proposal; see batch.go
-	defeats int       // rounds in a row that a competing round has defeated
+	parked  bool      // the operation waits for an earlier proposal; see batch.go
+	defeats int       // consecutive rounds that were defeated by competing rounds
 
-	mayHandOver bool // it ends with a ContendedError rather than compete; see contention.go
+	mayHandOver bool // the operation ends with a ContendedError in case of contention; see contention.go
 }
 
 // attempt is the current attempt of an operation.
 type attempt struct {
-	number           int       // responses to requests of other numbers are ignored
-	deadline         time.Time // when it times out; zero: never
-	sentAt           time.Time // when the requests of its current phase were sent
-	pendingResponses int       // responses that are still to come
-	pendingSaves     int       // saves of what responses have brought
+	number           int       // responses to requests with another attempt number are ignored
+	deadline         time.Time // when the attempt times out; zero for never
+	sentAt           time.Time // when the requests of the current phase were sent
+	pendingResponses int       // outstanding responses
+	pendingSaves     int       // outstanding saves of the contents of responses
 	saveFailed       bool
-	answered         map[string]bool                       // members whose part is complete
+	answered         map[string]bool                       // members whose answers are complete
 	sessions         map[message.Member]*rangesync.Session // comparisons with other replicas
-	activating       bool                                  // takeOverEpoch: the end of the takeover is being saved
+	activating       bool                                  // takeOverEpoch: the new active epoch is being saved
 }
 
 // proposal is the part of an operation that runs Paxos rounds.
 type proposal struct {
 	keys      []string
 	decide    quorum.DecideFunc
-	round     *quorum.Round // of the last attempt; nil before the first
+	round     *quorum.Round // the round of the last attempt; nil before the first
 	accepting bool          // the round is in phase 2
 
-	keySet map[string]bool         // keys; empty before the first attempt
-	order  uint64                  // its place among the proposals of this replica; zero before its first attempt
-	batch  []*operation            // what the round decides, this operation first
-	result map[string]quorum.Value // what the registers hold after this operation, by the last decision of a batch
+	keySet map[string]bool         // the set of keys; empty before the first attempt
+	order  uint64                  // grows with each proposal of this replica; zero before the first attempt
+	batch  []*operation            // the operations that the round decides, this one first
+	result map[string]quorum.Value // the values of the registers after this operation, by the last decision of a batch
 }
 
 // newProposal returns an operation that runs Paxos rounds on some registers.
@@ -125,15 +125,16 @@
 	return &operation{kind: kind, proposal: proposal{keys: keys, decide: decide}}
 }
 
-// Write changes each of some registers. It ends without an error once the outcome is chosen, that is, once so many
-// disks hold it that it survives the loss of as many disks as the configuration tolerates. Rounds are retried until
-// expiresAt. It returns the operation's ID.
+// Write changes each of some registers. It ends without an error once the outcome is chosen, that is, once it is on
+// enough disks to survive the loss of as many disks as the configuration tolerates. Rounds are retried until expiresAt.
+// Write returns the operation's ID.
 func (r *Replica) Write(now, expiresAt time.Time, updates map[string]quorum.UpdateFunc) uint64 {
 	keys, decide := quorum.UpdateEach(updates)
 	return r.WriteAtomic(now, expiresAt, keys, decide)
 }
 
-// WriteAtomic is Write for a change that depends on what all of its registers hold. All of them change or none does.
+// WriteAtomic is like Write for a change that depends on the values of all its registers. The registers change
+// atomically.
 func (r *Replica) WriteAtomic(now, expiresAt time.Time, keys []string, decide quorum.DecideFunc) uint64 {
 	op := newProposal(proposeWrite, keys, decide)
 	op.expiresAt = expiresAt
@@ -141,7 +142,8 @@
 	return r.startOperation(now, op)
 }
 
-// startInternalWrite begins a write on the replica's own account; onEnd is called at its end, whatever its outcome.
+// startInternalWrite starts a write that the replica itself initiates. onEnd is called when it ends, whether or not it
+// succeeds.
 func (r *Replica) startInternalWrite(now time.Time, updates map[string]quorum.UpdateFunc, onEnd func()) {
 	keys, decide := quorum.UpdateEach(updates)
 	op := newProposal(proposeWrite, keys, decide)
@@ -158,7 +160,7 @@
 	return op.id
 }
 
-// isRunning reports whether an operation of a kind is under way.
+// isRunning reports whether an operation of a kind is in progress.
 func (r *Replica) isRunning(kind operationKind) bool {
 	for _, op := range r.operations {
 		if op.kind == kind {
@@ -168,7 +170,7 @@
 	return false
 }
 
-// startAttempt begins the first or the next attempt of an operation.
+// startAttempt starts the first or the next attempt of an operation.
 func (r *Replica) startAttempt(now time.Time, op *operation) {
 	if op.kind.needsActive() && !r.Active() || op.kind.reads() && r.epochClosed() {
 		r.postpone(now, op)
@@ -204,8 +206,8 @@
 	}
 }
 
-// postpone has an operation wait until this replica is active in the current epoch, if it is about to be. Otherwise
-// the operation ends at once, as the caller had better turn to another member.
+// postpone delays an operation if this replica is a member that has been active before and can be expected to become
+// active in the current epoch. Otherwise the operation ends immediately, so that the caller can try another member.
 func (r *Replica) postpone(now time.Time, op *operation) {
 	switch {
 	case !r.local.isMember():
@@ -217,13 +219,13 @@
 	}
 }
 
-// isCurrent reports whether the attempt of a number is still under way.
+// isCurrent reports whether the attempt with the given number is still in progress.
 func (r *Replica) isCurrent(op *operation, number int) bool {
 	return r.operations[op.id] == op && op.attempt.number == number
 }
 
-// retryIfStuck ends an attempt that can't succeed any more: it waits for nothing, or its round can't get enough
-// responses.
+// retryIfStuck ends an attempt that can no longer succeed: no responses or saves are outstanding, or too few responses
+// are left for its round.
 func (r *Replica) retryIfStuck(now time.Time, op *operation, number int) {
 	if !r.isCurrent(op, number) || !op.retryAt.IsZero() || op.attempt.pendingSaves > 0 {
 		return
@@ -234,9 +236,9 @@
 	}
 }
 
-// scheduleRetry ends an attempt that has failed. The next one begins after a random pause. It grows while competing
-// rounds of other members on the same registers defeat the operation's. A repair ends instead: it starts again when it
-// is due again.
+// scheduleRetry ends a failed attempt and schedules the next one after a random pause. The pause grows while competing
+// rounds of other members on the same registers defeat those of the operation. Confirmations and repairs are not
+// retried but end: a confirmation schedules rounds for its values, and the next round of a repair is scheduled already.
 func (r *Replica) scheduleRetry(now time.Time, op *operation) {
 	defeated := false
 	if op.proposal.round != nil {
@@ -262,15 +264,26 @@
 	op.retryAt = now.Add(r.defeatBackoff().Delay(op.defeats, r.config.Random()))
 }
 
-// defeatBackoff returns how the pauses grow after defeats: by the time that a round takes now, so that one of the
-// competing rounds ends while the others pause.
+const (
+	// initialDefeatPauseRounds and maxDefeatPauseRounds are the first and the longest pause after a defeat, in units of
+	// the duration of a round.
+	initialDefeatPauseRounds = 2
+	maxDefeatPauseRounds     = 8
+)
+
+// defeatBackoff returns the backoff after defeats. It scales with the current duration of a round, so that one of the
+// competing rounds can end while the others pause.
 func (r *Replica) defeatBackoff() backoff.Policy {
 	round := max(minRoundTime, r.RoundTime())
-	return backoff.Policy{Initial: 2 * round, Max: min(8*round, attemptTimeout)}
+	return backoff.Policy{
+		Initial: initialDefeatPauseRounds * round,
+		Max:     min(maxDefeatPauseRounds*round, attemptTimeout),
+	}
 }
 
-// restartAttempts has all operations begin anew, because the configuration has changed and responses from the previous
-// one no longer count. A confirmation of the disk ends: whether one is needed is decided again.
+// restartAttempts restarts the attempts of all operations, because the configuration has changed and responses of the
+// previous configuration's members no longer count. A confirmation of the disk ends: startDiskConfirmation decides
+// whether one is still needed.
 func (r *Replica) restartAttempts(now time.Time) {
 	for _, id := range r.operationIDs() {
 		op := r.operations[id]
@@ -296,7 +309,7 @@
 	}
 }
 
-// NextDeadline returns when Tick is to be called next; zero where no operation is under way.
+// NextDeadline returns when Tick must be called next, or the zero time if no operation or repair is pending.
 func (r *Replica) NextDeadline() (deadline time.Time) {
 	consider := func(at time.Time) {
 		if !at.IsZero() && (deadline.IsZero() || at.Before(deadline)) {
@@ -317,14 +330,14 @@
 	return deadline
 }
 
-// Tick ends the operations and attempts whose time is over, and begins the attempts and repairs that are due.
+// Tick ends the operations and attempts that have timed out, and starts the attempts and repairs that are due.
 func (r *Replica) Tick(now time.Time) {
 	r.observeClock(now)
 	r.repairUndecided(now)
 	reached := func(at time.Time) bool { return !at.IsZero() && !now.Before(at) }
 	for _, id := range r.operationIDs() {
 		op := r.operations[id]
-		if op == nil { // an earlier one's step has ended it
+		if op == nil { // ended by a step of an earlier operation
 			continue
 		}
 		switch {
@@ -338,5 +351,5 @@
 	}
 }
 
-// operationIDs returns the IDs of the operations in the order in which they began.
+// operationIDs returns the IDs of the operations in the order of their starts.
 func (r *Replica) operationIDs() []uint64 { return slices.Sorted(maps.Keys(r.operations)) }
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -10,22 +10,22 @@
 
 // readState is the part of an operation that reads registers.
 type readState struct {
-	keys   []string                // the registers to read; where there are none, those with the prefix
-	prefix string                  // of the keys of the registers to read
-	values map[string]quorum.Value // the values found that are known to be chosen
+	keys   []string                // the registers to read; if empty, all registers with the prefix
+	prefix string                  // the key prefix of the registers to read
+	values map[string]quorum.Value // the found values that are known to be chosen
 
-	// undecided are the registers whose values are not known to be chosen yet; nil while the members are asked.
+	// undecided contains the registers whose values are not known to be chosen yet; nil while responses are collected.
 	undecided map[string]bool
 }
 
-// Read reads the registers whose keys have a prefix. It brings this replica up to date with as many members as hold,
-// among them, everything that was ever acknowledged, and waits until what is found is known to be chosen, so that a later
-// read finds it too. It returns the operation's ID.
+// Read reads the registers whose keys have a prefix. It merges the registers of a read quorum, whose members together
+// hold every acknowledged value, and waits until the found values are known to be chosen, so that later reads find them
+// too. Read returns the operation's ID.
 func (r *Replica) Read(now, expiresAt time.Time, prefix string) uint64 {
 	return r.startReadOperation(now, expiresAt, readState{prefix: prefix})
 }
 
-// ReadKeys is Read for some registers by name.
+// ReadKeys is like Read for registers with given keys.
 func (r *Replica) ReadKeys(now, expiresAt time.Time, keys []string) uint64 {
 	return r.startReadOperation(now, expiresAt, readState{keys: keys})
 }
@@ -35,7 +35,7 @@
 	return r.startOperation(now, op)
 }
 
-// startRead asks the other members for what they hold.
+// startRead requests the registers from the other members.
 func (r *Replica) startRead(now time.Time, op *operation) {
 	op.read.undecided = nil
 	configuration := r.local.configuration
@@ -54,7 +54,8 @@
 	r.requestFrom(now, op, peers, message.ReadPath, request)
 }
 
-// handleReadResponse takes what another member holds. With this replica itself, MaxFailures+1 members are enough.
+// handleReadResponse merges the registers of another member. MaxFailures+1 members are a read quorum, including this
+// replica.
 func (r *Replica) handleReadResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
@@ -74,11 +75,11 @@
 	r.handleRanges(now, op, from, message.ReadPath, response, memberDone)
 }
 
-// finishRead ends a read whose values are all known to be chosen; otherwise it waits until the others are decided. It
-// doesn't propose them itself: a value that was just accepted is most likely about to be chosen, and rounds of reads would
-// compete with the one that decides it and with each other.
+// finishRead ends a read if all its values are known to be chosen. Otherwise the read waits until the undecided ones
+// are chosen. The read doesn't propose them itself: a value that was just accepted will most likely be chosen soon, and
+// the rounds of several reads would compete with the round that decides the value and with each other.
 func (r *Replica) finishRead(now time.Time, op *operation) {
-	if r.epochClosed() { // what this replica holds counts no longer
+	if r.epochClosed() { // this replica's registers no longer count towards a read quorum
 		r.scheduleRetry(now, op)
 		return
 	}
@@ -100,11 +101,11 @@
 		r.finish(op, op.read.values, nil)
 		return
 	}
-	op.attempt = attempt{number: op.attempt.number + 1} // the other members' responses are not needed any more
+	op.attempt = attempt{number: op.attempt.number + 1} // ignores the responses that are still outstanding
 	r.expediteRepair(now, op.read.undecided)
 }
 
-// resolveReads tells the reads that wait for a register that its value is known to be chosen.
+// resolveReads continues the reads that wait for a register whose value is now known to be chosen.
 func (r *Replica) resolveReads(entry quorum.Entry) {
 	for _, id := range r.operationIDs() {
 		op := r.operations[id]
@@ -119,7 +120,7 @@
 	}
 }
 
-// readEntries returns what this replica holds of the registers of a read.
+// readEntries returns this replica's copies of the registers of a read.
 func (r *Replica) readEntries(op *operation) []quorum.Entry {
 	if len(op.read.keys) > 0 {
 		return r.acceptedEntries(op.read.keys)
@@ -127,7 +128,7 @@
 	return r.acceptor.EntriesWithPrefix(op.read.prefix)
 }
 
-// learnForOperation learns what a member has sent in a response, and calls done once that is on disk.
+// learnForOperation merges the entries of a member's response, and calls done once they are on disk.
 func (r *Replica) learnForOperation(
 	now time.Time, op *operation, entries []quorum.Entry, done func(now time.Time),
 ) {
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -9,13 +9,13 @@
 	"sagelever/internal/control/quorum"
 )
 
-// candidate is a controller that has pulled here and is no member of the configuration.
+// candidate is a controller that pulls from this replica and is not a member of the configuration.
 type candidate struct {
 	membership.Candidate
 	lastPullAt time.Time
 }
 
-// registerCandidate takes the pull of a controller that is no member.
+// registerCandidate records the pull of a controller that is not a member.
 func (r *Replica) registerCandidate(now time.Time, request *message.PullRequest) {
 	ready := request.Ready && request.From.DiskID != "" && !request.Leaving
 	if r.local.configuration.Epoch > 0 && request.KnownEpoch == 0 {
@@ -36,13 +36,13 @@
 	}
 }
 
-// CandidateReady reports whether a candidate has told this replica that it holds what the members hold.
+// CandidateReady reports whether the last pull of a candidate said that it is ready to become a member.
 func (r *Replica) CandidateReady(node string) bool {
 	candidate := r.candidates[node]
 	return candidate != nil && candidate.CaughtUp
 }
 
-// liveCandidates returns the candidates that have pulled within candidateTimeout, and forgets the others.
+// liveCandidates returns the candidates that have pulled within candidateTimeout, and removes the others.
 func (r *Replica) liveCandidates(now time.Time) []membership.Candidate {
 	var live []membership.Candidate
 	for node, candidate := range r.candidates {
@@ -55,8 +55,8 @@
 	return live
 }
 
-// reconfigure proposes the next configuration where there should be one. Normally the first by name of the reachable
-// members does that for all; a member that leaves does it for itself.
+// reconfigure proposes the next configuration if the current one should change. Normally only the first reachable
+// member by name does so; a leaving member also proposes its own replacement.
 func (r *Replica) reconfigure(now time.Time) {
 	local := &r.local
 	if local.proposing || !r.Active() {
@@ -81,14 +81,14 @@
 	}
 }
 
-// memberStatus returns what this replica knows of the members.
+// memberStatus returns the status of the members as seen by this replica.
 func (r *Replica) memberStatus(now time.Time) []membership.MemberStatus {
 	members := []membership.MemberStatus{{Member: r.local.self, Leaving: r.leaving}}
 	for node, peer := range r.peers {
 		member := membership.MemberStatus{Member: peer.Member, Leaving: peer.leaving}
 		if !r.reachable(node, now) {
 			sinceResponse := now.Sub(latestOf(peer.lastResponseAt, peer.memberSince, r.startedAt))
-			member.SinceLastHeartbeat = max(1, sinceResponse) // 0 stands for a member that is reachable
+			member.SinceLastHeartbeat = max(1, sinceResponse) // 0 means that the member is reachable
 		}
 		members = append(members, member)
 	}
@@ -104,9 +104,9 @@
 	return latest
 }
 
-// takeoverComplete reports whether all members that are not given up are active in the current epoch, or
-// takeoverTimeout has passed. The next configuration takes over from these members: proposed sooner, it might find too
-// few of them after one failure, and those that are still to become active would skip this epoch.
+// takeoverComplete reports whether all members that have not timed out are active in the current epoch, or
+// takeoverTimeout has passed. The next configuration takes over from the active members. If it were proposed earlier,
+// too few of them might be left after one failure, and the members that are not active yet would skip this epoch.
 func (r *Replica) takeoverComplete(now time.Time) bool {
 	local := &r.local
 	if now.Sub(local.adoptedAt) >= takeoverTimeout {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// isFirstReachable reports whether this replica is the first by name of the members that are reachable.
+// isFirstReachable reports whether this replica is the first by name of the reachable members.
 func (r *Replica) isFirstReachable(now time.Time) bool {
 	for node := range r.peers {
 		if node < r.config.Self.Node && r.reachable(node, now) {
@@ -131,8 +131,8 @@
 	return true
 }
 
-// proposeFirstConfiguration proposes the first configuration, as an initial peer. The initial peers take turns, in the
-// order of their addresses.
+// proposeFirstConfiguration proposes the first configuration. The initial peers take turns in the order of their
+// addresses.
 func (r *Replica) proposeFirstConfiguration(now time.Time) {
 	local := &r.local
 	self := membership.Candidate{Member: local.self, CaughtUp: true}
@@ -157,7 +157,7 @@
 	}
 }
 
-// proposeConfiguration has the members of the current configuration decide on the next one.
+// proposeConfiguration proposes the next configuration to the members of the current one.
 func (r *Replica) proposeConfiguration(
 	now time.Time, next membership.Configuration, reason membership.Reason,
 ) {
@@ -172,9 +172,9 @@
 	r.startInternalWrite(now, updates, func() { local.proposing = false })
 }
 
-// AwaitingReplacement reports whether a process that is to end should go on for a while: until it is replaced, where a
-// successor is ready, and until so many members are active in the new epoch that one more failure can't lose what only
-// this replica holds besides.
+// AwaitingReplacement reports whether a leaving process should keep running: until it is replaced if a successor in its
+// zone is ready, and until more than MaxFailures other members are active in the new epoch, so that the failures that
+// the configuration tolerates can't lose values that only this replica holds besides them.
 func (r *Replica) AwaitingReplacement(now time.Time) bool {
 	local := &r.local
 	if !r.leaving || !local.identity.EverActive || !local.diskConfirmed {
@@ -191,7 +191,7 @@
 	return false
 }
 
-// activePeers returns how many other members were active in the current epoch by their last response.
+// activePeers returns the number of other members that were active in the current epoch as of their last response.
 func (r *Replica) activePeers() (active int) {
 	for _, peer := range r.peers {
 		if peer.activeEpoch == r.local.configuration.Epoch {
--- a/internal/control/replica/registers.go
+++ b/internal/control/replica/registers.go
@@ -11,18 +11,18 @@
 	"sagelever/internal/control/replication"
 )
 
-// responseCallback takes the response to a request, or the error with which it failed.
+// responseCallback receives the response to a request, or the error with which the request failed.
 type responseCallback func(now time.Time, response *message.PeerResponse, err error)
 
-// HandleRequest takes another member's request. The response is part of the Output of this step or of a later one,
-// under the same call ID: it waits until what it says is on disk.
+// HandleRequest handles a request of another member. The response is part of the Output of this step or of a later one,
+// with the same call ID: it is sent only once the state that it depends on is on disk.
 func (r *Replica) HandleRequest(now time.Time, callID uint64, path string, request *message.PeerRequest) {
 	r.serveRequest(now, path, request, func(_ time.Time, response *message.PeerResponse, err error) {
 		r.output.Responses = append(r.output.Responses, OutgoingResponse{callID, response, err})
 	})
 }
 
-// serveRequest serves a request of another member, or this replica's own part in a round.
+// serveRequest serves a request of another member, or of this replica to itself as a voter.
 func (r *Replica) serveRequest(now time.Time, path string, request *message.PeerRequest, respond responseCallback) {
 	switch path {
 	case message.GenerationPath:
@@ -38,7 +38,7 @@
 func (r *Replica) serveEpochRequest(
 	now time.Time, path string, request *message.PeerRequest, respond responseCallback,
 ) {
-	if request.Epoch < r.local.configuration.Epoch { // the sender is told the configuration in force
+	if request.Epoch < r.local.configuration.Epoch { // the response contains the current configuration
 		respond(now, &message.PeerResponse{Configuration: r.local.chosenEntry()}, nil)
 		return
 	}
@@ -60,11 +60,11 @@
 	case message.ReadPath:
 		response = r.serveRead(request)
 	}
-	r.trackUndecided(now, changed) // whether or not the save succeeds
+	r.trackUndecided(now, changed) // even if the save fails
 	r.save(now, Save{Entries: changed}, respondSaved(response, respond))
 }
 
-// respondSaved returns a save callback that sends a response if the save has succeeded, and the error otherwise.
+// respondSaved returns a save callback that sends a response if the save succeeds, and the error otherwise.
 func respondSaved(response *message.PeerResponse, respond responseCallback) saveCallback {
 	return func(now time.Time, err error) {
 		if err != nil {
@@ -99,8 +99,9 @@
 	return &message.PeerResponse{OK: true}, changed
 }
 
-// serveRead serves a quorum read, of registers by name or by a comparison of ranges. In a closed epoch it is refused:
-// the next configuration may be in force already and have chosen values that this replica doesn't know.
+// serveRead serves a quorum read of registers by key or by a comparison of ranges. It refuses reads in a closed epoch:
+// the next configuration may already be in force, and its members may have chosen values that this replica doesn't
+// hold.
 func (r *Replica) serveRead(request *message.PeerRequest) *message.PeerResponse {
 	if r.epochClosed() {
 		return &message.PeerResponse{}
@@ -114,7 +115,7 @@
 	return response
 }
 
-// acceptedEntries returns those of some registers that hold an accepted value here.
+// acceptedEntries returns those of the given registers for which this replica has accepted a value.
 func (r *Replica) acceptedEntries(keys []string) []quorum.Entry {
 	var accepted []quorum.Entry
 	for _, key := range keys {
@@ -125,8 +126,8 @@
 	return accepted
 }
 
-// learnEntries takes entries that others hold: it publishes the values that are known to be chosen and schedules the
-// repair of the others. It returns the entries that have changed, to be saved.
+// learnEntries merges entries of other replicas. It publishes the values that are known to be chosen and schedules the
+// repair of the others. It returns the changed entries, which the caller must save.
 func (r *Replica) learnEntries(now time.Time, entries []quorum.Entry) (changed []quorum.Entry) {
 	changed = r.acceptor.Learn(entries)
 	r.trackUndecided(now, changed)
@@ -155,6 +156,6 @@
 // entryBody returns the item body of a chosen register.
 func entryBody(entry quorum.Entry) string {
 	published := quorum.Entry{Key: entry.Key, Accepted: entry.Accepted, Value: entry.Value, Chosen: true}
-	body, _ := easyjson.Marshal(published) // strings and integers only: it can't fail
+	body, _ := easyjson.Marshal(published) // can't fail: the fields are strings, integers and booleans
 	return string(body)
 }
--- a/internal/control/replica/repair.go
+++ b/internal/control/replica/repair.go
@@ -10,23 +10,24 @@
 	"sagelever/internal/control/quorum"
 )
 
-// A value that this replica has accepted may be chosen, and acknowledged, without this replica's knowledge: the member
-// that has proposed it tells the others, and may be gone before it does. Whoever holds such a value finds out, in two
-// steps. First it asks the others whether they have accepted the value too, which costs one round trip and gets in
-// nobody's way (confirm.go). If too few have, or can be asked, it proposes the value again by a round of its own.
+// A value that this replica has accepted may be chosen, and even acknowledged, although it is undecided at this
+// replica: the member that proposed the value announces the decision to the others, but may fail before it does. A
+// replica repairs undecided values in two steps. First it asks the others whether they have accepted the value too,
+// which takes one round trip and doesn't interrupt other rounds (confirm.go). If too few have, or too few can be asked,
+// the replica proposes the value again in a round of its own.
 
-// undecidedValue is the state of a register whose value this replica has accepted without knowing that it is chosen.
+// undecidedValue is the state of a register whose accepted value is not known to be chosen.
 type undecidedValue struct {
-	accepted   quorum.ProposalNumber // under which it was accepted
-	noticedAt  time.Time             // when that was noticed; zero: before this replica's start
-	repairAt   time.Time             // when the next step is due
-	needsRound bool                  // the others were asked to confirm it: the next step is a round
-	rounds     int                   // that were begun for it here
+	accepted   quorum.ProposalNumber // the proposal number under which the value was accepted
+	noticedAt  time.Time             // when the value was found to be undecided; zero if before this replica's start
+	repairAt   time.Time             // when the next repair step is due
+	needsRound bool                  // the next repair step is a round; otherwise a confirmation
+	rounds     int                   // repair rounds that this replica has started for the value
 }
 
-// trackUndecided schedules the repair of those of some registers whose values this replica has accepted without knowing
-// that they are chosen. It begins anew with each value: one that was accepted just now is most likely about to be chosen,
-// and a repair would get in its way. What was accepted together is repaired together.
+// trackUndecided schedules the repair of those of the given registers whose accepted values are not known to be chosen.
+// The schedule starts over with each new value: a value that was just accepted will most likely be chosen soon, and a
+// repair would interrupt its round. Values that were accepted together are repaired together.
 func (r *Replica) trackUndecided(now time.Time, entries []quorum.Entry) {
 	if len(entries) == 0 {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// expediteRepair begins the repair of registers that somebody waits for.
+// expediteRepair starts the repair of registers that a read or a verification waits for.
 func (r *Replica) expediteRepair(now time.Time, keys map[string]bool) {
 	for key := range keys {
 		if value, known := r.undecided[key]; known && !value.needsRound {
@@ -72,8 +73,8 @@
 	return false
 }
 
-// scheduleRepair sets when the next step for the present value of an undecided register is due. asked says that the step
-// is a round.
+// scheduleRepair sets when the next repair step for the current value of an undecided register is due, and whether that
+// step is a round.
 func (r *Replica) scheduleRepair(key string, at time.Time, needsRound bool) {
 	r.undecided[key] = undecidedValue{
 		accepted:   r.acceptor.Get(key).Accepted,
@@ -87,22 +88,25 @@
 	}
 }
 
-// UndecidedCount returns how many registers hold a value here that was accepted and is not known to be chosen.
+// UndecidedCount returns the number of registers whose accepted value is not known to be chosen.
 func (r *Replica) UndecidedCount() int { return len(r.undecided) }
 
 const (
-	// maxRepairKeys bounds the registers of one round of a repair, and so the size of its messages.
+	// maxRepairKeys limits the registers of one repair round, and thus the size of its messages.
 	maxRepairKeys = 256
 
-	// maxRepairRounds bounds the rounds that repair a larger change at the same time. The rest follows.
+	// maxRepairRounds limits the concurrent rounds that repair a larger change. The remaining registers follow later.
 	maxRepairRounds = 4
+
+	// maxRepairPause is the longest pause between two repair rounds for a value.
+	maxRepairPause = 8 * attemptTimeout
 )
 
-// repairBackoff is the time between two rounds for a value. It grows, so that where rounds take long, as they do for a large
-// change on busy machines, those of several members come to an end between each other's.
-var repairBackoff = backoff.Policy{Initial: attemptTimeout + repairDelay, Max: 8 * attemptTimeout}
+// repairBackoff is the pause between two repair rounds for a value. It grows, so that rounds of several members can end
+// between each other even if they take long, as they do for a large change on busy machines.
+var repairBackoff = backoff.Policy{Initial: attemptTimeout + repairDelay, Max: maxRepairPause}
 
-// repairUndecided takes the next step for the undecided registers for which it is due.
+// repairUndecided takes the next repair step for the undecided registers for which one is due.
 func (r *Replica) repairUndecided(now time.Time) {
 	if !r.Active() || now.Before(r.nextRepairAt) || len(r.undecided) == 0 {
 		return
@@ -129,7 +133,8 @@
 	}
 }
 
-// updateNextRepair notes when the next repair is due: not at once, as those that are due have been begun or can't be.
+// updateNextRepair updates the time of the next repair. That time is at least minRetryDelay ahead, because the repairs
+// that are due have either been started or can't be started now.
 func (r *Replica) updateNextRepair(now time.Time) {
 	r.nextRepairAt = time.Time{}
 	for _, value := range r.undecided {
@@ -142,8 +147,9 @@
 	}
 }
 
-// dueRepairs returns the registers whose values are to be confirmed, and those to be proposed again, now. The
-// configuration is repaired by itself, as whoever has accepted a next one takes part in no other round.
+// dueRepairs returns the registers whose values are to be confirmed now, and those whose values are to be proposed
+// again. The configuration is repaired separately, because members that have accepted the next configuration take part
+// in no other rounds.
 func (r *Replica) dueRepairs(now time.Time) (confirm, propose []string) {
 	for _, key := range slices.Sorted(maps.Keys(r.undecided)) {
 		entry := r.acceptor.Get(key)
@@ -167,7 +173,7 @@
 	return confirm, propose
 }
 
-// resolveUndecided notes that the value of a register is known to be chosen.
+// resolveUndecided records that the value of a register is known to be chosen.
 func (r *Replica) resolveUndecided(now time.Time, entry quorum.Entry) {
 	delete(r.undecided, entry.Key)
 	r.resolveReads(entry)
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -12,58 +12,58 @@
 	"sagelever/internal/control/replication"
 )
 
-// Replica is the state machine of one controller. Each method that takes the current time is a step; what it produces
-// is collected by TakeOutput.
+// Replica is the state machine of one controller. Each method that takes the current time is a step. TakeOutput returns
+// the output of the steps.
 type Replica struct {
 	config    Config
 	startedAt time.Time
-	lastNow   time.Time // the time of the last step, to notice a clock that was set back
+	lastNow   time.Time // the time of the last step; detects a clock that was set back
 	output    Output
-	lastID    uint64 // of requests, saves, operations and range sessions
+	lastID    uint64 // the last ID given to a request, save, operation, proposal or range session
 
 	// Registers.
 	acceptor     *quorum.Acceptor
 	undecided    map[string]undecidedValue // accepted registers not known to be chosen; see repair.go
-	nextRepairAt time.Time                 // before which no repair is due; zero: unknown
+	nextRepairAt time.Time                 // no repair is due earlier; zero if none is scheduled
 	verification verification
 
-	// Operations, and what they wait for.
+	// Operations, and the requests and saves that they wait for.
 	operations      map[uint64]*operation
 	pendingRequests map[uint64]pendingRequest
 	pendingSaves    map[uint64]pendingSave
-	unsavedEntries  map[string]uint64 // registers that are not on disk as they are, and the save that is to bring them there
-	saveFailed      bool              // a save has failed, and not everything was saved again since
-	contendedUntil  time.Time         // until when changes are handed over; see contention.go
+	unsavedEntries  map[string]uint64 // IDs of the saves of registers whose current state is not on disk yet, by key
+	saveFailed      bool              // a save has failed, and its contents have not been handed to the disk again
+	contendedUntil  time.Time         // changes are handed over until then; see contention.go
 	contentionStats ContentionStats
 
-	// The configuration and this replica's part in it.
+	// The configuration and this replica's membership.
 	local           localMembership
 	leaving         bool // Leave was called
-	hadQuorum       bool // HasQuorum as it was logged last
+	hadQuorum       bool // HasQuorum as last logged
 	peers           map[string]*peerState
 	candidates      map[string]*candidate
-	diskGenerations map[string]message.DiskGeneration // of other replicas' disks, by node
-	lastEpochPullAt time.Time                         // when a replica that knows a newer epoch was last asked for it
+	diskGenerations map[string]message.DiskGeneration // generations of other replicas' disks, by node
+	lastEpochPullAt time.Time                         // when a newer epoch last caused an entry in Output.PullNow
 
 	// Replicated items.
 	items         *replication.ItemStore
-	progressValid bool      // the items are as complete as the store's vector says
-	lastPullAt    time.Time // of the last response to a pull, from whichever member
-	fullPull      *fullPull // under way; nil for none
-	resetCount    int       // how often the items were replaced by a complete response
+	progressValid bool      // the store holds all items that its version vector covers
+	lastPullAt    time.Time // when the last response to a pull arrived, from any member
+	fullPull      *fullPull // the full pull in progress, if any
+	resetCount    int       // the number of times that a full pull replaced the items
 	peerResponded bool      // since the start
 	pullProgress  map[string]peerProgress
-	tombstones    map[string]time.Time // items to be dropped, and when
+	tombstones    map[string]time.Time // when to drop obsolete items, by key
 
 	// Proxies and backends.
 	liveness         *replication.MemberTable
-	backends         map[string]*replication.Backend // the last heartbeat of the backends that send them here
-	departedOwners   map[string]time.Time            // nodes that own backends and are no members, and since when
-	decidingReleases map[string]bool                 // services whose release is being decided
+	backends         map[string]*replication.Backend // by ID, as of their last heartbeats, which they send to this replica
+	departedOwners   map[string]time.Time            // owners of backends that are not members, and since when
+	decidingReleases map[string]bool                 // services for which the end of a release is being written
 	survey           surveyState
 }
 
-// New creates a replica from what its disk held.
+// New creates a replica from its persisted state.
 func New(cfg Config, persisted PersistedState, now time.Time) *Replica {
 	r := &Replica{
 		config:           cfg,
@@ -93,7 +93,7 @@
 	return r
 }
 
-// restoreRegisters publishes the registers that are known to be chosen and schedules the repair of the others.
+// restoreRegisters publishes the registers whose values are known to be chosen and schedules the repair of the others.
 func (r *Replica) restoreRegisters(now time.Time) {
 	entries := r.acceptor.AcceptedEntries()
 	slices.SortFunc(entries, func(a, b quorum.Entry) int { return strings.Compare(a.Key, b.Key) })
@@ -106,9 +106,9 @@
 	}
 }
 
-// newOrigin names a node and its incarnation as the origin of items: "NODE.INCARNATION", both hashed or encoded to few
-// characters as origins are part of every pull. Incarnations grow with the time of the start; the random low bits tell
-// apart two starts within one millisecond.
+// newOrigin returns the origin under which a node in its current incarnation publishes items: "NODE.INCARNATION". The
+// node is hashed and the incarnation encoded to few characters because every pull contains origins. Incarnations grow
+// with the start time; the random low bits distinguish two starts within one millisecond.
 func newOrigin(node string, now time.Time, random float64) string {
 	const (
 		nodeHashBits = 40
@@ -121,11 +121,11 @@
 	return strconv.FormatUint(hash.Sum64()>>(64-nodeHashBits), base) + "." + strconv.FormatUint(incarnation, base)
 }
 
-// jitter returns a random duration between 0 and a limit.
+// jitter returns a random duration in [0, limit).
 func (r *Replica) jitter(limit time.Duration) time.Duration {
 	return time.Duration(r.config.Random() * float64(limit))
 }
 
-// Register returns a register as this replica holds it, which may be outdated; the zero entry but for its key where it
-// holds nothing.
+// Register returns this replica's copy of a register, which may be outdated. If the replica holds none, all fields
+// except the key are zero.
 func (r *Replica) Register(key string) quorum.Entry { return r.acceptor.Get(key) }
--- a/internal/control/replica/round.go
+++ b/internal/control/replica/round.go
@@ -8,10 +8,11 @@
 	"sagelever/internal/control/quorum"
 )
 
-// keepValues is the decision of a round that writes again what its registers hold, so that it becomes chosen.
+// keepValues is the decision of a repair: the round proposes the current values of its registers again, so that they
+// become chosen.
 func keepValues(map[string]quorum.Value) map[string]quorum.Value { return nil }
 
-// startRound begins phase 1 of a Paxos round.
+// startRound starts phase 1 of a Paxos round.
 func (r *Replica) startRound(now time.Time, op *operation) {
 	configuration := r.local.configuration
 	number := r.acceptor.NextProposal(configuration.Epoch, r.local.proposerID())
@@ -28,7 +29,7 @@
 	})
 }
 
-// handleRoundResponse takes a member's response to either phase of a round.
+// handleRoundResponse handles a member's response to either phase of a round.
 func (r *Replica) handleRoundResponse(now time.Time, op *operation, from string, response *message.PeerResponse) {
 	switch {
 	case !response.OK:
@@ -40,7 +41,7 @@
 	}
 }
 
-// handlePromise takes a promise and begins phase 2 once there are enough.
+// handlePromise handles a promise and starts phase 2 once there are enough.
 func (r *Replica) handlePromise(now time.Time, op *operation, from string, response *message.PeerResponse) {
 	round := op.proposal.round
 	values := round.HandlePromise(from, response.Entries)
@@ -56,19 +57,20 @@
 	})
 }
 
-// handleAccepted takes an acceptance. Once there are enough it ends all operations that the round has decided.
+// handleAccepted handles an acceptance. Once there are enough, it ends all operations that the round has decided.
 func (r *Replica) handleAccepted(now time.Time, op *operation, from string) {
 	round := op.proposal.round
 	if !round.HandleAccepted(from) {
 		return
 	}
 	chosen := round.ChosenEntries()
-	// That they are chosen needs not be on disk before the operation ends: whoever finds them undecided repairs them.
+	// The operation needn't wait for this save: the values are on the disks of a quorum, and a member that finds them
+	// undecided after a restart repairs them.
 	r.save(now, Save{Entries: r.learnEntries(now, chosen)}, nil)
 	r.contentionStats.Batched += uint64(len(op.proposal.batch) - 1)
 	for _, decided := range op.proposal.batch {
 		if r.operations[decided.id] != decided {
-			continue // it has ended meanwhile
+			continue // the operation has ended in the meantime
 		}
 		values := decided.proposal.result
 		maps.Copy(values, decided.read.values)
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -11,12 +11,12 @@
 	"sagelever/internal/control/rangesync"
 )
 
-// A member takes over from the previous epoch before it is active in the current one: it collects the registers of
-// TakeoverQuorum members of the previous configuration, of which at least one holds each chosen value. They don't
-// change any more, because whoever is asked about the current epoch adopts it first. A candidate, which is to become a
-// member later, catches up in the same way from one active member.
+// A member takes over from the previous epoch before it becomes active in the current one: it collects the registers of
+// TakeoverQuorum members of the previous configuration, at least one of which holds each chosen value. These registers
+// no longer change, because a replica adopts the current epoch before it answers a request about it. A candidate, which
+// may become a member later, catches up in the same way from one active member.
 
-// startTakeover begins to take over from the previous epoch, or to catch up as a candidate, where that is due.
+// startTakeover starts the takeover from the previous epoch, or the catch-up of a candidate, if one is due.
 func (r *Replica) startTakeover(now time.Time) {
 	local := &r.local
 	if !local.identitySaved || local.configuration.Epoch == 0 || r.Active() {
@@ -33,7 +33,7 @@
 	}
 }
 
-// requestTakeoverState asks the members of the previous and of the current configuration for everything they hold.
+// requestTakeoverState requests all registers from the members of the previous and of the current configuration.
 func (r *Replica) requestTakeoverState(now time.Time, op *operation) {
 	if r.activeInPreviousEpoch() && r.local.configuration.TakeoverQuorum() <= 1 {
 		r.finishTakeover(now, op)
@@ -42,7 +42,7 @@
 	r.requestState(now, op, r.takeoverSources())
 }
 
-// requestCatchUpState asks an active member for everything it holds, a different one in each attempt.
+// requestCatchUpState requests all registers from one member, a different one in each attempt.
 func (r *Replica) requestCatchUpState(now time.Time, op *operation) {
 	peers := r.OtherMembers()
 	if len(peers) == 0 {
@@ -53,7 +53,7 @@
 	r.requestState(now, op, []message.Member{source})
 }
 
-// requestState begins to compare all registers with those of some other replicas.
+// requestState starts a comparison of all registers with those of some other replicas.
 func (r *Replica) requestState(now time.Time, op *operation, sources []message.Member) {
 	ranges := r.startSessions(op, sources, rangesync.Range{})
 	r.requestFrom(now, op, sources, message.StatePath, r.newRangesRequest(message.StatePath, ranges))
@@ -75,8 +75,8 @@
 	return sources
 }
 
-// serveState tells what this replica holds. It first adopts the sender's configuration if that is newer, and has it on
-// disk before the response: from then on, what it holds of the previous epoch doesn't change.
+// serveState returns this replica's registers. It first adopts the sender's configuration if that is newer, and saves
+// it before it responds: from then on, the registers of the previous epoch no longer change.
 func (r *Replica) serveState(now time.Time, request *message.PeerRequest, respond responseCallback) {
 	var changed []quorum.Entry
 	if request.Configuration != nil {
@@ -103,14 +103,14 @@
 	r.save(now, Save{Entries: changed}, respondSaved(response, respond))
 }
 
-// handleStateResponse takes what another replica holds, for a takeover or to catch up.
+// handleStateResponse merges the registers of another replica during a takeover or a catch-up.
 func (r *Replica) handleStateResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
 	if !response.OK || op.attempt.answered[from.Node+from.DiskID] || response.DiskID != from.DiskID {
 		return
 	}
-	// A new member will be asked to confirm the disks of others like the member that it replaces.
+	// A new member must be able to confirm the disks of others, as the member that it replaces could.
 	for node, generation := range response.DiskGenerations {
 		r.recordGeneration(message.Member{Node: node, DiskID: generation.DiskID}, generation.Number)
 	}
@@ -123,8 +123,9 @@
 	})
 }
 
-// countTakeoverSource notes that everything a replica held is held here, and ends the takeover once that is enough:
-// one replica that is active in the current epoch, or TakeoverQuorum replicas that were active in the previous one.
+// countTakeoverSource records that this replica holds all registers of a source. It ends the takeover once there are
+// enough sources: one replica that is active in the current epoch, or TakeoverQuorum replicas that were active in the
+// previous one.
 func (r *Replica) countTakeoverSource(now time.Time, op *operation, source message.Member, activeEpoch uint64) {
 	local := &r.local
 	if activeEpoch == local.configuration.Epoch {
@@ -136,8 +137,8 @@
 	}
 	op.attempt.answered[source.Node+source.DiskID] = true
 	sources := len(op.attempt.answered)
-	// A member of the previous configuration counts itself. If it was not active there, it has accepted nothing in
-	// that epoch, and it now holds what was chosen before.
+	// A member of the previous configuration counts itself. If it was not active in that epoch, it accepted nothing in
+	// it, and by now it holds the values that were chosen before.
 	if local.inPrevious(local.self) {
 		sources++
 	}
@@ -146,14 +147,14 @@
 	}
 }
 
-// finishTakeover makes this replica active in the current epoch once that is on disk, together with the refusal of all
-// proposals of earlier epochs.
+// finishTakeover makes this replica active in the current epoch. It first saves the new active epoch together with the
+// least proposal number, which rejects all proposals of earlier epochs.
 func (r *Replica) finishTakeover(now time.Time, op *operation) {
 	if op.attempt.activating {
 		return
 	}
 	op.attempt.activating = true
-	op.attempt.deadline = time.Time{} // it takes as long as the disk does
+	op.attempt.deadline = time.Time{} // no time limit for the save
 	local := &r.local
 	epoch := local.configuration.Epoch
 	r.acceptor.RaiseMinProposal(quorum.ProposalNumber{Epoch: epoch})
@@ -196,8 +197,7 @@
 	r.notifyAfter(0)
 }
 
-// finishCatchUp makes a candidate ready to become a member, if the replica from which it has caught up is active in
-// the current epoch.
+// finishCatchUp marks a candidate as ready to become a member if its source is active in the current epoch.
 func (r *Replica) finishCatchUp(now time.Time, op *operation, activeEpoch uint64) {
 	if activeEpoch != r.local.configuration.Epoch {
 		r.scheduleRetry(now, op)
