--- a/internal/control/replica/backends.go
+++ b/internal/control/replica/backends.go
@@ -8,18 +8,18 @@
 	"sagelever/internal/control/replication"
 )
 
-// isGone reports whether a phase is one in which a backend exists no more.
+// isGone reports whether a backend in the given phase has left or timed out.
 func isGone(phase replication.Phase) bool {
 	return phase == replication.PhaseLeft || phase == replication.PhaseTimedOut
 }
 
-// RecordHeartbeat takes a backend's heartbeat. It returns the member that the backend should send the next one to: one
-// in the backend's own zone that is reachable; the zero Member for this replica.
+// RecordHeartbeat records a backend's heartbeat. It returns the member to which the backend should send the next one: a
+// reachable member in the backend's zone, or the zero Member for this replica.
 func (r *Replica) RecordHeartbeat(
 	now time.Time, id string, heartbeat *replication.Heartbeat,
 ) (redirect message.Member) {
 	current, known := r.items.Get(replication.BackendKeyPrefix + id)
-	// Otherwise the heartbeat is late, or of an incarnation that has left.
+	// Ignores heartbeats that are late or come from an incarnation that has left.
 	if !known || current.Version < replication.BackendVersion(heartbeat.CallCount, false) {
 		r.updateBackend(now, id, heartbeat, current, known)
 	}
@@ -34,7 +34,7 @@
 	return message.Member{}
 }
 
-// updateBackend applies a heartbeat to a backend and publishes the backend if the change concerns others.
+// updateBackend applies a heartbeat to a backend, and publishes the backend if the change is relevant to other nodes.
 func (r *Replica) updateBackend(
 	now time.Time, id string, heartbeat *replication.Heartbeat, current replication.Item, known bool,
 ) {
@@ -48,13 +48,13 @@
 	if changed {
 		r.mergeLocal(item)
 	} else {
-		backend.HeartbeatMs = previous.HeartbeatMs // as it was published last
+		backend.HeartbeatMs = previous.HeartbeatMs // as last published
 	}
 	r.backends[id] = backend
 	r.liveness.RecordHeartbeat(id, now)
 }
 
-// BackendPhase returns the phase of a backend, or "" where nothing is known of it.
+// BackendPhase returns the phase of a backend, or "" if the backend is unknown.
 func (r *Replica) BackendPhase(id string) replication.Phase {
 	item, _ := r.items.Get(replication.BackendKeyPrefix + id)
 	backend, ok := replication.ReadBackend(item)
@@ -64,13 +64,13 @@
 	return backend.Phase
 }
 
-// BackendEnded reports whether a backend has left, or nothing is known of it.
+// BackendEnded reports whether a backend has left or is unknown.
 func (r *Replica) BackendEnded(id string) bool {
 	phase := r.BackendPhase(id)
 	return phase == "" || phase == replication.PhaseLeft
 }
 
-// Backends returns the backends that are known and have not left, by ID.
+// Backends returns the known backends that have not left, by ID.
 func (r *Replica) Backends() map[string]*replication.Backend {
 	backends := map[string]*replication.Backend{}
 	r.items.ForEach(replication.BackendKeyPrefix, func(item replication.Item) {
@@ -81,7 +81,7 @@
 	return backends
 }
 
-// DeregisterBackend records that a backend has left for good.
+// DeregisterBackend records that a backend has left permanently.
 func (r *Replica) DeregisterBackend(now time.Time, id string) {
 	key := replication.BackendKeyPrefix + id
 	current, known := r.items.Get(key)
@@ -95,7 +95,7 @@
 	delete(r.backends, id)
 }
 
-// expireBackends marks the backends as timed out whose heartbeats came here and have stopped.
+// expireBackends marks backends as timed out that sent their heartbeats to this replica and have stopped.
 func (r *Replica) expireBackends(now time.Time) {
 	for _, id := range r.liveness.ExpireBackends(r.config.BackendTimeout, now) {
 		key := replication.BackendKeyPrefix + id
@@ -110,9 +110,9 @@
 	}
 }
 
-// expireOrphanedBackends marks the backends as timed out whose owner, the member that their heartbeats went to, has
-// been lost for BackendTimeout, and that have not turned to another. Of the members that are reachable the first by
-// name does it for all.
+// expireOrphanedBackends marks backends as timed out whose owner, the member to which they sent their heartbeats, has
+// been unreachable for BackendTimeout, and that have not switched to another member. Only the first reachable member by
+// name does so.
 func (r *Replica) expireOrphanedBackends(now time.Time) {
 	if !r.updateUnreachablePeers(now) || !r.HasQuorum(now) {
 		return
@@ -134,8 +134,8 @@
 	}
 }
 
-// updateUnreachablePeers notes which peers have become unreachable since the last call. It reports whether this replica is the
-// first by name of those that are reachable.
+// updateUnreachablePeers updates unreachableSince of all peers. It reports whether this replica is the first by name of
+// the reachable members.
 func (r *Replica) updateUnreachablePeers(now time.Time) (first bool) {
 	first = true
 	for node, peer := range r.peers {
@@ -150,8 +150,8 @@
 	return first
 }
 
-// ownerUnreachableSince reports whether the owner of a backend is lost, and since when: a member that is unreachable, or a
-// node that is no member.
+// ownerUnreachableSince reports whether the owner of a backend is unreachable, and since when. A node that is not a
+// member counts as unreachable since its first check.
 func (r *Replica) ownerUnreachableSince(now time.Time, owner string) (since time.Time, lost bool) {
 	if peer := r.peers[owner]; peer != nil {
 		delete(r.departedOwners, owner)
--- a/internal/control/replica/clock.go
+++ b/internal/control/replica/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// observeClock notes the current time. Where the clock was set back, everything that waits for a later time is moved
-// back by the same amount: otherwise a round that lost a message, or an undecided value, would wait until the clock
-// has caught up.
+// observeClock records the current time. If the clock was set back, the times of operations, repairs, peers and
+// candidates are moved back by the same amount. Otherwise a round that lost a message, or the repair of an undecided
+// value, would wait until the clock has caught up.
 func (r *Replica) observeClock(now time.Time) {
 	setBack := r.lastNow.Sub(now)
 	r.lastNow = now
@@ -27,7 +27,7 @@
 	moveBack(setBack, &r.nextRepairAt, &r.startedAt, &r.lastEpochPullAt, &r.local.adoptedAt)
 }
 
-// moveBack subtracts a duration from each time that is set.
+// moveBack subtracts a duration from each non-zero time.
 func moveBack(by time.Duration, times ...*time.Time) {
 	for _, t := range times {
 		if !t.IsZero() {
--- a/internal/control/replica/config.go
+++ b/internal/control/replica/config.go
@@ -9,36 +9,37 @@
 	"sagelever/internal/control/replication"
 )
 
-// Config is the fixed part of a replica's input.
+// Config is the configuration of a replica process.
 type Config struct {
 	Self           message.Member    // without DiskID, which is part of the disk's Identity
-	Source         string            // names this process in pulls of protocol version 1
-	Target         membership.Target // the configuration that the operator wants
+	Source         string            // identifies this process in pulls of protocol version 1
+	Target         membership.Target // the operator's requirements for the configuration
 	InitialPeers   []string          // peer addresses of the replicas that decide on the first configuration
-	Bootstrap      bool              // an empty disk takes part in the first start of the whole system
+	Bootstrap      bool              // a replica with an empty disk takes part in the first start of the system
 	RegionByZone   map[string]string
-	BackendTimeout time.Duration // after its last heartbeat a backend counts as timed out
-	// MaxResponseBytes bounds the items of one response to a pull, of which a single one may be longer; 0: the default.
+	BackendTimeout time.Duration // a backend without a heartbeat for this long has timed out
+	// MaxResponseBytes limits the size of the items in a response to a pull; a single item may exceed it. 0 means the
+	// default.
 	MaxResponseBytes int
-	Random           func() float64 // uniform in [0, 1); spreads what several replicas would do at the same time
+	Random           func() float64 // uniform in [0, 1); spreads concurrent actions of several replicas
 }
 
-// PersistedState is what a replica finds on its disk at its start.
+// PersistedState is the state on a replica's disk when the replica starts.
 type PersistedState struct {
 	Entries     []quorum.Entry
 	MinProposal quorum.ProposalNumber // the acceptor's least proposal number
-	Identity    Identity              // zero where the disk is empty
-	// LegacyDisk: the disk was written, and has not been lost since, by a version that had no configurations.
+	Identity    Identity              // zero if the disk is empty
+	// LegacyDisk is set if the disk holds the state of a version without configurations.
 	LegacyDisk  bool
-	Generations map[string]message.DiskGeneration // last saved DiskGenerations
+	Generations map[string]message.DiskGeneration // DiskGenerations as last saved
 	Items       []PersistedItem
-	Progress    replication.Vector // how far Items go
+	Progress    replication.Vector // the version vector that Items cover
 	ProgressAt  time.Time          // when Progress was saved
 }
 
-// PersistedItem is a replicated item with the place of its first publication.
+// PersistedItem is a replicated item with its origin.
 type PersistedItem struct {
 	Item     replication.Item
-	Origin   string // empty in items that were saved by protocol version 1
+	Origin   string // empty for items that were saved by a version with protocol version 1
 	Sequence uint64 // its sequence number at the origin
 }
--- a/internal/control/replica/full_pull.go
+++ b/internal/control/replica/full_pull.go
@@ -9,19 +9,20 @@
 	"sagelever/internal/control/replication"
 )
 
-// fullPull is a pull of everything that takes several responses of one member. What the member doesn't hold is dropped
-// here once the last of them has come, and not before: the first ones only lack what was held back for size.
+// fullPull is a pull of all items, which may take several responses of one member. Items that the member doesn't hold
+// are dropped only after the last response: earlier responses are truncated and therefore lack items.
 type fullPull struct {
 	source     string          // the member's node
-	received   map[string]bool // the keys that came meanwhile, from whichever member
+	received   map[string]bool // the keys received since the start of the pull, from any member
 	progress   replication.Vector
 	lastPartAt time.Time
 }
 
-// isStuck reports whether the next part of a full pull is overdue.
+// isStuck reports whether the next response of a full pull is overdue.
 func (p *fullPull) isStuck(now time.Time) bool { return now.Sub(p.lastPartAt) > PeerTimeout }
 
-// continuedPull returns the full pull that is under way and of which a member sends the next part; nil if there is none.
+// continuedPull returns the full pull in progress if the member with the given node is its source, and nil otherwise.
+// It discards a full pull that is stuck.
 func (r *Replica) continuedPull(now time.Time, node string) *fullPull {
 	if r.fullPull != nil && r.fullPull.isStuck(now) {
 		r.fullPull = nil
@@ -32,7 +33,7 @@
 	return r.fullPull
 }
 
-// applyFullPull takes a response that is complete, or the next part of one that was not. It reports whether it was either.
+// applyFullPull handles a response that starts or continues a full pull. It returns false for any other response.
 func (r *Replica) applyFullPull(
 	now time.Time, from message.Member, request *message.PullRequest, response *message.PullResponse, received map[string]bool,
 ) bool {
@@ -54,7 +55,7 @@
 	if response.Truncated && len(pull.progress) > 0 {
 		pull.lastPartAt = now
 		r.fullPull = pull
-		r.progressValid = false // until the last part: one that never comes is followed by another full pull
+		r.progressValid = false // until the last response; if that never arrives, another full pull is needed
 		r.items.Advance(response.Progress)
 		return true
 	}
@@ -62,8 +63,8 @@
 	return true
 }
 
-// finishFullPull drops the items that a member which has sent everything doesn't hold: they were forgotten while this
-// replica was away.
+// finishFullPull drops the items that the source of a full pull doesn't hold: they were dropped by the members while
+// this replica was unreachable.
 func (r *Replica) finishFullPull(pull *fullPull) {
 	r.fullPull = nil
 	isRegister := func(item replication.Item) bool { return strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) }
--- a/internal/control/replica/identity.go
+++ b/internal/control/replica/identity.go
@@ -8,22 +8,23 @@
 	"sagelever/internal/control/message"
 )
 
-// Identity is what a disk says about the replica that uses it. It is saved as a whole, as JSON.
+// Identity identifies a disk and the state of the replica that uses it. It is saved as one JSON object.
 //
-// A replica that lost its disk, or got back an old copy of it, no longer knows what it has promised. It must not go on
-// as the same member. The ID tells apart a new disk from the old one. The generation tells apart a disk from an old
-// copy of it: it is advanced every generationInterval and sent to other controllers, who confirm it after a restart.
+// A replica that lost its disk, or restarts from an old copy of it, has lost promises that it made, and must not
+// continue as the same member. The ID distinguishes a new disk from the previous one. The generation distinguishes a
+// disk from an old copy of it: it is advanced every generationInterval and sent to other controllers, which confirm it
+// after a restart.
 type Identity struct {
-	DiskID       string   `json:"Disk"`       // random, drawn when the disk is first used
-	Starts       uint64   `json:"Starts"`     // how many processes have used the disk
+	DiskID       string   `json:"Disk"`       // random; generated when the disk is first used
+	Starts       uint64   `json:"Starts"`     // the number of processes that have used the disk
 	Generation   uint64   `json:"Generation"` // advanced while the disk is confirmed not to be an old copy
 	Bootstrapped bool     `json:"Fresh"`      // the disk took part in the first start of the whole system
-	InitialPeers []string `json:"Contacts"`   // Config.InitialPeers at that time
+	InitialPeers []string `json:"Contacts"`   // Config.InitialPeers when the disk was first used
 	EverActive   bool     `json:"Acting"`     // the replica has been active, or took part in the first start
 	ActiveEpoch  uint64   `json:"Active"`     // the last epoch in which it was active
 }
 
-// newDiskID draws the identity of a disk that is used for the first time.
+// newDiskID generates the ID of a disk that is used for the first time.
 func (r *Replica) newDiskID(now time.Time) string {
 	const (
 		randomRange = 1 << 30
@@ -36,14 +37,14 @@
 	return strconv.FormatUint(timed, base) + strconv.FormatUint(random, base)
 }
 
-// setIdentity makes an identity, which is to be saved next, that of this replica.
+// setIdentity sets this replica's identity. The caller must save it next.
 func (l *localMembership) setIdentity(identity Identity) {
 	l.identity = identity
 	l.submittedIdentity = identity
 	l.self.DiskID = identity.DiskID
 }
 
-// saveIdentity saves the identity, and goes on with what has to happen before this replica can be active.
+// saveIdentity saves the identity, and then starts the confirmation of the disk, which precedes any takeover.
 func (r *Replica) saveIdentity(now time.Time) {
 	identity := r.local.submittedIdentity
 	r.save(now, Save{Identity: &identity}, func(now time.Time, err error) {
@@ -54,8 +55,8 @@
 	})
 }
 
-// replaceIdentity gives up a disk that turned out to be an old copy: what was promised on it later is not known here.
-// The replica goes on as one that was never a member.
+// replaceIdentity replaces the identity of a disk that turned out to be an old copy, which lacks the promises that were
+// made later. The replica continues as one that was never a member.
 func (r *Replica) replaceIdentity(now time.Time) {
 	local := &r.local
 	r.logEvent("stale disk detected, continuing as a candidate",
@@ -68,9 +69,9 @@
 	r.saveIdentity(now)
 }
 
-// advanceGeneration advances the generation of the disk every generationInterval, once others have confirmed it. If it
-// were advanced without, an old copy that is started again and again while its replica is cut off would overtake the
-// generation that the others know.
+// advanceGeneration advances the generation of the disk every generationInterval once the disk is confirmed. Without
+// confirmation, an old copy that is restarted repeatedly while it is partitioned from the other members could overtake
+// the generation that they have recorded.
 func (r *Replica) advanceGeneration(now time.Time) {
 	local := &r.local
 	if !local.identitySaved {
@@ -94,8 +95,8 @@
 	})
 }
 
-// startDiskConfirmation has others confirm that this disk is not an old copy, if it was used by an earlier process and
-// this replica's part as a member, or as a member of the previous epoch, depends on it.
+// startDiskConfirmation starts to confirm with other members that this disk is not an old copy. A confirmation is
+// needed if an earlier process used the disk and this replica is a member or was active in the previous epoch.
 func (r *Replica) startDiskConfirmation(now time.Time) {
 	local := &r.local
 	if local.diskConfirmed || !local.identitySaved || r.isRunning(confirmDisk) {
@@ -112,7 +113,7 @@
 	}
 }
 
-// requestDiskConfirmation asks other members which generation of this disk they know.
+// requestDiskConfirmation asks other members which generation of this disk they have recorded.
 func (r *Replica) requestDiskConfirmation(now time.Time, op *operation) {
 	local := &r.local
 	others := r.votingPeers()
@@ -126,8 +127,8 @@
 	})
 }
 
-// serveGeneration tells which generation of the sender's disk is known here, and records the one that it sends. It
-// does so whether or not this replica is active: after all controllers were restarted, none is yet.
+// serveGeneration returns the recorded generation of the sender's disk, and records the one in the request. It doesn't
+// require this replica to be active, because after a restart of all controllers none is.
 func (r *Replica) serveGeneration(request *message.PeerRequest) *message.PeerResponse {
 	response := &message.PeerResponse{OK: true, DiskID: r.local.self.DiskID}
 	if known := r.diskGenerations[request.From.Node]; known.DiskID == request.From.DiskID {
@@ -137,12 +138,12 @@
 	return response
 }
 
-// handleGenerationResponse takes another member's knowledge of this disk.
+// handleGenerationResponse handles the generation of this disk that another member has recorded.
 func (r *Replica) handleGenerationResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
 	local := &r.local
-	// A member with another disk than expected has lost what it knew.
+	// A member whose disk was replaced has lost the generations that it had recorded.
 	if !response.OK || op.attempt.answered[from.Node] || response.DiskID != from.DiskID {
 		return
 	}
@@ -163,7 +164,7 @@
 	r.reportQuorumChange(now)
 }
 
-// recordGeneration notes the generation of another replica's disk, unless a later one is known.
+// recordGeneration records the generation of another replica's disk, unless a later one is recorded.
 func (r *Replica) recordGeneration(owner message.Member, number uint64) {
 	if owner.DiskID == "" || number == 0 {
 		return
@@ -174,11 +175,11 @@
 	}
 	member, isMember := r.local.configuration.Find(owner.Node)
 	if isMember && member.DiskID != owner.DiskID && known.DiskID == member.DiskID {
-		return // a candidate with a member's name doesn't replace what is known of the member
+		return // a candidate with the name of a member doesn't replace the generation of the member's disk
 	}
 	r.diskGenerations[owner.Node] = message.DiskGeneration{DiskID: owner.DiskID, Number: number}
 }
 
-// DiskGenerations returns the known generations of other replicas' disks, by node. The caller saves them from time to
-// time and must not change the map.
+// DiskGenerations returns the recorded generations of other replicas' disks, by node. The caller saves them
+// periodically and must not modify the map.
 func (r *Replica) DiskGenerations() map[string]message.DiskGeneration { return r.diskGenerations }
--- a/internal/control/replica/leases.go
+++ b/internal/control/replica/leases.go
@@ -9,7 +9,7 @@
 )
 
 // The version of a lease's item consists of the proxy's incarnation and, in the low bits, a counter of the lease's
-// changes within that incarnation. The last value of the counter means that the proxy itself has ended the lease.
+// changes within that incarnation. The greatest counter value means that the proxy itself has ended the lease.
 const (
 	leaseCounterBits  = 8
 	leaseCounterEnded = 1<<leaseCounterBits - 1
@@ -21,9 +21,9 @@
 
 func leaseEndedByProxy(version uint64) bool { return version&leaseCounterEnded == leaseCounterEnded }
 
-// renewLease grants, renews or ends the lease of the proxy that sent a pull. It returns 0, or the incarnation that the
-// proxy has to exceed for its pulls to be taken: they may be late, or its clock may have been set back between two
-// starts.
+// renewLease grants, renews or ends the lease of the proxy that sent a pull. It returns 0 if the pull is accepted.
+// Otherwise it returns the incarnation that the proxy has to exceed: the pull may be late, or the proxy's clock may
+// have been set back between two starts.
 func (r *Replica) renewLease(now time.Time, request *message.PullRequest) (knownIncarnation uint64) {
 	lease := &replication.Lease{
 		Node:          request.From.Node,
@@ -45,20 +45,20 @@
 	r.liveness.RenewLease(item.Key, lease.Zone, now)
 	previousLease, ok := replication.ReadLease(previous)
 	if known && ok && *previousLease == *lease && leaseIncarnation(previous.Version) == request.Incarnation {
-		return 0 // nothing has changed
+		return 0 // the published lease is up to date
 	}
 	if known && previous.Version >= item.Version {
 		if leaseIncarnation(previous.Version) > request.Incarnation || leaseEndedByProxy(previous.Version) {
 			return leaseIncarnation(previous.Version)
 		}
-		item.Version = previous.Version + 1 // the proxy has moved here, or is back after its lease expired
+		item.Version = previous.Version + 1 // the proxy has switched to this replica, or returned after its lease expired
 	}
 	r.mergeLocal(item)
 	return 0
 }
 
-// expireLeases ends the leases granted here that have not been renewed. Whatever is reported of leases must be
-// preceded by it, as the process may have been suspended since the last step.
+// expireLeases ends the leases that this replica granted and that have not been renewed. It must be called before
+// leases are reported, because the process may have been suspended since the last step.
 func (r *Replica) expireLeases(now time.Time) {
 	for _, key := range r.liveness.ExpireLeases(now) {
 		item, known := r.items.Get(key)
@@ -73,8 +73,8 @@
 	}
 }
 
-// RecentProxies lists the proxies that may have requests in flight: those that hold a lease, and those whose lease
-// expired within proxyRetention without having been ended by the proxy.
+// RecentProxies returns the nodes of the proxies that may have requests in flight: those that hold a lease, and those
+// whose lease expired less than proxyRetention ago and was not ended by the proxy.
 func (r *Replica) RecentProxies(now time.Time) (nodes []string) {
 	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
@@ -87,8 +87,8 @@
 	return nodes
 }
 
-// ListenerAddrs lists at most limit addresses to which clients of a zone should go: those of the proxies in the zone;
-// where there are none, those in its region; where there are none either, all.
+// ListenerAddrs returns at most limit addresses of proxies for clients in a zone: the proxies in the zone; if there are
+// none, those in its region; if there are none there either, all.
 func (r *Replica) ListenerAddrs(now time.Time, zone, region string, limit int) []string {
 	var sameZone, sameRegion, elsewhere []string
 	r.expireLeases(now)
@@ -117,8 +117,8 @@
 	return addrs[:min(len(addrs), limit)]
 }
 
-// acceptsClients reports whether the holder of a lease is a proxy that takes clients. The lease has to be confirmed: by a
-// renewal since this replica's start if it was granted here, otherwise by a grantor that is reachable.
+// acceptsClients reports whether the holder of a lease is a proxy that accepts clients. A lease that this replica
+// granted must have been renewed since this replica's start; the grantor of any other lease must be reachable.
 func (r *Replica) acceptsClients(now time.Time, key string, lease *replication.Lease) bool {
 	if lease.Ended || lease.ListenAddress == "" || lease.Role != message.RoleProxy {
 		return false
--- a/internal/control/replica/local_membership.go
+++ b/internal/control/replica/local_membership.go
@@ -10,29 +10,34 @@
 	"sagelever/internal/control/quorum"
 )
 
-// localMembership is the configuration as this replica knows it, and the replica's own part in it.
+// localMembership contains the configuration that this replica has adopted, and the replica's own identity and state as
+// a member or candidate.
 type localMembership struct {
 	self message.Member
 
-	// configuration is the newest that is known to be chosen. In epoch 0, before the first one is chosen, it consists
-	// of the initial peers, which decide on the first configuration and nothing else.
+	// configuration is the newest one that is known to be chosen. In epoch 0, before the first one is chosen, its
+	// members are the initial peers, which decide only on the first configuration.
 	configuration      membership.Configuration
-	configurationEntry quorum.Entry // the register that holds it; zero in epoch 0
-	adoptedAt          time.Time    // when this replica heard of it
-	proposing          bool         // a write of the next one is under way
+	configurationEntry quorum.Entry // the register that holds the configuration; zero in epoch 0
+	adoptedAt          time.Time    // when this replica adopted the configuration
+	proposing          bool         // a write of the next configuration is in progress
 
-	// bootstrapPossibleSince is since when enough initial peers have been present to propose the first configuration.
+	// bootstrapPossibleSince is when enough initial peers became present to propose the first configuration; zero if
+	// there are too few.
 	bootstrapPossibleSince time.Time
 
 	identity             Identity
-	submittedIdentity    Identity // as it was handed to the disk last, which may not have saved it yet
-	identitySaved        bool     // the disk's identity is on disk
+	submittedIdentity    Identity // the identity as last handed to the disk; may not be saved yet
+	identitySaved        bool     // an identity with the current DiskID is on disk
 	generationAdvancedAt time.Time
 
 	diskConfirmed bool // the disk is known not to be an old copy
-	caughtUp      bool // as a candidate: everything that an active member held is held here
+	caughtUp      bool // this candidate holds all registers that an active member held
 }
 
+// proposerStartsBase is the base in which proposer IDs contain Identity.Starts.
+const proposerStartsBase = 36
+
 // chosenEntry returns the register that holds the configuration, or nil in epoch 0.
 func (l *localMembership) chosenEntry() *message.ConfigurationEntry {
 	if l.configurationEntry.Key == "" {
@@ -42,8 +47,8 @@
 	return &entry
 }
 
-// isMember reports whether this replica, with its present disk, is a member of the current configuration; in epoch 0,
-// whether it is one of the initial peers.
+// isMember reports whether this replica, with its current disk, is a member of the current configuration. In epoch 0 it
+// reports whether the replica is one of the initial peers.
 func (l *localMembership) isMember() bool {
 	if l.configuration.Epoch > 0 {
 		return l.configuration.Contains(l.self)
@@ -52,23 +57,23 @@
 	return l.identity.Bootstrapped && slices.ContainsFunc(l.configuration.Members, isSelf)
 }
 
-// inPrevious reports whether a replica, with its present disk, was a member of the previous configuration.
+// inPrevious reports whether a replica, with its current disk, was a member of the previous configuration.
 func (l *localMembership) inPrevious(member message.Member) bool {
 	return slices.ContainsFunc(l.configuration.Previous, member.SameReplica)
 }
 
-// proposerID returns this replica's name in proposal numbers. It contains how often a process was started on the disk:
-// what an earlier process has proposed and not saved as its own promise is not known, and no proposal number may be
-// used twice.
+// proposerID returns this replica's name in proposal numbers. It contains the number of processes that were started on
+// the disk: no proposal number may be used twice, and an earlier process may have sent proposals with numbers that it
+// had not saved.
 func (l *localMembership) proposerID() string {
 	name := l.self.Node
 	if l.configuration.Epoch == 0 {
 		name = l.self.Addr
 	}
-	return name + "/" + strconv.FormatUint(l.identity.Starts, 36)
+	return name + "/" + strconv.FormatUint(l.identity.Starts, proposerStartsBase)
 }
 
-// loadMembership restores which replica this is and which configuration it knew.
+// loadMembership restores this replica's identity and configuration from the persisted state.
 func (r *Replica) loadMembership(now time.Time, persisted PersistedState) {
 	local := &r.local
 	identity := persisted.Identity
@@ -93,8 +98,8 @@
 	r.updatePeers(now)
 }
 
-// loadConfiguration restores the configuration from its register. One that was accepted and is not known to be chosen
-// is not in force yet, as far as this replica knows: its predecessor is, which it names.
+// loadConfiguration restores the configuration from its register. If the register holds a configuration that was
+// accepted but is not known to be chosen, the previous configuration, which is part of it, stays in force.
 func (r *Replica) loadConfiguration() {
 	local := &r.local
 	local.configuration = initialConfiguration(local.identity.InitialPeers)
@@ -115,7 +120,8 @@
 	}
 }
 
-// initialConfiguration returns the configuration of epoch 0. Its members are known by their addresses only.
+// initialConfiguration returns the configuration of epoch 0. Its members are named by their addresses, because their
+// nodes are not known yet.
 func initialConfiguration(addrs []string) membership.Configuration {
 	var members []message.Member
 	for _, addr := range addrs {
@@ -153,7 +159,7 @@
 	r.notifyAfter(0)
 }
 
-// Epoch returns the newest epoch that this replica knows of.
+// Epoch returns the epoch of the current configuration.
 func (r *Replica) Epoch() uint64 { return r.local.configuration.Epoch }
 
 // Active reports whether this replica votes: it is a member of the current configuration, holds everything that was
@@ -168,7 +174,7 @@
 	return local.identitySaved && tookOver && local.isMember()
 }
 
-// activeEpoch returns the epoch in which this replica is active, or 0 where it is not.
+// activeEpoch returns the epoch in which this replica is active, or 0 if it is not active.
 func (r *Replica) activeEpoch() uint64 {
 	if !r.Active() {
 		return 0
@@ -184,8 +190,8 @@
 }
 
 // epochClosed reports whether this replica has accepted the configuration that follows the epoch in which it was last
-// active. Nothing but that configuration is promised or accepted then, so that whoever takes over from this replica
-// finds all that can ever be chosen in the epoch. Epoch 0 is closed from the start.
+// active. In a closed epoch it promises and accepts only that configuration, so that members which take over from this
+// replica find every value that can ever be chosen in the epoch. Epoch 0 is closed from the start.
 func (r *Replica) epochClosed() bool {
 	if r.local.configuration.Epoch == 0 {
 		return true
@@ -193,7 +199,7 @@
 	return r.acceptor.Get(membership.RegisterKey).Value.Version > r.local.identity.ActiveEpoch
 }
 
-// concernsOnlyConfiguration reports whether a request of a round is about the configuration and no other register.
+// concernsOnlyConfiguration reports whether a request of a round contains no register other than the configuration.
 func concernsOnlyConfiguration(request *message.PeerRequest) bool {
 	for _, key := range request.Keys {
 		if key != membership.RegisterKey {
@@ -208,7 +214,7 @@
 	return true
 }
 
-// voterID returns the name under which this replica's own part in a round is counted.
+// voterID returns the name under which this replica's own votes are counted in rounds.
 func (r *Replica) voterID() string {
 	if r.local.configuration.Epoch == 0 {
 		return r.local.self.Addr
--- a/internal/control/replica/maintenance.go
+++ b/internal/control/replica/maintenance.go
@@ -12,7 +12,7 @@
 )
 
 // Maintain does the periodic work: it expires leases, backends and tombstones, repairs undecided registers, and starts
-// whatever the state of the configuration requires. The caller runs it several times a second.
+// the operations that a change of the configuration requires. The caller runs it several times a second.
 func (r *Replica) Maintain(now time.Time) {
 	r.observeClock(now)
 	r.advanceGeneration(now)
@@ -33,7 +33,7 @@
 }
 
 // pruneOrigins keeps the version vector short: it drops origins without items, and republishes the items of this
-// replica's old incarnations under the current one.
+// replica's earlier incarnations under the current one.
 func (r *Replica) pruneOrigins() {
 	liveOrigins := map[string]bool{}
 	for _, peer := range r.peers {
@@ -45,7 +45,7 @@
 	}
 }
 
-// observeLeases counts the proxies whose leases were granted by members that are reachable.
+// observeLeases records the leases of proxies that were granted by reachable members.
 func (r *Replica) observeLeases(now time.Time) {
 	r.items.ForEach(replication.LeaseKeyPrefix, func(item replication.Item) {
 		lease, ok := replication.ReadLease(item)
@@ -55,7 +55,7 @@
 	})
 }
 
-// expireTallies adds tombstones for the tallies of releases that have ended or were followed by another.
+// expireTallies adds tombstones for the tallies of releases that have ended or were superseded.
 func (r *Replica) expireTallies(now time.Time) {
 	r.items.ForEach(replication.ReleaseTallyKeyPrefix, func(item replication.Item) {
 		if _, noted := r.tombstones[item.Key]; noted {
@@ -69,12 +69,12 @@
 	})
 }
 
-// addTombstone has an item dropped after tombstoneRetention, if it is still obsolete by then.
+// addTombstone schedules an item to be dropped after tombstoneRetention if it is still obsolete then.
 func (r *Replica) addTombstone(key string, now time.Time) {
 	r.tombstones[key] = now.Add(tombstoneRetention)
 }
 
-// collectTombstones drops the tallies and the gone backends whose tombstones have expired.
+// collectTombstones drops the tallies and the backends that are gone if their tombstones have expired.
 func (r *Replica) collectTombstones(now time.Time) {
 	for _, key := range slices.Sorted(maps.Keys(r.tombstones)) {
 		if now.Before(r.tombstones[key]) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// backendIsGone reports whether the backend of an item's key has left or timed out. It may have come back since its
-// tombstone was added.
+// backendIsGone reports whether the backend with the given item key has left or timed out. It may have returned since
+// its tombstone was added.
 func (r *Replica) backendIsGone(key string) bool {
 	item, ok := r.items.Get(key)
 	if !ok {
--- a/internal/control/replica/operation.go
+++ b/internal/control/replica/operation.go
@@ -87,7 +87,7 @@
 	confirmation *quorum.Confirmation // set for confirmValues
 
 	attempt attempt
-	retryAt time.Time // when the next attempt begins; zero while one is under way or the operation is parked
+	retryAt time.Time // when the next attempt begins; zero while one is in progress or the operation is parked
 	parked  bool      // the operation waits for an earlier proposal; see batch.go
 	defeats int       // consecutive rounds that were defeated by competing rounds
 
--- a/internal/control/replica/output.go
+++ b/internal/control/replica/output.go
@@ -8,20 +8,20 @@
 	"sagelever/internal/control/quorum"
 )
 
-// Output is what the caller has to carry out after a step. Saves must be handed to the disk in their order and before
-// the next step; the rest has no order.
+// Output contains the actions that the caller must carry out after a step. Saves must be handed to the disk in order
+// and before the next step; the other actions are unordered.
 type Output struct {
 	Requests    []OutgoingRequest
 	Saves       []Save
 	Responses   []OutgoingResponse
 	Completions []Completion
 	LogEntries  []LogEntry
-	// DeletedKeys are the keys of items that are no longer held, to be removed from the disk.
+	// DeletedKeys are the keys of dropped items, which must be deleted from the disk.
 	DeletedKeys []string
-	// PullNow lists replicas that have just shown to be up. A pull of them that is under way may hang; they are best
-	// pulled at once or, if they are no members, asked who the members are.
+	// PullNow lists replicas that have just been found to be up. A pull from them that is in progress may hang, so they
+	// should be pulled from immediately. A replica that is not a member should be asked for the members.
 	PullNow []message.Member
-	// NotifyAfter is when to check the pending pulls again; negative where there is nothing new for them.
+	// NotifyAfter is the delay after which to check the pending pulls again; negative if nothing has changed for them.
 	NotifyAfter time.Duration
 }
 
@@ -33,7 +33,7 @@
 	Request *message.PeerRequest
 }
 
-// Save is a disk write. HandleSaved is to be called with its ID once all of it is on disk, or has failed.
+// Save is a disk write. The caller must call HandleSaved with its ID once all of it is on disk, or has failed.
 type Save struct {
 	ID          uint64
 	Entries     []quorum.Entry
@@ -48,14 +48,14 @@
 	Err      error
 }
 
-// Completion reports the end of an operation that the caller began.
+// Completion reports the end of an operation that the caller has started.
 type Completion struct {
 	OperationID uint64
 	Values      map[string]quorum.Value // the chosen values, by register
 	Err         error
 }
 
-// LogEntry describes a change of state.
+// LogEntry is a log entry about a change of state.
 type LogEntry struct {
 	Message string
 	Fields  []LogField
@@ -67,7 +67,7 @@
 	Value string
 }
 
-// TakeOutput returns what the steps since the last call have produced.
+// TakeOutput returns and clears the output of the steps since the last call.
 func (r *Replica) TakeOutput() Output {
 	output := r.output
 	r.output = Output{NotifyAfter: -1}
@@ -83,12 +83,12 @@
 
 func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// deleteFromDisk lists an item's key among those to be removed from the disk.
+// deleteFromDisk schedules an item to be deleted from the disk.
 func (r *Replica) deleteFromDisk(key string) {
 	r.output.DeletedKeys = append(r.output.DeletedKeys, key)
 }
 
-// notifyAfter has the pending pulls checked again after a delay, or earlier where that is due already.
+// notifyAfter schedules a check of the pending pulls after a delay, unless an earlier check is already scheduled.
 func (r *Replica) notifyAfter(delay time.Duration) {
 	if r.output.NotifyAfter < 0 || delay < r.output.NotifyAfter {
 		r.output.NotifyAfter = delay
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -9,26 +9,26 @@
 	"sagelever/internal/control/message"
 )
 
-// peerState is what a replica knows of another member of the configuration.
+// peerState is the state of another member of the configuration, as seen by this replica.
 type peerState struct {
 	message.Member
-	lastPullAt       time.Time // when the last pull of it began
-	lastResponseAt   time.Time // when it responded last
-	hasResponded     bool      // it has responded since this replica's start
-	unreachableSince time.Time // when it was noticed to be unreachable; zero while it is reachable
-	memberSince      time.Time // when this replica learned that it is a member
-	leaving          bool      // its process is about to end
-	activeEpoch      uint64    // the epoch in which it was active by its last response
-	origin           string    // of the items that it publishes in its current incarnation
-
-	responseTime time.Duration // to a phase of a round, smoothed; zero: not known
-
-	// Progress of pulls from a peer of protocol version 1.
+	lastPullAt       time.Time // when this replica last started a pull from the peer
+	lastResponseAt   time.Time // when the peer last responded to a pull
+	hasResponded     bool      // the peer has responded since this replica's start
+	unreachableSince time.Time // when the peer was found to be unreachable; zero while it is reachable
+	memberSince      time.Time // when this replica adopted a configuration with the peer
+	leaving          bool      // the peer's process is about to end
+	activeEpoch      uint64    // the epoch in which the peer was active as of its last response
+	origin           string    // the origin of the items that the peer publishes in its current incarnation
+
+	responseTime time.Duration // smoothed time to respond to a phase of a round; zero if unknown
+
+	// Progress of pulls from a peer with protocol version 1.
 	legacySource   string
 	legacySequence uint64
 }
 
-// recordResponse notes a response of the peer.
+// recordResponse updates the state from a response of the peer to a pull.
 func (p *peerState) recordResponse(now time.Time, response *message.PullResponse) {
 	p.lastResponseAt = now
 	p.hasResponded = true
@@ -44,8 +44,8 @@
 	}
 }
 
-// OtherMembers returns the members of the configuration except this replica, by node; none before the first
-// configuration is known.
+// OtherMembers returns the members of the configuration except this replica, sorted by node. It returns none before the
+// first configuration is adopted.
 func (r *Replica) OtherMembers() []message.Member {
 	others := make([]message.Member, 0, len(r.peers))
 	for _, peer := range r.peers {
@@ -69,7 +69,7 @@
 	return slices.DeleteFunc(slices.Clone(r.local.configuration.Members), isSelf)
 }
 
-// updatePeers makes the peers those of the current configuration, and keeps what is known of those that remain.
+// updatePeers sets the peers to the other members of the current configuration, and keeps the state of remaining peers.
 func (r *Replica) updatePeers(now time.Time) {
 	previous := r.peers
 	r.peers = map[string]*peerState{}
@@ -85,21 +85,21 @@
 			continue
 		}
 		if candidate := r.candidates[member.Node]; candidate != nil && candidate.SameReplica(member) {
-			member = candidate.Member // with the address from which it called last
+			member = candidate.Member // with the address of its last pull
 		}
 		r.peers[member.Node] = &peerState{Member: member, memberSince: now}
 	}
 }
 
-// registerController takes up a controller that pulls: as a member of the configuration if it is one with its present
-// disk, otherwise as a candidate.
+// registerController records the pull of another controller. With its current disk, the controller is either a member
+// of the configuration or a candidate.
 func (r *Replica) registerController(now time.Time, request *message.PullRequest) {
 	if request.From.Node == r.config.Self.Node || request.From.Node == "" {
 		return
 	}
 	r.recordGeneration(request.From, request.DiskGeneration)
 	if request.KnownEpoch > r.local.configuration.Epoch && now.Sub(r.lastEpochPullAt) > stuckPullTimeout {
-		r.lastEpochPullAt = now // all members that this replica knows may be gone
+		r.lastEpochPullAt = now // possibly no member of this replica's configuration is left
 		r.output.PullNow = append(r.output.PullNow, request.From)
 	}
 	peer := r.pullingPeer(request)
@@ -120,7 +120,7 @@
 	return peer
 }
 
-// reachable reports whether a node is this replica or a member that has responded within PeerTimeout.
+// reachable reports whether a node is this replica, or another member that has responded within PeerTimeout.
 func (r *Replica) reachable(node string, now time.Time) bool {
 	if node == r.config.Self.Node {
 		return true
@@ -129,8 +129,8 @@
 	return peer != nil && peer.hasResponded && now.Sub(peer.lastResponseAt) < PeerTimeout
 }
 
-// HasQuorum reports whether this replica's items can be relied on: it is a member and reaches a majority of the
-// members. Without, it may lack what others have acknowledged.
+// HasQuorum reports whether this replica's items are up to date: it is a member and reaches a majority of the members.
+// Otherwise it may lack changes that other members have acknowledged.
 func (r *Replica) HasQuorum(now time.Time) bool {
 	if r.leaving || r.fullPull != nil || !r.activeOrTakingOver(now) {
 		return false
@@ -158,8 +158,8 @@
 		now.Sub(local.adoptedAt) < takeoverGrace
 }
 
-// reportQuorumChange logs when this replica gains or loses its quorum, and has the pending pulls answered, whose
-// responses say it.
+// reportQuorumChange logs when this replica gains or loses its quorum, and has the pending pulls checked, because their
+// responses contain HasQuorum.
 func (r *Replica) reportQuorumChange(now time.Time) {
 	hasQuorum := r.HasQuorum(now)
 	if hasQuorum == r.hadQuorum {
@@ -176,8 +176,8 @@
 		LogField{"undecided", strconv.Itoa(r.UndecidedCount())})
 }
 
-// Leave announces that the process is about to end: pending pulls are answered at once so that their senders turn to
-// other members, and the members are asked for a successor. See AwaitingReplacement.
+// Leave announces that the process is about to end: pending pulls are answered immediately, so that their senders
+// switch to other members, and a configuration with a successor is proposed if possible. See AwaitingReplacement.
 func (r *Replica) Leave(now time.Time) {
 	r.leaving = true
 	r.notifyAfter(0)
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -9,10 +9,10 @@
 	"sagelever/internal/control/replication"
 )
 
-// ItemsToPersist returns what has become known since a local sequence number, the progress that it amounts to once it
-// is on disk, and the sequence number to continue from. The caller saves it from time to time; dropped items are
-// listed in Output.DeletedKeys. While registers, which are part of the progress, are not on disk yet, it returns
-// nothing.
+// ItemsToPersist returns the items that were added or changed after a local sequence number, the progress that is
+// reached once they are on disk, and the sequence number to continue from. The caller saves them periodically; dropped
+// items are listed in Output.DeletedKeys. ItemsToPersist returns no items while registers, which the progress covers,
+// are not on disk yet.
 func (r *Replica) ItemsToPersist(since uint64) (items []PersistedItem, progress replication.Vector, next uint64) {
 	if len(r.pendingSaves) > 0 || r.saveFailed {
 		return nil, nil, since
@@ -20,15 +20,16 @@
 	for _, item := range r.items.Since(since, nil) {
 		origin, sequence := r.items.OriginOf(item.Key)
 		if strings.HasPrefix(item.Key, replication.RegisterKeyPrefix) {
-			item.Body = "" // it is saved with the register
+			item.Body = "" // saved with the register
 		}
 		items = append(items, PersistedItem{item, origin, sequence})
 	}
 	return items, r.items.Vector(), r.items.LocalSequence()
 }
 
-// restoreItems takes the items that the disk held. If they are older than incrementalPullWindow, those of other
-// origins may have been dropped elsewhere in the meantime: only the registers are kept, and the rest is pulled again.
+// restoreItems restores the persisted items. If they are older than incrementalPullWindow, they may have been dropped
+// by other replicas in the meantime: only registers and items without an origin are kept, and all items are pulled
+// again.
 func (r *Replica) restoreItems(now time.Time, persisted PersistedState) {
 	slices.SortFunc(persisted.Items, func(a, b PersistedItem) int { return strings.Compare(a.Item.Key, b.Item.Key) })
 	expired := now.Sub(persisted.ProgressAt) > incrementalPullWindow
@@ -54,8 +55,8 @@
 	r.items.Retract(lost)
 }
 
-// restoreRegisterBody completes the item of a register, which is saved without its body. It reports false where the
-// register holds another value by now that is not known to be chosen.
+// restoreRegisterBody restores the body of a register's item, which is saved without it. It returns false if the
+// register now holds another value, or one that is not known to be chosen.
 func (r *Replica) restoreRegisterBody(item *replication.Item) bool {
 	entry := r.acceptor.Get(strings.TrimPrefix(item.Key, replication.RegisterKeyPrefix))
 	if !entry.Chosen || entry.Value.Version != item.Version {
@@ -65,10 +66,10 @@
 	return true
 }
 
-// restoreItem takes one item that the disk held.
+// restoreItem restores one persisted item.
 func (r *Replica) restoreItem(now time.Time, saved PersistedItem) {
 	item := r.restoreBackend(now, saved.Item)
-	if saved.Origin == "" { // protocol version 1 didn't save it
+	if saved.Origin == "" { // versions with protocol version 1 didn't save the origin
 		r.items.Publish(item)
 	} else {
 		r.items.Receive(item, saved.Origin, saved.Sequence)
@@ -76,14 +77,14 @@
 	if strings.HasPrefix(item.Key, replication.LeaseKeyPrefix) {
 		lease, ok := replication.ReadLease(item)
 		if ok && !lease.Ended && lease.Role == message.RoleProxy {
-			r.liveness.ObserveLease(item.Key, lease.Zone, now) // it may be sending, although it has not pulled yet
+			r.liveness.ObserveLease(item.Key, lease.Zone, now) // the proxy may be sending, although it has not pulled yet
 		}
 	}
 	r.trackItem(now, item)
 }
 
-// restoreBackend makes a ready backend count as warming up until its next heartbeat: it may have gone, or have been
-// restarted, while this replica was down. Other items are returned as they are.
+// restoreBackend marks a ready backend as warming up until its next heartbeat, because it may have stopped or restarted
+// while this replica was down. Other items are returned unchanged.
 func (r *Replica) restoreBackend(now time.Time, item replication.Item) replication.Item {
 	id, ok := strings.CutPrefix(item.Key, replication.BackendKeyPrefix)
 	if !ok {
--- a/internal/control/replica/pull_answer.go
+++ b/internal/control/replica/pull_answer.go
@@ -10,21 +10,22 @@
 	"sagelever/internal/control/replication"
 )
 
-// PendingPull is a pull that was received and is not answered yet.
+// PendingPull is a received pull that has not been answered yet.
 type PendingPull struct {
 	request          *message.PullRequest
-	hadQuorum        bool   // HasQuorum when the pull was received; a change is answered at once
+	hadQuorum        bool   // HasQuorum when the pull was received; a change makes the response ready
 	knownIncarnation uint64 // see message.PullResponse
-	complete         bool   // the response is to contain all items
+	complete         bool   // the response must contain all items
 	verification     uint64 // the number of the verification that the sender waits for; 0 for none
 
-	// What this replica held when the pull was received. Items that reach it later from other origins are on their way
-	// to the sender already and are left out.
+	// The local sequence number and the version vector when the pull was received. A response to a controller omits
+	// items of other origins that arrived later, because the controller receives them from other members as well.
 	sequence uint64
 	progress replication.Vector
 }
 
-// HandlePull takes a pull: it renews the lease of a proxy, or takes up a controller. AnswerPull returns the response.
+// HandlePull handles a pull: it renews the lease of a proxy, or registers a controller. AnswerPull returns the
+// response.
 func (r *Replica) HandlePull(now time.Time, request *message.PullRequest) *PendingPull {
 	pending := &PendingPull{
 		request:   request,
@@ -57,8 +58,8 @@
 	return pending
 }
 
-// AnswerPull returns the response to a pull as of now. Unless it is ready, there is nothing new in it, and it should
-// not be sent before the pull's waiting time is over.
+// AnswerPull returns the response to a pull as of now. Unless ready is true, the response contains nothing new, and
+// should not be sent before the pull's waiting time is over.
 func (r *Replica) AnswerPull(now time.Time, pending *PendingPull) (response *message.PullResponse, ready bool) {
 	request := pending.request
 	r.expireLeases(now)
@@ -84,7 +85,7 @@
 	return response, ready || len(response.Items) > 0
 }
 
-// newPullResponse returns the response to a pull without items and members.
+// newPullResponse returns the response to a pull, without items and members.
 func (r *Replica) newPullResponse(now time.Time, pending *PendingPull) *message.PullResponse {
 	request := pending.request
 	response := &message.PullResponse{
@@ -107,8 +108,9 @@
 	return response
 }
 
-// addItems adds the items that the sender of a pull lacks. It reports whether the response is to be sent even if there
-// are none: the sender asked for something else, or has not heard of this replica's incarnation yet.
+// addItems adds the items that the sender of a pull lacks. It reports whether the response must be sent even without
+// items: because the sender requested only the members or all items, or doesn't know this replica's current
+// incarnation.
 func (r *Replica) addItems(pending *PendingPull, response *message.PullResponse) (ready bool) {
 	request := pending.request
 	switch {
@@ -125,14 +127,14 @@
 	}
 }
 
-// knownToSender reports whether the sender of a pull has heard of this replica's current incarnation.
+// knownToSender reports whether the sender of a pull knows this replica's current incarnation.
 func (r *Replica) knownToSender(request *message.PullRequest) bool {
 	_, known := request.Progress[r.items.Origin]
 	return known
 }
 
-// itemFilter returns which items to send to a role, by their keys; nil for all. Proxies need neither leases nor the
-// configuration.
+// itemFilter returns a filter, by key, of the items to send to a role; nil for all items. Proxies need neither leases
+// nor the configuration.
 func itemFilter(role string) func(key string) bool {
 	if role == message.RoleController {
 		return nil
@@ -142,7 +144,7 @@
 	}
 }
 
-// addMissingItems adds the items beyond the sender's progress, and the progress that they amount to.
+// addMissingItems adds the items beyond the sender's progress, and the progress that the sender reaches with them.
 func (r *Replica) addMissingItems(pending *PendingPull, response *message.PullResponse) {
 	request := pending.request
 	fromController := request.Role == message.RoleController
@@ -151,7 +153,7 @@
 		base = nil
 	}
 	maxSequence, reached := pending.sequence, pending.progress
-	// a proxy pulls from one member only, so that nothing else is on its way to it
+	// A proxy pulls from only one member, so it receives no items from others.
 	if pending.complete || !fromController {
 		maxSequence, reached = r.items.LocalSequence(), r.items.Vector()
 	}
@@ -168,7 +170,7 @@
 	limitResponse(response, request, cmp.Or(r.config.MaxResponseBytes, defaultMaxResponseBytes))
 }
 
-// droppedOrigins returns the origins of a vector that another no longer contains.
+// droppedOrigins returns the origins of a vector that the current vector no longer contains.
 func droppedOrigins(vector, current replication.Vector) (dropped []string) {
 	for origin := range vector {
 		if _, kept := current[origin]; !kept {
@@ -178,7 +180,7 @@
 	return dropped
 }
 
-// progressBeyond returns the entries of a vector that are greater than those of a base.
+// progressBeyond returns the entries of a vector that are greater than those of the base vector.
 func progressBeyond(vector, base replication.Vector) replication.Vector {
 	beyond := replication.Vector{}
 	for origin, sequence := range vector {
@@ -189,8 +191,8 @@
 	return beyond
 }
 
-// shouldListMembers reports whether a response is to list the members: where they were asked for, or for a proxy together
-// with new items or when it hears of this incarnation for the first time.
+// shouldListMembers reports whether a response should list the members: if the sender requested them, or if the sender
+// is a proxy and the response contains items or is the first one from this incarnation.
 func (r *Replica) shouldListMembers(request *message.PullRequest, response *message.PullResponse) bool {
 	if request.MembersOnly {
 		return true
@@ -198,8 +200,8 @@
 	return request.Role == message.RoleProxy && (len(response.Items) > 0 || !r.knownToSender(request))
 }
 
-// pullTargets returns the members that may be pulled from. This replica is one of them only while it is a member
-// itself, or knows no other.
+// pullTargets returns the members from which others may pull. It includes this replica only if this replica is a member
+// or knows no other.
 func (r *Replica) pullTargets() []message.Member {
 	targets := r.OtherMembers()
 	if r.local.isMember() || len(targets) == 0 {
--- a/internal/control/replica/pull_request.go
+++ b/internal/control/replica/pull_request.go
@@ -7,9 +7,9 @@
 	"sagelever/internal/control/message"
 )
 
-// NewPullRequest returns the pull to send to a controller: to a member, or to one of which only the address is known,
-// which is asked who the members are. Unless the member was heard recently the pull doesn't wait for new items, as the
-// response itself shows that it is reachable.
+// NewPullRequest returns the pull to send to a controller: to a member, or to a controller of which only the address is
+// known, to request the members. The pull waits for new items only if the member has responded recently; otherwise an
+// immediate response is needed to show that the member is reachable.
 func (r *Replica) NewPullRequest(now time.Time, to message.Member) *message.PullRequest {
 	local := &r.local
 	request := &message.PullRequest{
@@ -31,8 +31,8 @@
 	return request
 }
 
-// readyForMembership reports whether this replica may become a member: as an initial peer of the first configuration,
-// or as a candidate that has caught up. A disk whose identity could still be lost is no member's.
+// readyForMembership reports whether this replica may become a member: as an initial peer in the first configuration,
+// or as a candidate that has caught up. Its identity must be on disk.
 func (r *Replica) readyForMembership() bool {
 	if !r.local.identitySaved {
 		return false
@@ -43,7 +43,7 @@
 	return r.local.caughtUp
 }
 
-// addProgress completes a pull of a member with what this replica holds and how long the response may wait.
+// addProgress adds to a pull from a member the progress of this replica and the time that the response may wait.
 func (r *Replica) addProgress(now time.Time, to message.Member, request *message.PullRequest) {
 	switch pull := r.continuedPull(now, to.Node); {
 	case pull != nil:
@@ -69,14 +69,15 @@
 	}
 }
 
-// progressCurrent reports whether the version vector can be trusted: the items are as complete as it says, and some
-// member has responded within incrementalPullWindow, so that whatever was dropped since is known here.
+// progressCurrent reports whether the version vector is valid for incremental pulls: the store holds all items that the
+// vector covers, and a member has responded within incrementalPullWindow, so that this replica has missed no item that
+// was dropped elsewhere.
 func (r *Replica) progressCurrent(now time.Time) bool {
 	return r.progressValid && now.Sub(r.lastPullAt) < incrementalPullWindow
 }
 
-// DeferPull reports whether to put off pulling a member: shortly after the start only the nearest one is pulled, so
-// that what this replica lacks is sent once and not by everybody.
+// DeferPull reports whether a pull from a member should be deferred: shortly after its start a replica pulls only from
+// the nearest member, so that the missing items are sent only once.
 func (r *Replica) DeferPull(now time.Time, to message.Member) bool {
 	if r.peerResponded || now.Sub(r.startedAt) > nearestPullPeriod {
 		return false
@@ -89,7 +90,8 @@
 	return false
 }
 
-// isNearer orders members by distance: those of this replica's region first, then by name.
+// isNearer reports whether member a is nearer than member b: members in this replica's region precede others, and ties
+// are broken by name.
 func (r *Replica) isNearer(a, b message.Member) bool {
 	region := r.config.RegionByZone[r.config.Self.Zone]
 	aInRegion := r.config.RegionByZone[a.Zone] == region
--- a/internal/control/replica/pull_response.go
+++ b/internal/control/replica/pull_response.go
@@ -11,13 +11,13 @@
 	"sagelever/internal/control/replication"
 )
 
-// HandlePullResponse takes a controller's response to a pull. from is the zero Member where only the members were
-// asked for.
+// HandlePullResponse handles a controller's response to a pull. from is the zero Member if the pull requested only the
+// members.
 func (r *Replica) HandlePullResponse(
 	now time.Time, from message.Member, request *message.PullRequest, response *message.PullResponse,
 ) {
-	// A response to a request from before a reset builds on items that were given up since. It proves no progress, and
-	// its items are published anew as this replica's own.
+	// A response to a request from before a reset builds on items that were dropped since. It doesn't advance the
+	// progress, and its items are published again with this replica as their origin.
 	coversProgress := response.Complete || request.ResetCount == r.resetCount
 	changed, received := r.mergeItems(now, response, coversProgress)
 	if response.Configuration != nil {
@@ -35,8 +35,8 @@
 	r.reportQuorumChange(now)
 }
 
-// mergeItems merges the items of a response. It returns the register entries that have changed, to be saved, and the
-// keys of all items.
+// mergeItems merges the items of a response. It returns the changed register entries, which the caller must save, and
+// the keys of all items.
 func (r *Replica) mergeItems(
 	now time.Time, response *message.PullResponse, coversProgress bool,
 ) (changed []quorum.Entry, received map[string]bool) {
@@ -52,9 +52,9 @@
 	return changed, received
 }
 
-// recordPeerResponse notes that a member has responded. One that was not heard before counts as heard only once it has sent
-// all that this replica lacks: until then this replica is not up to date with it. The disk is compared because a candidate may have taken over a
-// member's address; protocol version 1 doesn't tell it.
+// recordPeerResponse records that a member has responded. A member that was unreachable counts as reachable only once
+// it has sent everything that this replica lacks. Responses from another disk are ignored, because a candidate may have
+// taken over the member's address; responses of protocol version 1 don't contain the disk.
 func (r *Replica) recordPeerResponse(now time.Time, from message.Member, response *message.PullResponse) {
 	peer := r.peers[from.Node]
 	if peer == nil {
@@ -70,8 +70,8 @@
 	r.peerResponded = true
 }
 
-// mergeItem merges an item of a response; without an origin it is published as this replica's own. It returns the
-// register entries that have changed.
+// mergeItem merges an item of a response. If origin is empty, the item is published with this replica as its origin. It
+// returns the changed register entries.
 func (r *Replica) mergeItem(
 	now time.Time, item replication.Item, origin string, sequence uint64,
 ) (changed []quorum.Entry) {
@@ -90,13 +90,13 @@
 	return nil
 }
 
-// mergeRegister learns the chosen register that an item contains.
+// mergeRegister merges the chosen register that an item contains. It returns the changed register entries.
 func (r *Replica) mergeRegister(now time.Time, item replication.Item, origin string, sequence uint64) []quorum.Entry {
 	entry := quorum.Entry{}
 	if easyjson.Unmarshal([]byte(item.Body), &entry) != nil || !entry.Chosen {
 		return nil
 	}
-	// The item is stored under its own origin before the entry is learned, so that learning doesn't publish it anew.
+	// The item is stored with its origin before the entry is learned, so that learnEntries doesn't publish it again.
 	if origin != "" {
 		r.mergeRemote(item, origin, sequence)
 	}
@@ -121,7 +121,7 @@
 	return true
 }
 
-// notifyDelay returns how long an item may wait to be sent together with others.
+// notifyDelay returns how long an item may be delayed to be sent together with others.
 func notifyDelay(item replication.Item) time.Duration {
 	switch {
 	case strings.HasPrefix(item.Key, replication.RegisterKeyPrefix):
@@ -140,8 +140,9 @@
 	return defaultNotifyDelay
 }
 
-// trackItem has this replica watch over a lease or backend that came from elsewhere or from its disk, and that it
-// granted or owned in an earlier incarnation.
+// trackItem updates the liveness tracking for a lease or backend that was received or restored from disk. It tracks
+// leases and backends that this replica granted or owned in an earlier incarnation, stops tracking backends with
+// another owner, and schedules the removal of backends that are gone.
 func (r *Replica) trackItem(now time.Time, item replication.Item) {
 	if strings.HasPrefix(item.Key, replication.LeaseKeyPrefix) {
 		lease, ok := replication.ReadLease(item)
--- a/internal/control/replica/range_sync.go
+++ b/internal/control/replica/range_sync.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// entryOverheadBytes bounds the encoded size of a register beside its texts: field names, numbers and the like.
+	// entryOverheadBytes is an upper bound on the encoded size of a register without its strings: field names, numbers
+	// and the like.
 	entryOverheadBytes = 256
 
-	// maxEscapeFactor bounds how much longer a text gets when it is encoded.
+	// maxEscapeFactor is an upper bound on the factor by which encoding lengthens a string.
 	maxEscapeFactor = 6
 )
 
-// entrySize bounds the encoded size of a register.
+// entrySize returns an upper bound on the encoded size of a register.
 func (r *Replica) entrySize(key string) int {
 	entry := r.acceptor.Get(key)
 	value := entry.Value
@@ -24,8 +25,8 @@
 	return entryOverheadBytes + maxEscapeFactor*texts
 }
 
-// serveRanges adds to a response what the sender's ranges lack, as far as one message goes. Entries only ever change
-// to newer ones, so that a comparison misses nothing that was held when it began.
+// serveRanges adds to a response the registers that the sender's ranges lack, up to the size limit of a message.
+// Entries are only replaced by newer ones, so a comparison misses no value that this replica held when it began.
 func (r *Replica) serveRanges(request *message.PeerRequest, response *message.PeerResponse) {
 	if request.Ranges == nil {
 		response.OK = false
@@ -37,7 +38,7 @@
 		EntrySize: r.entrySize,
 	}
 	ranges, err := comparison.Respond(request.Ranges)
-	if err != nil { // a malformed request, which no correct replica sends
+	if err != nil { // the request is malformed, which indicates a faulty sender
 		response.OK = false
 		return
 	}
@@ -47,8 +48,8 @@
 	}
 }
 
-// startSessions begins to compare a range of registers with some other replicas. It returns the first request, which
-// is the same for all; nil where there are none.
+// startSessions starts to compare a range of registers with other replicas. It returns the first request, which is the
+// same for all of them; nil if there are no other replicas.
 func (r *Replica) startSessions(
 	op *operation, others []message.Member, compared rangesync.Range,
 ) (first *rangesync.Request) {
@@ -62,8 +63,8 @@
 	return first
 }
 
-// handleRanges takes a response to a comparison, learns the entries that it contains, and sends the next requests.
-// done is called once this replica holds, and has saved, everything that the other held when the comparison began.
+// handleRanges handles a response to a comparison: it merges the entries of the response and sends the next requests.
+// It calls done once this replica has saved all registers that the other replica held when the comparison began.
 func (r *Replica) handleRanges(
 	now time.Time, op *operation, from message.Member, path string,
 	response *message.PeerResponse, done func(now time.Time),
@@ -74,7 +75,7 @@
 	}
 	r.learnForOperation(now, op, response.Entries, func(now time.Time) {
 		if session.HandleResponse(response.Ranges) != nil {
-			return // malformed: the other's part is never complete
+			return // the response is malformed; the comparison never completes
 		}
 		for next := session.NextRequest(); next != nil; next = session.NextRequest() {
 			r.requestMore(op, from, path, r.newRangesRequest(path, next))
@@ -86,7 +87,7 @@
 	})
 }
 
-// newRangesRequest returns the message for a request of a comparison.
+// newRangesRequest returns the message that contains a request of a comparison.
 func (r *Replica) newRangesRequest(path string, ranges *rangesync.Request) *message.PeerRequest {
 	request := &message.PeerRequest{Epoch: r.local.configuration.Epoch, Ranges: ranges}
 	if path == message.StatePath {
--- a/internal/control/replica/releases.go
+++ b/internal/control/replica/releases.go
@@ -11,7 +11,7 @@
 	"sagelever/internal/control/replication"
 )
 
-// MergeTallies takes what a proxy has observed of releases, and decides the releases on which there are enough votes.
+// MergeTallies publishes the release tallies of a proxy, and ends the releases that have enough votes.
 func (r *Replica) MergeTallies(now time.Time, items []replication.Item) {
 	for _, item := range items {
 		if strings.HasPrefix(item.Key, replication.ReleaseTallyKeyPrefix) {
@@ -21,13 +21,13 @@
 	r.decideReleases(now)
 }
 
-// tallyService returns the service that the key of a tally names.
+// tallyService returns the service in the item key of a tally.
 func tallyService(key string) string {
 	service, _, _ := strings.Cut(strings.TrimPrefix(key, replication.ReleaseTallyKeyPrefix), "/")
 	return service
 }
 
-// decideReleases ends the releases in service that the votes of the proxies decide.
+// decideReleases ends the releases in service that have enough votes of the proxies.
 func (r *Replica) decideReleases(now time.Time) {
 	tallies := map[string][]*replication.ReleaseTally{}
 	r.items.ForEach(replication.ReleaseTallyKeyPrefix, func(item replication.Item) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// endRelease writes the end of a release. If the write fails, the votes are still there and are counted again.
+// endRelease writes the end of a release. If the write fails, the votes remain and are counted again later.
 func (r *Replica) endRelease(now time.Time, service string, number uint64, phase release.Phase) {
 	r.decidingReleases[service] = true
 	r.logEvent("release decided by votes", LogField{"service", service}, LogField{"phase", string(phase)})
--- a/internal/control/replica/replicated.go
+++ b/internal/control/replica/replicated.go
@@ -8,14 +8,14 @@
 	"sagelever/internal/control/replication"
 )
 
-// peerProgress is how far another member has come by the last pull that it sent here.
+// peerProgress is the progress of another member as of its last pull from this replica.
 type peerProgress struct {
 	vector         replication.Vector
-	legacySequence uint64 // in this replica's local sequence numbers, in protocol version 1
+	legacySequence uint64 // the progress in this replica's local sequence numbers, for protocol version 1
 	recordedAt     time.Time
 }
 
-// recordPullProgress notes how far the member that sent a pull has come.
+// recordPullProgress records the progress of the member that sent a pull.
 func (r *Replica) recordPullProgress(now time.Time, request *message.PullRequest, complete bool) {
 	node := request.From.Node
 	previous, known := r.pullProgress[node]
@@ -34,9 +34,9 @@
 	}
 }
 
-// Replicated reports whether an item that was published here at a given time is held widely enough to be acknowledged:
-// by so many members that each member with a quorum reaches one of them, and, until RemovalReplicationWait has passed,
-// by all that are reachable.
+// Replicated reports whether enough members hold an item, which was published at the given time, for it to be
+// acknowledged: every majority of the members must contain a holder, and until RemovalReplicationWait has passed, all
+// reachable members must hold the item.
 func (r *Replica) Replicated(now time.Time, key string, publishedAt time.Time) bool {
 	origin, sequence := r.items.OriginOf(key)
 	if origin == "" {
@@ -60,8 +60,8 @@
 	return onAllReachable || now.Sub(publishedAt) >= RemovalReplicationWait
 }
 
-// holds reports whether a member holds an item, by its sequence number at its origin or, in protocol version 1, by its
-// local sequence number here.
+// holds reports whether a member holds an item, based on the item's sequence number at its origin or, for protocol
+// version 1, its local sequence number at this replica.
 func (p peerProgress) holds(origin string, sequence, localSequence uint64) bool {
 	if p.vector[origin] >= sequence {
 		return true
@@ -69,9 +69,9 @@
 	return p.vector == nil && p.legacySequence >= localSequence
 }
 
-// replicationQuorum returns how many of the members have to hold an item so that every majority of them contains a
-// holder: half of them rounded up. It is two at least, so that the item outlives the member that acknowledges it even
-// in a configuration of two.
+// replicationQuorum returns how many of the members must hold an item so that every majority contains a holder: half of
+// them, rounded up. It is at least two if there are two or more members, so that the item survives the loss of the
+// member that acknowledges it.
 func replicationQuorum(members int) int {
 	const minHolders = 2
 	return max(members-members/2, min(members, minHolders))
--- a/internal/control/replica/request.go
+++ b/internal/control/replica/request.go
@@ -8,7 +8,7 @@
 	"sagelever/internal/control/quorum"
 )
 
-// pendingRequest is a request whose response is still to come.
+// pendingRequest is a request whose response is outstanding.
 type pendingRequest struct {
 	operationID uint64
 	attempt     int
@@ -59,7 +59,7 @@
 	}
 }
 
-// HandleResponse takes the response to the request of an ID; nil means that none came.
+// HandleResponse handles the response to the request with the given ID; a nil response means that the request failed.
 func (r *Replica) HandleResponse(now time.Time, id uint64, response *message.PeerResponse) {
 	pending, known := r.pendingRequests[id]
 	delete(r.pendingRequests, id)
@@ -75,7 +75,8 @@
 	}
 }
 
-// dispatchResponse hands a response of the current attempt to its operation; nil means that none came.
+// dispatchResponse passes a response of the current attempt to its operation; a nil response means that the request
+// failed.
 func (r *Replica) dispatchResponse(
 	now time.Time, op *operation, from message.Member, response *message.PeerResponse,
 ) {
@@ -99,12 +100,13 @@
 	r.retryIfStuck(now, op, number)
 }
 
-// recordResponseTime notes how long a member took to answer a phase of a round, its disk included.
+// recordResponseTime updates the smoothed time that a member takes to respond to a phase of a round, including its disk
+// writes.
 func (r *Replica) recordResponseTime(op *operation, from message.Member, now time.Time) {
 	peer := r.peers[from.Node]
 	took := now.Sub(op.attempt.sentAt)
 	if peer == nil || !op.kind.runsRound() || took < 0 || took > attemptTimeout {
-		return // this replica itself, or the clock was set
+		return // the response is this replica's own, not part of a round, or the clock was set
 	}
 	if peer.responseTime == 0 {
 		peer.responseTime = took
@@ -112,11 +114,14 @@
 	peer.responseTime += (took - peer.responseTime) / responseTimeWeight
 }
 
-// RoundTime returns how long a round takes, by the response times measured last.
-func (r *Replica) RoundTime() time.Duration { return 2 * r.quorumResponseTime() }
+// roundPhases is the number of phases of a Paxos round, each of which waits for a quorum.
+const roundPhases = 2
 
-// quorumResponseTime returns how long it takes until enough members have answered to accept a value: by the response
-// times measured last. It is minRetryDelay as long as nothing is known.
+// RoundTime returns the estimated duration of a round, based on the smoothed response times of the members.
+func (r *Replica) RoundTime() time.Duration { return roundPhases * r.quorumResponseTime() }
+
+// quorumResponseTime returns the estimated time until enough members for a quorum have responded, based on their
+// smoothed response times. It returns minRetryDelay if too few response times are known.
 func (r *Replica) quorumResponseTime() time.Duration {
 	var times []time.Duration
 	for _, peer := range r.peers {
--- a/internal/control/replica/response_limit.go
+++ b/internal/control/replica/response_limit.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// defaultMaxResponseBytes is Config.MaxResponseBytes where that is not set.
+	// defaultMaxResponseBytes is used if Config.MaxResponseBytes is not set.
 	defaultMaxResponseBytes = 192 << 10
 
-	// itemOverheadBytes bounds the encoded size of an item beside its key and body.
+	// itemOverheadBytes is an upper bound on the encoded size of an item without its key and body.
 	itemOverheadBytes = 48
 )
 
-// limitResponse leaves out the items beyond maxBytes; the sender pulls the rest at once. Within each origin
-// the items are sent in the order of their sequence numbers, so that the response's progress can end before the first
-// that is left out. A complete response to a proxy is not limited, because the proxy takes it for all there is.
+// limitResponse truncates the items of a response to maxBytes; the sender pulls the remaining ones immediately. The
+// items of each origin are sent in the order of their sequence numbers, so that the response's progress can end before
+// the first omitted item. A complete response to a proxy is not truncated, because the proxy treats it as the full
+// state.
 func limitResponse(response *message.PullResponse, request *message.PullRequest, maxBytes int) {
 	if response.Complete && request.Role != message.RoleController {
 		return
--- a/internal/control/replica/save.go
+++ b/internal/control/replica/save.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// pendingSave is a save that was handed to the disk.
+// pendingSave is a save that was handed to the disk and has not completed yet.
 type pendingSave struct {
 	entries []string // the keys of its registers
 	done    saveCallback
 }
 
-// saveCallback continues a step once a save is on disk, or has failed.
+// saveCallback is called once a save is on disk, or has failed.
 type saveCallback func(now time.Time, err error)
 
-// save hands a write to the disk and calls done, which may be nil, with the result. With nothing to write, done is
-// called at once. It returns the save's ID, or 0 where there was nothing to write.
+// save hands a write to the disk and calls done, which may be nil, with the result. If there is nothing to write, it
+// calls done immediately. It returns the save's ID, or 0 if there was nothing to write.
 func (r *Replica) save(now time.Time, save Save, done saveCallback) (id uint64) {
 	if len(save.Entries) == 0 && save.MinProposal == nil && save.Identity == nil {
 		if done != nil {
@@ -27,7 +27,7 @@
 	return save.ID
 }
 
-// HandleSaved takes the result of the save of an ID: err is nil once all of it is on disk.
+// HandleSaved handles the result of the save with the given ID: err is nil if all of it is on disk.
 func (r *Replica) HandleSaved(now time.Time, id uint64, err error) {
 	saved, known := r.pendingSaves[id]
 	if !known {
@@ -44,7 +44,7 @@
 	}
 }
 
-// newPendingSave notes the registers of a save as not on disk yet.
+// newPendingSave returns the pending state of a save, and marks its registers as not on disk yet.
 func (r *Replica) newPendingSave(save Save, done saveCallback) pendingSave {
 	pending := pendingSave{done: done}
 	for _, entry := range save.Entries {
@@ -54,8 +54,7 @@
 	return pending
 }
 
-// markSaved notes that a save of some registers is on disk. Those that were changed and handed to the disk again since
-// are not.
+// markSaved marks the registers of a save as on disk, except those that were handed to the disk again by a later save.
 func (r *Replica) markSaved(id uint64, keys []string) {
 	for _, key := range keys {
 		if r.unsavedEntries[key] == id {
@@ -64,7 +63,8 @@
 	}
 }
 
-// retrySave writes everything again after a save has failed: nobody sends again what was learned in the meantime.
+// retrySave saves the complete state of the acceptor and the identity again after a save has failed, because other
+// members don't resend the entries that this replica has already received.
 func (r *Replica) retrySave(now time.Time) {
 	if !r.saveFailed || len(r.pendingSaves) > 0 {
 		return
@@ -75,7 +75,7 @@
 	r.save(now, Save{Entries: r.acceptor.AcceptedEntries(), MinProposal: &floor, Identity: &identity}, nil)
 }
 
-// hasUnsavedBefore reports whether something that was handed to the disk before a save may not be on disk.
+// hasUnsavedBefore reports whether an earlier save than the one with the given ID may not be on disk.
 func (r *Replica) hasUnsavedBefore(id uint64) bool {
 	for pending := range r.pendingSaves {
 		if pending < id {
--- a/internal/control/replica/survey.go
+++ b/internal/control/replica/survey.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// surveySharePeriod is how long after its start a survey is shared by those who ask for one.
+	// surveySharePeriod is how long after the start of a survey further requests join it.
 	surveySharePeriod = 100 * time.Millisecond
 
-	// surveyPeriod is how long proxies that pull are asked to report.
+	// surveyPeriod is how long responses to pulls ask the proxies to report.
 	surveyPeriod = time.Second
 
-	// maxSurveyReports bounds the reports that are kept of one survey.
+	// maxSurveyReports limits the stored reports of a survey.
 	maxSurveyReports = 4096
 )
 
-// surveyState is the last survey of the proxies' requests in flight at draining backends. A survey is taken when an
-// operator asks for one; otherwise the proxies report nothing.
+// surveyState is the last survey of the proxies' requests in flight at draining backends. Proxies report them only
+// during a survey, which an operator requests.
 type surveyState struct {
-	id        uint64 // grows; normally the Unix time of the start in milliseconds
+	id        uint64 // increasing; normally the Unix time of the start in milliseconds
 	startedAt time.Time
 	reports   map[string]message.InFlightReport // by node; nil before the first survey
 }
 
-// isOpen reports whether the survey was started no longer than a period ago.
+// isOpen reports whether the survey was started at most the given period ago.
 func (s *surveyState) isOpen(now time.Time, period time.Duration) bool {
 	return s.reports != nil && now.Sub(s.startedAt) <= period
 }
@@ -47,7 +47,7 @@
 	r.notifyAfter(0)
 }
 
-// activeSurvey returns the ID of the survey that proxies are to answer, or 0 for none.
+// activeSurvey returns the ID of the survey that proxies should answer, or 0 for none.
 func (r *Replica) activeSurvey(now time.Time) uint64 {
 	if !r.survey.isOpen(now, surveyPeriod) {
 		return 0
@@ -58,8 +58,8 @@
 // hasReported reports whether a proxy has answered the survey.
 func (s *surveyState) hasReported(node string) bool { return s.reports[node].SurveyID > 0 }
 
-// RecordInFlightReport takes a proxy's answer. One to an earlier survey is ignored, as it says nothing about the
-// present.
+// RecordInFlightReport records a proxy's answer to the current survey. Answers to earlier surveys are outdated and
+// ignored.
 func (r *Replica) RecordInFlightReport(report *message.InFlightReport) {
 	if r.survey.reports == nil || report.SurveyID != r.survey.id {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// SurveyResult returns what the last survey has brought, and the proxies with a lease from this replica that have not
+// SurveyResult returns the reports of the last survey, and the proxies with a lease from this replica that have not
 // answered it.
 func (r *Replica) SurveyResult() (survey message.InFlightSurvey) {
 	for _, node := range slices.Sorted(maps.Keys(r.survey.reports)) {
