--- a/internal/control/replica/batch.go
+++ b/internal/control/replica/batch.go
@@ -63,7 +63,7 @@
 func (r *Replica) unpark() {
 	for _, op := range r.operations {
 		if op.parked && op.retryAt.IsZero() && !r.isPreceded(op, nil) {
-			op.retryAt = r.lastNow
+			op.retryAt = r.lastStepAt
 		}
 	}
 }
@@ -110,11 +110,11 @@
 		values := maps.Clone(current)
 		changed := map[string]quorum.Value{}
 		for _, op := range batch {
-			seen := make(map[string]quorum.Value, len(op.proposal.keys))
+			inputs := make(map[string]quorum.Value, len(op.proposal.keys))
 			for _, key := range op.proposal.keys {
-				seen[key] = values[key]
+				inputs[key] = values[key]
 			}
-			for key, value := range op.proposal.decide(seen) {
+			for key, value := range op.proposal.decide(inputs) {
 				values[key] = value
 				changed[key] = value
 			}
--- a/internal/control/replica/clock.go
+++ b/internal/control/replica/clock.go
@@ -6,8 +6,8 @@
 // candidates are moved back by the same amount. Otherwise a round that lost a message, or the repair of an undecided
 // value, would wait until the clock has caught up.
 func (r *Replica) observeClock(now time.Time) {
-	setBack := r.lastNow.Sub(now)
-	r.lastNow = now
+	setBack := r.lastStepAt.Sub(now)
+	r.lastStepAt = now
 	if setBack <= 0 {
 		return
 	}
--- a/internal/control/replica/persistence.go
+++ b/internal/control/replica/persistence.go
@@ -33,15 +33,15 @@
 func (r *Replica) restoreItems(now time.Time, persisted PersistedState) {
 	slices.SortFunc(persisted.Items, func(a, b PersistedItem) int { return strings.Compare(a.Item.Key, b.Item.Key) })
 	expired := now.Sub(persisted.ProgressAt) > incrementalPullWindow
-	lost := replication.Vector{}
+	unrestored := replication.Vector{}
 	for _, saved := range persisted.Items {
 		isRegister := strings.HasPrefix(saved.Item.Key, replication.RegisterKeyPrefix)
 		switch {
 		case expired && !isRegister && saved.Origin != "":
 			r.deleteFromDisk(saved.Item.Key)
 		case isRegister && !r.restoreRegisterBody(&saved.Item):
-			if lowest, known := lost[saved.Origin]; !known || saved.Sequence < lowest {
-				lost[saved.Origin] = saved.Sequence
+			if lowest, known := unrestored[saved.Origin]; !known || saved.Sequence < lowest {
+				unrestored[saved.Origin] = saved.Sequence
 			}
 		default:
 			r.restoreItem(now, saved)
@@ -52,7 +52,7 @@
 		r.progressValid = len(persisted.Progress) > 0
 		r.lastPullAt = now
 	}
-	r.items.Retract(lost)
+	r.items.Retract(unrestored)
 }
 
 // restoreRegisterBody restores the body of a register's item, which is saved without it. It returns false if the
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -15,11 +15,11 @@
 // Replica is the state machine of one controller. Each method that takes the current time is a step. TakeOutput returns
 // the output of the steps.
 type Replica struct {
-	config    Config
-	startedAt time.Time
-	lastNow   time.Time // the time of the last step; detects a clock that was set back
-	output    Output
-	lastID    uint64 // the last ID given to a request, save, operation, proposal or range session
+	config     Config
+	startedAt  time.Time
+	lastStepAt time.Time // the time of the last step; detects a clock that was set back
+	output     Output
+	lastID     uint64 // the last ID given to a request, save, operation, proposal or range session
 
 	// Registers.
 	acceptor     *quorum.Acceptor
--- a/internal/control/replica/replicated.go
+++ b/internal/control/replica/replicated.go
@@ -24,11 +24,11 @@
 		legacySequence: request.LegacyVector[r.items.LegacySource],
 		recordedAt:     now,
 	}
-	if away := now.Sub(previous.recordedAt); known && away > PeerTimeout+LeaseTerm {
+	if awayFor := now.Sub(previous.recordedAt); known && awayFor > PeerTimeout+LeaseTerm {
 		missing, _ := r.items.Missing(request.Progress, r.items.LocalSequence(), nil)
 		r.logEvent("member returned",
 			LogField{"member", node},
-			LogField{"awayMs", formatMs(away)},
+			LogField{"awayMs", formatMs(awayFor)},
 			LogField{"items", strconv.Itoa(len(missing))},
 			LogField{"complete", strconv.FormatBool(complete)})
 	}
--- a/internal/control/replica/request.go
+++ b/internal/control/replica/request.go
@@ -104,14 +104,14 @@
 // writes.
 func (r *Replica) recordResponseTime(op *operation, from message.Member, now time.Time) {
 	peer := r.peers[from.Node]
-	took := now.Sub(op.attempt.sentAt)
-	if peer == nil || !op.kind.runsRound() || took < 0 || took > attemptTimeout {
+	elapsed := now.Sub(op.attempt.sentAt)
+	if peer == nil || !op.kind.runsRound() || elapsed < 0 || elapsed > attemptTimeout {
 		return // the response is this replica's own, not part of a round, or the clock was set
 	}
 	if peer.responseTime == 0 {
-		peer.responseTime = took
+		peer.responseTime = elapsed
 	}
-	peer.responseTime += (took - peer.responseTime) / responseTimeWeight
+	peer.responseTime += (elapsed - peer.responseTime) / responseTimeWeight
 }
 
 // roundPhases is the number of phases of a Paxos round, each of which waits for a quorum.
--- a/internal/control/replica/save.go
+++ b/internal/control/replica/save.go
@@ -70,9 +70,9 @@
 		return
 	}
 	r.saveFailed = false // another failure sets it again
-	floor := r.acceptor.MinProposal()
+	minProposal := r.acceptor.MinProposal()
 	identity := r.local.submittedIdentity
-	r.save(now, Save{Entries: r.acceptor.AcceptedEntries(), MinProposal: &floor, Identity: &identity}, nil)
+	r.save(now, Save{Entries: r.acceptor.AcceptedEntries(), MinProposal: &minProposal, Identity: &identity}, nil)
 }
 
 // hasUnsavedBefore reports whether an earlier save than the one with the given ID may not be on disk.
--- a/internal/control/replica/survey.go
+++ b/internal/control/replica/survey.go
@@ -28,15 +28,15 @@
 	reports   map[string]message.InFlightReport // by node; nil before the first survey
 }
 
-// isOpen reports whether the survey was started at most the given period ago.
-func (s *surveyState) isOpen(now time.Time, period time.Duration) bool {
+// startedWithin reports whether the survey was started at most the given period ago.
+func (s *surveyState) startedWithin(now time.Time, period time.Duration) bool {
 	return s.reports != nil && now.Sub(s.startedAt) <= period
 }
 
 // StartInFlightSurvey begins a survey among the proxies that hold a lease from this replica, or joins one that has
 // just begun.
 func (r *Replica) StartInFlightSurvey(now time.Time) {
-	if r.survey.isOpen(now, surveySharePeriod) {
+	if r.survey.startedWithin(now, surveySharePeriod) {
 		return
 	}
 	r.survey = surveyState{
@@ -49,7 +49,7 @@
 
 // activeSurvey returns the ID of the survey that proxies should answer, or 0 for none.
 func (r *Replica) activeSurvey(now time.Time) uint64 {
-	if !r.survey.isOpen(now, surveyPeriod) {
+	if !r.survey.startedWithin(now, surveyPeriod) {
 		return 0
 	}
 	return r.survey.id
--- a/internal/control/replica/takeover.go
+++ b/internal/control/replica/takeover.go
@@ -158,7 +158,7 @@
 	local := &r.local
 	epoch := local.configuration.Epoch
 	r.acceptor.RaiseMinProposal(quorum.ProposalNumber{Epoch: epoch})
-	floor := r.acceptor.MinProposal()
+	minProposal := r.acceptor.MinProposal()
 	next := local.submittedIdentity
 	next.EverActive = true
 	next.ActiveEpoch = epoch
@@ -166,7 +166,7 @@
 	op.attempt.pendingSaves++
 	number := op.attempt.number
 	var saveID uint64
-	saveID = r.save(now, Save{MinProposal: &floor, Identity: &next}, func(now time.Time, err error) {
+	saveID = r.save(now, Save{MinProposal: &minProposal, Identity: &next}, func(now time.Time, err error) {
 		if !r.isCurrent(op, number) {
 			return
 		}
@@ -182,11 +182,11 @@
 // activate makes this replica active in an epoch.
 func (r *Replica) activate(now time.Time, op *operation, epoch uint64) {
 	local := &r.local
-	remained := r.activeInPreviousEpoch()
+	wasActive := r.activeInPreviousEpoch()
 	local.identity.EverActive = true
 	local.identity.ActiveEpoch = epoch
 	r.finish(op, nil, nil)
-	if !remained {
+	if !wasActive {
 		r.resetVerification(now)
 	}
 	r.logEvent("active member of the epoch",
--- a/internal/control/replica/timing.go
+++ b/internal/control/replica/timing.go
@@ -67,7 +67,7 @@
 
 // Timing of operations.
 const (
-	// attemptTimeout bounds one attempt of an operation. Callers give an operation about a second.
+	// attemptTimeout limits one attempt of an operation. Callers allow about one second for an operation.
 	attemptTimeout = 800 * time.Millisecond
 
 	// internalWriteTimeout limits the duration of writes that a replica initiates itself.
