--- a/match/match.go
+++ b/match/match.go
@@ -1,6 +1,6 @@
-// Package match is the interface between a protocol and the operator's rules: what rules may ask of a message, and what
-// they say of it. The rules themselves, with their language, are in package match/rules, which a program without rules
-// does not link.
+// Package match defines the interface between a protocol and the operator's matching rules: the attributes of a message
+// that rules can read, and the result that they return. The rules and their language are in package match/rules, so
+// that a program without rules does not link them.
 package match
 
 import (
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Repeatable is how safe it is to run again what a client has sent. A higher value is safer.
+// Repeatable is how safe it is to execute a message more than once. A higher value is safer.
 type Repeatable int
 
 // Kinds of messages.
 const (
-	Effectful Repeatable = iota // must never run twice
-	Receipted                   // carries an idempotency key, by which a repeat is recognized
-	Pure                        // may run again
+	Effectful Repeatable = iota // must never be executed twice
+	Receipted                   // carries an idempotency key that identifies duplicates
+	Pure                        // may be executed any number of times
 )
 
-// RepeatableBy is how repeatable a workload is by the name of its effect in the settings; an unknown effect is
-// effectful.
+// RepeatableBy returns the Repeatable value for a workload's effect as the settings name it. An unknown effect is
+// Effectful.
 func RepeatableBy(effect string) Repeatable {
 	switch effect {
 	case "pure":
@@ -32,17 +32,18 @@
 
 var repeatableNames = [...]string{"effectful", "receipted", "pure"}
 
+// String returns the name of the effect in the settings.
 func (r Repeatable) String() string { return repeatableNames[r] }
 
-// SentAs is how repeatable a message is by its protocol alone: a GET without a body is pure, what carries an
-// idempotency key (marked) is receipted, all else is effectful. A message is no more repeatable than the workload that
-// its path names, whose effect is "" if it names none.
-func SentAs(method string, body, marked bool, effect string) Repeatable {
+// SentAs returns how repeatable a message is by its protocol alone: a GET without a body is Pure, a message with an
+// idempotency key is Receipted, and any other message is Effectful. The result never exceeds the Repeatable value of
+// the workload that the path names, given by its effect; effect is "" if the path names no workload.
+func SentAs(method string, hasBody, hasIdempotencyKey bool, effect string) Repeatable {
 	sent := Effectful
 	switch {
-	case method == "GET" && !body:
+	case method == "GET" && !hasBody:
 		sent = Pure
-	case marked:
+	case hasIdempotencyKey:
 		sent = Receipted
 	}
 	if effect != "" {
@@ -51,23 +52,23 @@
 	return sent
 }
 
-// Subject is what rules may ask of one message, whichever protocol brought it. It does not change while it is judged.
+// Subject gives rules read access to one message, independent of its protocol. It must not change while it is judged.
 type Subject interface {
-	Text(name string) string // method, path or peer
-	Segments() []string      // of the path, as written
+	Text(name string) string // the method, path or peer
+	Segments() []string      // segments of the path, not decoded
 	Table(name string) Table // header, query or cookie
-	Size() int64             // bytes of the body
-	Hint() time.Duration     // the client's own estimate of the work, 0 if it gave none
-	Sent() Repeatable        // by the protocol alone
+	Size() int64             // size of the body in bytes
+	Hint() time.Duration     // the client's estimate of the processing time, or 0 if it sent none
+	Sent() Repeatable        // how repeatable the message is by its protocol alone, as SentAs returns it
 }
 
-// Table is a part of a message with names, and all values of each.
+// Table holds the named values of one part of a message, such as its headers. A name may have several values.
 type Table struct {
 	Of   map[string][]string
-	Fold bool // names are the same in upper and lower case
+	Fold bool // names are case-insensitive
 }
 
-// Values returns the values of a name, without copying them.
+// Values returns the values of a name. It does not copy them.
 func (t Table) Values(name string) []string {
 	values, ok := t.Of[name]
 	if ok || !t.Fold {
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// All returns the whole table. Where upper and lower case are the same, its names are in lower case and their values
-// joined.
+// All returns all names and values. If names are case-insensitive, it converts them to lower case and merges the values
+// of names that differ in case only.
 func (t Table) All() map[string][]string {
 	if !t.Fold {
 		return t.Of
@@ -95,25 +96,25 @@
 	return folded
 }
 
-// Deployment is what rules have to fit: the workloads, by name, with their effects (pure, receipted, effectful), and
-// the customers.
+// Deployment lists the workloads and customers that rules may refer to.
 type Deployment struct {
-	Effects   map[string]string
+	Effects   map[string]string // the effect (pure, receipted or effectful) of each workload, by the workload's name
 	Customers []string
 }
 
-// Judge judges messages. It may be called by several goroutines at once, and answers within a bounded time.
+// Judge applies rules to messages. It is safe for concurrent use and returns within a bounded time.
 type Judge interface {
 	Judge(Subject) Judgement
 }
 
-// Judgement is what rules say of one message. What no rule has decided is left to the protocol.
+// Judgement is the result of applying rules to one message. A field with the zero value is not decided by a rule and
+// is left to the protocol.
 type Judgement struct {
-	Rule     string // the rule that matched, "" if none did
+	Rule     string // name of the rule that matched, or "" if none did
 	Workload string
 	Key      string
 	Customer string
-	Cost     time.Duration // 0 if not decided
-	Refused  error         // why the message is to be rejected, nil if it is not
-	Trouble  error         // the first error of a rule that was tried, whether or not it mattered
+	Cost     time.Duration
+	Refused  error // the reason to reject the message, or nil to accept it
+	Trouble  error // the first error of any evaluated rule, even if it did not affect the result
 }
--- a/match/rules/compile.go
+++ b/match/rules/compile.go
@@ -17,7 +17,7 @@
 	"sagelever/match"
 )
 
-// outputField is one of the four things that a rule can decide.
+// outputField identifies one of the four outputs that a rule can set.
 type outputField int
 
 const (
@@ -25,35 +25,36 @@
 	outputKey
 	outputCustomer
 	outputCost
-	outputCount // how many there are
+	outputCount // number of outputs
 )
 
 var outputNames = [outputCount]string{"workload", "key", "customer", "cost"}
 
-// errorPolicy is what follows an error of a rule.
+// errorPolicy is how an evaluation error of a rule is handled.
 type errorPolicy int
 
 const (
-	tryNext       errorPolicy = iota // the next rule is tried
-	refuseMessage                    // the message is refused
-	useFallback                      // a literal replaces the one output
+	tryNext       errorPolicy = iota // evaluate the next rule
+	refuseMessage                    // reject the message
+	useFallback                      // use a literal as the value of the rule's only output
 )
 
-// compiledRule is a rule that is ready to run.
+// compiledRule is a rule that is ready to be evaluated.
 type compiledRule struct {
 	Rule
 	when       *expression
-	outputs    [outputCount]*expression // nil for what the rule does not decide
+	outputs    [outputCount]*expression // nil for an output that the rule does not set
 	onError    errorPolicy
-	fallback   ref.Val       // of useFallback
-	bound      time.Duration // of all its expressions
+	fallback   ref.Val       // the output's value on an error if onError is useFallback
+	bound      time.Duration // on the time that all expressions together take
 	errorCount atomic.Int64
 }
 
-// deployment is what a set has to fit.
+// deployment validates rules and their outputs against the workloads and customers of a deployment.
 type deployment match.Deployment
 
-// compileWithin compiles a rule that has to keep within a budget by itself. The error does not name the rule yet.
+// compileWithin compiles a rule and rejects it if its bound exceeds the budget. The caller must set the Rule and Name
+// of the error.
 func (d deployment) compileWithin(written Rule, budget time.Duration) (*compiledRule, *RuleError) {
 	compiled, err := d.compileRule(written)
 	if err != nil {
@@ -63,7 +64,7 @@
 		return compiled, nil
 	}
 	field := "when"
-	for i, output := range compiled.outputs { // name an expensive output
+	for i, output := range compiled.outputs { // report an output that is more expensive than the condition
 		if output != nil && output.maxCost > compiled.when.maxCost {
 			field = outputNames[i]
 		}
@@ -72,12 +73,12 @@
 	return nil, fieldError(field, newExpressionError(reason))
 }
 
-// fieldError is the error of one field of a rule.
+// fieldError returns the error of one field of a rule, without the rule's index and name.
 func fieldError(field string, err *ExpressionError) *RuleError {
 	return &RuleError{Field: field, ExpressionError: *err}
 }
 
-// compileRule compiles and checks one rule. The error does not name the rule yet.
+// compileRule compiles and validates one rule. The caller must set the Rule and Name of the error.
 func (d deployment) compileRule(written Rule) (*compiledRule, *RuleError) {
 	r := &compiledRule{Rule: written}
 	var err *ExpressionError
@@ -85,7 +86,7 @@
 		return nil, fieldError("when", err)
 	}
 	r.bound = r.when.timeBound()
-	decided := 0
+	numOutputs := 0
 	for i, text := range []string{written.Workload, written.Key, written.Customer, written.Cost} {
 		if text == "" {
 			continue
@@ -98,37 +99,37 @@
 			return nil, fieldError(outputNames[i], err)
 		}
 		r.bound += r.outputs[i].timeBound()
-		decided++
+		numOutputs++
 	}
-	if decided == 0 {
+	if numOutputs == 0 {
 		return nil, fieldError("when", newExpressionError(
 			"the rule decides nothing: workload, key, customer or cost is wanted"))
 	}
 	if err := d.checkConstants(r); err != nil {
 		return nil, err
 	}
-	if err := d.compileOtherwise(r, decided); err != nil {
+	if err := d.compileOtherwise(r, numOutputs); err != nil {
 		return nil, fieldError("otherwise", err)
 	}
 	return r, nil
 }
 
-// compileOtherwise reads what follows an error of a rule that decides some outputs.
-func (d deployment) compileOtherwise(r *compiledRule, decided int) *ExpressionError {
+// compileOtherwise sets the error policy of a rule with the given number of outputs.
+func (d deployment) compileOtherwise(r *compiledRule, numOutputs int) *ExpressionError {
 	switch text := strings.TrimSpace(r.Otherwise); {
 	case text == "" || text == "next":
 		return nil
 	case text == "refuse":
 		r.onError = refuseMessage
 		return nil
-	case decided != 1:
+	case numOutputs != 1:
 		return newExpressionError("a value can stand in only where the rule decides one matter; else next or refuse")
 	default:
 		return d.compileFallback(r, text)
 	}
 }
 
-// compileFallback reads the value that replaces a rule's one output.
+// compileFallback compiles the literal that replaces the rule's only output on an error.
 func (d deployment) compileFallback(r *compiledRule, text string) *ExpressionError {
 	for i, output := range r.outputs {
 		if output == nil {
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// checkConstants refuses what the rule alone shows to be wrong: a value that never fits, and a workload that is more
-// repeatable than everything that the condition lets through.
+// checkConstants rejects a rule with a constant output that is invalid, or with a constant workload that is more
+// repeatable than every message that the condition can match.
 func (d deployment) checkConstants(r *compiledRule) *RuleError {
 	var constants match.Judgement
 	for i, output := range r.outputs {
@@ -169,17 +170,17 @@
 	if workload == "" {
 		return nil
 	}
-	becomes := match.RepeatableBy(d.Effects[workload])
+	required := match.RepeatableBy(d.Effects[workload])
 	for _, test := range indexTests(r.when.ast.NativeRep().Expr()) {
-		if sent := d.mostRepeatable(test); becomes > sent {
+		if sent := d.mostRepeatable(test); required > sent {
 			return fieldError("workload", newExpressionError(fmt.Sprintf(
-				"what the condition lets through is %s as it is sent; %s is %s", sent, workload, becomes)))
+				"what the condition lets through is %s as it is sent; %s is %s", sent, workload, required)))
 		}
 	}
 	return nil
 }
 
-// mostRepeatable is the most repeatable message that can pass a test.
+// mostRepeatable returns the highest Repeatable value of the messages that can pass a test.
 func (d deployment) mostRepeatable(test indexTest) match.Repeatable {
 	most := match.Effectful
 	for _, text := range test.equals {
@@ -195,7 +196,7 @@
 	return most
 }
 
-// repeatableIfEqual is the most repeatable message that has a text as an attribute.
+// repeatableIfEqual returns the highest Repeatable value of the messages whose attribute equals a text.
 func (d deployment) repeatableIfEqual(a attribute, text string) match.Repeatable {
 	switch {
 	case a.source == "method" && text != "GET" && text != "HEAD":
@@ -208,28 +209,31 @@
 	return match.Pure
 }
 
-// repeatableByPath is how repeatable the protocol makes messages to a path or, if it is not the whole path, to paths
-// that begin with it.
-func (d deployment) repeatableByPath(path string, whole bool) match.Repeatable {
-	workload, _, more := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	if effect := d.Effects[workload]; effect != "" && (more || whole) {
+// repeatableByPath returns the highest Repeatable value of messages to a path, or to all paths with that prefix if
+// complete is false.
+func (d deployment) repeatableByPath(path string, complete bool) match.Repeatable {
+	workload, _, segmentEnds := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	if effect := d.Effects[workload]; effect != "" && (segmentEnds || complete) {
 		return match.RepeatableBy(effect)
 	}
 	return match.Pure
 }
 
-// Errors of values that cannot be a key.
+// maxAssignedCost is the highest cost that a rule may give a message.
+const maxAssignedCost = time.Hour
+
+// Errors of invalid keys.
 var (
 	errEmpty        = errors.New("it is empty")
 	errTooLong      = fmt.Errorf("it is longer than %d bytes", MaxKeyLength)
 	errNotPlainText = errors.New("it is no plain text")
 )
 
-// assign puts the value of an output into a judgement, or says why it does not fit.
+// assign sets a field of a judgement to the value of an output. It returns an error if the value is invalid.
 func (d deployment) assign(output outputField, value ref.Val, j *match.Judgement) error {
 	if output == outputCost {
 		j.Cost = value.(types.Duration).Duration
-		if j.Cost <= 0 || j.Cost > time.Hour {
+		if j.Cost <= 0 || j.Cost > maxAssignedCost {
 			return fmt.Errorf("a cost of %s, where more than 0 and at most 1h is wanted", j.Cost)
 		}
 		return nil
--- a/match/rules/cost.go
+++ b/match/rules/cost.go
@@ -12,37 +12,36 @@
 	"cel.dev/cel-go/common/types/ref"
 )
 
-// The bound on an expression's time is units x unitTime + rounds x roundTime + evalTime. Units are CEL's own count of
-// cost, which charges a tenth for a letter and one for a step; rounds are those of loops, whose steps take longer than
-// CEL assumes. The constants are fixed, so that a set of rules is accepted on every machine or on none. They rest on
-// BenchmarkUnits, on one shared core of 2 to 3 GHz (docs/matching.md has the figures): no kind of operation took more
-// than 0.95 of its bound.
+// The time bound of an expression is units x unitTime + iterations x iterationTime + evalTime. Units are CEL's cost
+// units: 0.1 per character and 1 per step. Loop iterations are charged separately, because they take longer than CEL's
+// cost model assumes. The constants do not depend on the machine, so that a set of rules is accepted on all machines or
+// on none. They cover the times that BenchmarkUnits shows on one shared core of 2 to 3 GHz (figures in
+// docs/matching.md), where no kind of operation took more than 0.95 of its bound.
 const (
-	unitTime = 100 * time.Nanosecond // steps and letters took 3 to 60 ns a unit
-	// one evaluation by itself took 0.3 to 0.8 us: variables, look-ups and result
-	evalTime         = time.Microsecond
-	roundTime        = 2 * time.Microsecond // one round, counted against the limit as it runs, took 0.7 to 1.8 us
-	patternStepUnits = 0.16                 // of a pattern: an instruction at a letter took 1.5 to 10 ns
-	// finding the rules of one attribute: a hash, and a search among 10,000 texts
-	lookupTime = 1500 * time.Nanosecond
+	unitTime      = 100 * time.Nanosecond // steps and characters take 3 to 60 ns per unit
+	evalTime      = time.Microsecond      // variables, look-ups and the result of one evaluation take 0.3 to 0.8 us
+	iterationTime = 2 * time.Microsecond  // one iteration, including cost tracking, takes 0.7 to 1.8 us
+	// patternStepUnits is the cost of one instruction of a pattern at one character, which takes 1.5 to 10 ns.
+	patternStepUnits = 0.16
+	lookupTime       = 1500 * time.Nanosecond // index look-up of one attribute: a hash and a search among 10,000 texts
 )
 
-// unbounded is a cost without a limit.
+// unbounded is the cost of an operation without a known limit.
 const unbounded = math.MaxUint64
 
-// timeBound is the longest that one evaluation can take.
-func (f *expression) timeBound() time.Duration {
-	const maximum = uint64(time.Hour) // far past any budget, and no sum of some thousands overflows
-	units := cost.SafeMultiply(f.maxCost, uint64(unitTime))
-	rounds := cost.SafeMultiply(f.maxRounds, uint64(roundTime))
-	total := cost.SafeAdd(units, rounds, uint64(evalTime))
+// timeBound returns the maximum time of one evaluation by the cost model.
+func (x *expression) timeBound() time.Duration {
+	const maximum = uint64(time.Hour) // far above any budget; sums over thousands of expressions do not overflow
+	units := cost.SafeMultiply(x.maxCost, uint64(unitTime))
+	iterations := cost.SafeMultiply(x.maxIterations, uint64(iterationTime))
+	total := cost.SafeAdd(units, iterations, uint64(evalTime))
 	return time.Duration(min(total, maximum))
 }
 
-// costEstimator tells CEL's checker how large the variables can be, and what a pattern costs.
+// costEstimator provides CEL's cost estimation with the maximum sizes of variables and the cost of patterns.
 type costEstimator struct{}
 
-// EstimateSize bounds the size of a variable, or of a part of one.
+// EstimateSize returns the bounds on the size of a variable or of one of its parts.
 func (costEstimator) EstimateSize(n cost.AstNode) *cost.SizeEstimate {
 	path := n.Path()
 	if len(path) == 0 {
@@ -65,7 +64,7 @@
 func isSingleTable(name string) bool { return tableIndex(name, "") >= 0 }
 func isMultiTable(name string) bool  { return tableIndex("", name) >= 0 }
 
-// tableIndex finds a table by one of its two variables.
+// tableIndex returns the index of the table with one of two variable names, or -1 if there is none.
 func tableIndex(single, multi string) int {
 	for i, t := range tables {
 		if t.single == single || t.multi == multi {
@@ -75,8 +74,9 @@
 	return -1
 }
 
-// EstimateCallCost charges a pattern by its program: every instruction may be tried at every letter, as Go's matcher
-// never goes back. CEL's own estimate goes by the pattern's length, which says nothing of "{1,1000}".
+// EstimateCallCost estimates a pattern match by the instructions of the compiled pattern. Go's matcher does not
+// backtrack, so that it runs each instruction at most once per character. CEL's own estimate depends on the length of
+// the pattern's text, which underestimates repetitions such as "{1,1000}".
 func (costEstimator) EstimateCallCost(function, _ string, target *cost.AstNode,
 	args []cost.AstNode) *cost.CallEstimate {
 	if function != "matches" || len(args) == 0 {
@@ -90,17 +90,17 @@
 	if !ok {
 		return &cost.CallEstimate{CostEstimate: cost.UnknownCostEstimate()}
 	}
-	letters := cost.EstimateSize(costEstimator{}, *subject).Max
-	return &cost.CallEstimate{CostEstimate: cost.Estimate{Min: 0, Max: patternCostOf(text).cost(letters)}}
+	length := cost.EstimateSize(costEstimator{}, *subject).Max
+	return &cost.CallEstimate{CostEstimate: cost.Estimate{Min: 0, Max: patternCostOf(text).cost(length)}}
 }
 
-// patternCost is what the cost of a pattern depends on.
+// patternCost holds the properties of a pattern that determine its cost.
 type patternCost struct {
-	instructions uint64 // of its program
-	maxLength    uint64 // bytes that it looks at: one that is anchored at the beginning stops at its longest match
+	instructions uint64 // in the compiled pattern
+	maxLength    uint64 // bytes that a match can read; limited only if the pattern is anchored at the beginning
 }
 
-// patternCostOf compiles a pattern. One that cannot be compiled has no limit.
+// patternCostOf compiles a pattern and returns its cost. The cost of an invalid pattern is unbounded.
 func patternCostOf(pattern string) patternCost {
 	tree, err := syntax.Parse(pattern, syntax.Perl)
 	if err != nil {
@@ -118,24 +118,24 @@
 	return result
 }
 
-// cost is the cost, in units, of matching a text of a length.
-func (s patternCost) cost(length uint64) uint64 {
-	scanned := cost.SafeAdd(min(length, s.maxLength), 1)
-	return cost.SafeAdd(1, cost.SafeMultiplyByFactor(cost.SafeMultiply(scanned, s.instructions), patternStepUnits))
+// cost returns the cost of matching a text of the given length, in CEL's units.
+func (p patternCost) cost(length uint64) uint64 {
+	scanned := cost.SafeAdd(min(length, p.maxLength), 1)
+	return cost.SafeAdd(1, cost.SafeMultiplyByFactor(cost.SafeMultiply(scanned, p.instructions), patternStepUnits))
 }
 
-// patternCosts counts what patterns cost while a loop runs, by the same rule as the estimate. CEL counts everything
-// else.
+// patternCosts holds the costs of an expression's patterns by their texts. It tracks their actual cost at run time in
+// the way of EstimateCallCost; CEL tracks all other operations.
 type patternCosts map[string]patternCost
 
-// CallCost is the cost of a call of matches, nil for other calls.
-func (s patternCosts) CallCost(function, _ string, args []ref.Val, _ ref.Val) *uint64 {
+// CallCost returns the cost of a call of matches, and nil for all other calls.
+func (p patternCosts) CallCost(function, _ string, args []ref.Val, _ ref.Val) *uint64 {
 	if function != "matches" || len(args) != 2 {
 		return nil
 	}
 	text, _ := args[0].(types.String)
 	pattern, _ := args[1].(types.String)
-	known, ok := s[string(pattern)]
+	known, ok := p[string(pattern)]
 	if !ok {
 		return nil
 	}
@@ -143,7 +143,7 @@
 	return &units
 }
 
-// maxMatchLength is how many bytes a match can have.
+// maxMatchLength returns the maximum length of a match in bytes.
 func maxMatchLength(r *syntax.Regexp) uint64 {
 	const maxRuneSize = 4 // bytes of the longest rune
 	var length uint64
@@ -171,12 +171,12 @@
 	return length
 }
 
-// maxRounds is the most rounds that the loops of an expression can make. Those of an inner loop count for each round of
-// the outer one.
-func maxRounds(e celast.Expr) (n uint64) {
+// maxIterations returns the maximum number of iterations of all loops in an expression. The iterations of an inner loop
+// count once per iteration of the outer loop.
+func maxIterations(e celast.Expr) (n uint64) {
 	add := func(list ...celast.Expr) {
 		for _, x := range list {
-			n = cost.SafeAdd(n, maxRounds(x))
+			n = cost.SafeAdd(n, maxIterations(x))
 		}
 	}
 	switch e.Kind() {
@@ -202,7 +202,7 @@
 	return n
 }
 
-// maxElements is the most elements that a loop over an expression can find.
+// maxElements returns the maximum number of elements that a loop over an expression visits.
 func maxElements(e celast.Expr) uint64 {
 	switch e.Kind() {
 	case celast.IdentKind:
@@ -212,14 +212,14 @@
 		case isSingleTable(name) || isMultiTable(name):
 			return MaxNames
 		}
-		return MaxNames // a loop's own variable: no variable has a longer list
+		return MaxNames // a loop variable; no variable holds a longer list
 	case celast.ListKind:
 		return uint64(e.AsList().Size())
 	case celast.MapKind:
 		return uint64(e.AsMap().Size())
 	case celast.SelectKind: // headers.name
 		return MaxValues
-	case celast.ComprehensionKind: // map and filter give no more than they go over
+	case celast.ComprehensionKind: // map and filter return at most as many elements as they iterate over
 		return maxElements(e.AsComprehension().IterRange())
 	case celast.CallKind:
 		call := e.AsCall()
--- a/match/rules/helpers_test.go
+++ b/match/rules/helpers_test.go
@@ -9,7 +9,7 @@
 	"sagelever/match"
 )
 
-// testMessage is a subject made by hand.
+// testMessage is a match.Subject with explicit attributes.
 type testMessage struct {
 	texts    map[string]string
 	segments []string
@@ -28,7 +28,7 @@
 func (m *testMessage) Hint() time.Duration    { return m.hint }
 func (m *testMessage) Sent() match.Repeatable { return m.sent }
 
-// getRequest is a GET of a path with headers, given as names and values in turn.
+// getRequest returns a GET request for a path, with headers given as alternating names and values.
 func getRequest(path string, headers ...string) *testMessage {
 	m := &testMessage{texts: map[string]string{"method": "GET", "path": path, "peer": "10.0.0.1"}, sent: match.Pure,
 		segments: strings.Split(strings.TrimPrefix(path, "/"), "/"), tables: map[string]map[string][]string{"header": {}}}
@@ -38,12 +38,14 @@
 	return m
 }
 
+// shop is the deployment of all tests.
 var shop = match.Deployment{Effects: map[string]string{"look": "pure", "keep": "receipted", "once": "effectful"},
 	Customers: []string{"ann", "bob"}}
 
-// lenient has no budget to speak of, for what is not about budgets.
+// lenient is a budget that no rule exceeds, for tests that are not about budgets.
 const lenient = time.Minute
 
+// compileSet compiles rules for the deployment shop, and names them r0, r1 and so on.
 func compileSet(t testing.TB, budget time.Duration, rules ...Rule) *Set {
 	t.Helper()
 	for i := range rules {
--- a/match/rules/index.go
+++ b/match/rules/index.go
@@ -9,40 +9,43 @@
 	"time"
 )
 
-// The index saves running rules that cannot match. For each rule it has one literal test on one attribute, without
-// which the rule's condition is neither true nor an error. A rule whose test fails would have given false, and is not
-// run. CEL's logic makes that sound: false && error is false, in either order.
+// The index excludes rules that cannot match. For each rule it holds one test of an attribute against literals. If the
+// test fails, the rule's condition is false, so that the rule need not be evaluated. This is sound because CEL
+// evaluates false && error to false in either order.
 
-// index finds the rules that have to be run for a subject.
+// bitsPerWord is the number of rules in one word of a bit set.
+const bitsPerWord = 64
+
+// index finds the rules that must be evaluated for a subject.
 type index struct {
 	ruleCount int
-	always    []uint64 // a bit for each rule without a test
+	always    []uint64 // bit set of the rules without a test
 	columns   []*column
 }
 
-// column has the rules that are found by one attribute.
+// column holds the rules that are found by one attribute.
 type column struct {
 	attribute attribute
-	rules     []int // all of them; they have to be run where the attribute is missing, which is an error
+	rules     []int // all rules of the column; a missing attribute is an error, so that all are evaluated
 	byValue   map[string][]int
-	prefixes  []prefix // in order of their texts
+	prefixes  []prefix // sorted by text
 }
 
-// prefix is a text that an attribute may begin with.
+// prefix is a text that an attribute may start with.
 type prefix struct {
 	text    string
-	shorter int // the longest other prefix that this text begins with, -1 if there is none
+	shorter int // index of the longest other prefix that this text starts with, or -1
 	rules   []int
 }
 
-// literal is one text of a test.
+// literal is one of the texts of an indexTest.
 type literal struct {
 	attribute attribute
 	text      string
 	isPrefix  bool
 }
 
-// literals calls do for each text of a test.
+// literals calls do for each text of the test.
 func (t indexTest) literals(do func(literal)) {
 	for _, text := range t.equals {
 		do(literal{t.attribute, text, false})
@@ -52,7 +55,8 @@
 	}
 }
 
-// newIndex finds each rule by the one of its tests whose texts the fewest other rules have, as that saves most.
+// newIndex returns an index of rules, given the tests of each. It indexes a rule by the test whose texts the fewest
+// other rules share, which excludes the rule for the most messages.
 func newIndex(testsByRule [][]indexTest) *index {
 	uses := map[literal]int{}
 	for _, tests := range testsByRule {
@@ -60,13 +64,13 @@
 			test.literals(func(l literal) { uses[l]++ })
 		}
 	}
-	x := &index{ruleCount: len(testsByRule), always: make([]uint64, (len(testsByRule)+63)/64)}
+	x := &index{ruleCount: len(testsByRule), always: make([]uint64, (len(testsByRule)+bitsPerWord-1)/bitsPerWord)}
 	columns := map[attribute]*column{}
 	prefixes := map[*column]map[string][]int{}
 	for rule, tests := range testsByRule {
 		test := rarestTest(tests, uses)
 		if test == nil {
-			x.always[rule/64] |= 1 << (rule % 64)
+			x.always[rule/bitsPerWord] |= 1 << (rule % bitsPerWord)
 			continue
 		}
 		c := columns[test.attribute]
@@ -90,21 +94,21 @@
 	return x
 }
 
-// rarestTest is the first of the tests whose texts are used least, nil if there is no test.
+// rarestTest returns the first test whose texts have the fewest uses, or nil if there is no test.
 func rarestTest(tests []indexTest, uses map[literal]int) *indexTest {
 	var rarest *indexTest
 	least := math.MaxInt
 	for i, test := range tests {
-		n := 0
-		test.literals(func(l literal) { n += uses[l] })
-		if n < least {
-			rarest, least = &tests[i], n
+		total := 0
+		test.literals(func(l literal) { total += uses[l] })
+		if total < least {
+			rarest, least = &tests[i], total
 		}
 	}
 	return rarest
 }
 
-// setPrefixes sorts the prefixes and links each to the next shorter one.
+// setPrefixes stores the prefixes in sorted order and links each to the longest other prefix that it starts with.
 func (c *column) setPrefixes(rulesByPrefix map[string][]int) {
 	for text, rules := range rulesByPrefix {
 		c.prefixes = append(c.prefixes, prefix{text, -1, rules})
@@ -119,9 +123,9 @@
 	}
 }
 
-// longestPrefix is the longest prefix that a text begins with, -1 if there is none. All prefixes that sort between a
-// prefix and a longer one that begins with it begin with it too, so the last one that does not sort after the text
-// leads there by its shorter ones.
+// longestPrefix returns the index of the longest prefix of a text, or -1 if there is none. All prefixes that sort
+// between a prefix p and a text that starts with p also start with p. The last prefix that does not sort after the text
+// is therefore the result, or leads to it through the links to shorter prefixes.
 func (c *column) longestPrefix(text string) int {
 	i := sort.Search(len(c.prefixes), func(i int) bool { return c.prefixes[i].text > text }) - 1
 	for i >= 0 && !strings.HasPrefix(text, c.prefixes[i].text) {
@@ -132,20 +136,20 @@
 
 // find calls do for each list of rules whose test holds for a text.
 func (c *column) find(text string, do func(rules []int)) {
-	if r := c.byValue[text]; r != nil {
-		do(r)
+	if found := c.byValue[text]; found != nil {
+		do(found)
 	}
 	for i := c.longestPrefix(text); i >= 0; i = c.prefixes[i].shorter {
 		do(c.prefixes[i].rules)
 	}
 }
 
-// markCandidates sets a bit for each rule that has to be run.
+// markCandidates overwrites marks with the bit set of the rules that must be evaluated.
 func (x *index) markCandidates(v *activationView, marks []uint64) {
 	copy(marks, x.always)
 	set := func(rules []int) {
 		for _, r := range rules {
-			marks[r/64] |= 1 << (r % 64)
+			marks[r/bitsPerWord] |= 1 << (r % bitsPerWord)
 		}
 	}
 	for _, c := range x.columns {
@@ -157,62 +161,62 @@
 	}
 }
 
-// nextMarked returns the first marked rule that is not before from, -1 if there is none.
+// nextMarked returns the first marked rule whose index is at least from, or -1 if there is none.
 func nextMarked(marks []uint64, from int) int {
-	for w := from / 64; w < len(marks); w++ {
+	for w := from / bitsPerWord; w < len(marks); w++ {
 		word := marks[w]
-		if w == from/64 {
-			word &= math.MaxUint64 << (from % 64)
+		if w == from/bitsPerWord {
+			word &= math.MaxUint64 << (from % bitsPerWord)
 		}
 		if word != 0 {
-			return w*64 + bits.TrailingZeros64(word)
+			return w*bitsPerWord + bits.TrailingZeros64(word)
 		}
 	}
 	return -1
 }
 
-// worstCase is the longest that any subject can take, where rule i takes cost[i], and the rules that take it: those
-// without a test, and in each column the most expensive set that one text can find.
-func (x *index) worstCase(cost []time.Duration) (total time.Duration, rules []int) {
+// worstCase returns the maximum time for any subject, given the cost of each rule, and the rules that are evaluated in
+// that case: the rules without a test, and from each column the most expensive set that one text can select.
+func (x *index) worstCase(costs []time.Duration) (total time.Duration, rules []int) {
 	for r := nextMarked(x.always, 0); r >= 0; r = nextMarked(x.always, r+1) {
 		rules = append(rules, r)
 	}
 	for _, c := range x.columns {
-		_, expensive := c.mostExpensive(cost)
+		_, expensive := c.mostExpensive(costs)
 		rules = append(rules, expensive...)
 		total += lookupTime
 	}
 	for _, r := range rules {
-		total += cost[r]
+		total += costs[r]
 	}
 	slices.Sort(rules)
 	return total, rules
 }
 
-// mostExpensive is the text whose rules cost most together, and these. It is "" and all rules where a missing attribute
-// costs more.
-func (c *column) mostExpensive(cost []time.Duration) (text string, rules []int) {
+// mostExpensive returns the text that selects the most expensive set of rules, and that set. It returns "" and all
+// rules of the column if the attribute can be missing and evaluating all rules costs more.
+func (c *column) mostExpensive(costs []time.Duration) (text string, rules []int) {
 	var highest time.Duration
-	consider := func(of string, list []int) {
+	consider := func(candidate string, list []int) {
 		var sum time.Duration
 		for _, r := range list {
-			sum += cost[r]
+			sum += costs[r]
 		}
 		if sum > highest {
-			text, rules, highest = of, list, sum
+			text, rules, highest = candidate, list, sum
 		}
 	}
-	considerText := func(of string) {
+	considerText := func(candidate string) {
 		var list []int
-		c.find(of, func(r []int) { list = append(list, r...) })
+		c.find(candidate, func(r []int) { list = append(list, r...) })
 		slices.Sort(list)
-		consider(of, slices.Compact(list))
+		consider(candidate, slices.Compact(list))
 	}
-	for of := range c.byValue {
-		considerText(of)
+	for candidate := range c.byValue {
+		considerText(candidate)
 	}
-	for _, h := range c.prefixes {
-		considerText(h.text)
+	for _, p := range c.prefixes {
+		considerText(p.text)
 	}
 	if !c.attribute.alwaysPresent() {
 		consider("", c.rules)
--- a/match/rules/indextest.go
+++ b/match/rules/indextest.go
@@ -9,16 +9,16 @@
 	"cel.dev/cel-go/common/types"
 )
 
-// attribute is a text that a subject has, or that some subjects lack.
+// attribute identifies a text of a subject, which may be missing.
 type attribute struct {
 	source   string // method, path, peer, segments, or the name of a table
 	name     string // in a table
-	segment  int    // the number of a segment
-	optional bool   // a missing one reads as fallback; else it is an error of the expression
+	segment  int    // index of a segment
+	optional bool   // a missing attribute has the value fallback; otherwise reading it is an error
 	fallback string
 }
 
-// value reads the attribute of a subject; false says that it is missing.
+// value returns the attribute's value for a subject, and false if it is missing and has no fallback.
 func (a attribute) value(v *activationView) (text string, ok bool) {
 	switch a.source {
 	case "method", "path", "peer":
@@ -35,12 +35,12 @@
 	return a.fallback, a.optional
 }
 
-// alwaysPresent reports whether every subject has the attribute.
+// alwaysPresent reports whether the attribute has a value for every subject.
 func (a attribute) alwaysPresent() bool {
 	return a.optional || a.source == "method" || a.source == "path" || a.source == "peer"
 }
 
-// String is the attribute as an expression names it.
+// String returns the attribute as an expression names it.
 func (a attribute) String() string {
 	switch a.source {
 	case "method", "path", "peer":
@@ -51,14 +51,14 @@
 	return fmt.Sprintf("%s[%q]", a.source, a.name)
 }
 
-// indexTest holds if the attribute is one of some texts, or begins with one of some others.
+// indexTest is a test that passes if the attribute equals one of the texts in equals or starts with one of prefixes.
 type indexTest struct {
 	attribute attribute
 	equals    []string
 	prefixes  []string
 }
 
-// indexTests lists the tests that all must hold for an expression to be true or an error.
+// indexTests returns the tests that must all pass for an expression to be true or an error.
 func indexTests(e celast.Expr) []indexTest {
 	if e.Kind() != celast.CallKind {
 		return nil
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// equalsTest is the test of an attribute that equals a literal, on either side.
+// equalsTest returns the test of a comparison between an attribute and a literal, in either order.
 func equalsTest(left, right celast.Expr) []indexTest {
 	for _, sides := range [][2]celast.Expr{{left, right}, {right, left}} {
 		attribute, ok := attributeOf(sides[0])
@@ -102,15 +102,15 @@
 	return nil
 }
 
-// inTest is the test of an attribute that is in a list of literals.
+// inTest returns the test of an attribute's membership in a list of literals.
 func inTest(element, list celast.Expr) []indexTest {
 	attribute, ok := attributeOf(element)
 	if !ok || list.Kind() != celast.ListKind {
 		return nil
 	}
 	var texts []string
-	for _, x := range list.AsList().Elements() {
-		text, ok := stringLiteral(x)
+	for _, item := range list.AsList().Elements() {
+		text, ok := stringLiteral(item)
 		if !ok {
 			return nil
 		}
@@ -119,7 +119,7 @@
 	return []indexTest{{attribute: attribute, equals: texts}}
 }
 
-// prefixTest is the test of an attribute that starts with a literal.
+// prefixTest returns the test of an attribute that starts with a literal.
 func prefixTest(target, prefix celast.Expr) []indexTest {
 	attribute, ok := attributeOf(target)
 	if !ok {
@@ -132,22 +132,22 @@
 	return []indexTest{{attribute: attribute, prefixes: []string{text}}}
 }
 
-// unionTests lists the tests that hold if one of two expressions is true or an error: those that both make of the same
-// attribute, joined.
-func unionTests(a, b []indexTest) (both []indexTest) {
+// unionTests returns the tests that must pass for either of two expressions to be true or an error: the unions of the
+// tests that both expressions make of the same attribute.
+func unionTests(a, b []indexTest) (union []indexTest) {
 	for _, x := range a {
 		for _, y := range b {
 			if x.attribute == y.attribute {
-				both = append(both, indexTest{x.attribute, slices.Concat(x.equals, y.equals), slices.Concat(x.prefixes,
+				union = append(union, indexTest{x.attribute, slices.Concat(x.equals, y.equals), slices.Concat(x.prefixes,
 					y.prefixes)})
 				break
 			}
 		}
 	}
-	return both
+	return union
 }
 
-// attributeOf returns the attribute that an expression reads, if it does nothing else.
+// attributeOf returns the attribute that an expression reads, and false if the expression does anything else.
 func attributeOf(e celast.Expr) (a attribute, ok bool) {
 	switch e.Kind() {
 	case celast.IdentKind:
@@ -168,29 +168,30 @@
 				return a, false
 			}
 			a, ok = indexedAttribute(inner.AsCall().Args()[0], inner.AsCall().Args()[1])
-			text, written := stringLiteral(call.Args()[0])
+			text, isLiteral := stringLiteral(call.Args()[0])
 			a.optional, a.fallback = true, text
-			return a, ok && written
+			return a, ok && isLiteral
 		}
 	}
 	return a, false
 }
 
-// isTable reports whether an expression is the variable of a table.
+// isTable reports whether an expression is the single-value variable of a table.
 func isTable(e celast.Expr) bool {
 	return e.Kind() == celast.IdentKind && isSingleTable(e.AsIdent())
 }
 
-// indexedAttribute returns the attribute that a literal key reads from a variable.
+// indexedAttribute returns the attribute that a literal key selects from a variable.
 func indexedAttribute(container, key celast.Expr) (attribute, bool) {
 	if container.Kind() != celast.IdentKind || key.Kind() != celast.LiteralKind {
 		return attribute{}, false
 	}
-	switch x := key.AsLiteral().(type) {
+	switch value := key.AsLiteral().(type) {
 	case types.String:
-		return attribute{source: container.AsIdent(), name: string(x)}, isTable(container)
+		return attribute{source: container.AsIdent(), name: string(value)}, isTable(container)
 	case types.Int:
-		return attribute{source: "segments", segment: int(x)}, container.AsIdent() == "segments" && x >= 0 && x < MaxSegments
+		return attribute{source: "segments", segment: int(value)},
+			container.AsIdent() == "segments" && value >= 0 && value < MaxSegments
 	}
 	return attribute{}, false
 }
--- a/match/rules/language.go
+++ b/match/rules/language.go
@@ -15,8 +15,8 @@
 	"cel.dev/cel-go/common/types/ref"
 )
 
-// language is the environment of all expressions. It is made when first asked for, as an agent without rules needs
-// none.
+// language returns the CEL environment of all expressions. It is created on first use, because an agent without rules
+// does not need it.
 var language = sync.OnceValues(func() (*cel.Env, error) {
 	options := variables()
 	options = append(options, functions()...)
@@ -24,7 +24,7 @@
 	return cel.NewEnv(options...)
 })
 
-// variables are the variables of the language, and its limits.
+// variables returns the options that declare the variables of the language and its limits.
 func variables() []cel.EnvOption {
 	text, list := cel.StringType, cel.ListType(cel.StringType)
 	options := []cel.EnvOption{
@@ -50,14 +50,15 @@
 	return options
 }
 
-// Parts of the cost models of functions on texts: a result no larger than the first argument, and reading the first
-// argument or both.
+// sizeOfFirst is the cost model of a result that is no larger than the first argument.
 func sizeOfFirst() cost.OverloadModelOption { return cost.ResultSize(cost.AtMost(cost.Arg(0))) }
 
+// readFirst is the cost model of a function that reads its first argument.
 func readFirst() cost.OverloadModelOption {
 	return cost.EvalCost(cost.Sum(cost.Const(1), cost.Scale(cost.Arg(0), cost.StringTraversalCostFactor)))
 }
 
+// readBoth is the cost model of a function that reads both arguments.
 func readBoth() cost.OverloadModelOption {
 	both := cost.Sum(cost.Arg(0), cost.Arg(1))
 	return cost.EvalCost(cost.Sum(cost.Const(1), cost.Scale(both, cost.StringTraversalCostFactor)))
@@ -85,7 +86,7 @@
 	}
 }
 
-// functions are the functions that the language adds to CEL's; docs/matching.md describes them.
+// functions returns the options that declare the language's own functions, which docs/matching.md describes.
 func functions() []cel.EnvOption {
 	text := cel.StringType
 	var options []cel.EnvOption
@@ -106,12 +107,13 @@
 	return options
 }
 
+// parseWhole parses a decimal integer.
 func parseWhole(s string) ref.Val {
 	n, err := strconv.ParseInt(s, 10, 64)
 	return optionalOf(types.Int(n), err)
 }
 
-// parseNumber reads a finite number.
+// parseNumber parses a finite number.
 func parseNumber(s string) ref.Val {
 	n, err := strconv.ParseFloat(s, 64)
 	if math.IsNaN(n) || math.IsInf(n, 0) {
@@ -120,12 +122,13 @@
 	return optionalOf(types.Double(n), err)
 }
 
+// parseSpan parses a duration such as 1.5s.
 func parseSpan(s string) ref.Val {
 	d, err := time.ParseDuration(s)
 	return optionalOf(types.Duration{Duration: d}, err)
 }
 
-// optionalOf is an optional value that is missing if there was an error.
+// optionalOf returns an optional with the value, or the empty optional if err is not nil.
 func optionalOf(v ref.Val, err error) ref.Val {
 	if err != nil {
 		return types.OptionalNone
@@ -133,26 +136,26 @@
 	return types.OptionalOf(v)
 }
 
-// bucket hashes a text into one of some buckets (FNV-1a, 64 bits).
+// bucket returns the bucket of a text by its hash (FNV-1a, 64 bits): a number from 0 to buckets-1.
 func bucket(s string, buckets ref.Val) ref.Val {
 	n := int64(buckets.(types.Int))
 	if n < 1 {
 		return types.NewErr("bucket of %d parts", n)
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(s)) // a hash never fails
+	_, _ = hash.Write([]byte(s)) // never fails
 	return types.Int(hash.Sum64() % uint64(n))
 }
 
-// costModels are for functions of CEL's whose result has no known size in the library.
+// costModels returns the cost models of CEL's own functions for which the library does not bound the result's size.
 func costModels() []cel.EnvOption {
-	const longestNumber = 40 // the longest text, of a double, has 24 letters
+	const longestNumber = 40 // characters; the longest text is that of a double with 24 characters
 	var options []cel.EnvOption
 	add := func(id string, size cost.OverloadModelOption) {
 		options = append(options, cel.CostModel(cost.Overload(id, cost.EvalCost(cost.Const(1)), size)))
 	}
 	for _, id := range []string{"map_optindex_optional_value", "list_optindex_optional_int"} {
-		add(id, cost.ResultSize(cost.Optional(cost.ArgElem(0)))) // that of the table's values
+		add(id, cost.ResultSize(cost.Optional(cost.ArgElem(0)))) // the size of a value of the table
 	}
 	for _, id := range []string{
 		overloads.IntToString, overloads.UintToString, overloads.DoubleToString, overloads.BoolToString,
--- a/match/rules/singlevalue.go
+++ b/match/rules/singlevalue.go
@@ -10,14 +10,14 @@
 	"sagelever/match"
 )
 
-// singleValueMap is a table as a CEL map of the names that come exactly once. A name that comes twice has no one value:
-// a backend might read the other one. A look-up does not copy the table; only a walk over it makes a map.
+// singleValueMap presents a table to CEL as a map of the names with exactly one value. It omits names with several
+// values, because a backend might read a different one. Look-ups do not copy the table; iteration does.
 type singleValueMap struct {
 	table  match.Table
-	copied traits.Mapper // nil until it is needed
+	copied traits.Mapper // created on first use
 }
 
-// lookup returns the value of a name that comes exactly once.
+// lookup returns the value of a name, and false unless the name has exactly one value.
 func (m *singleValueMap) lookup(name string) (string, bool) {
 	if values := m.table.Values(name); len(values) == 1 {
 		return values[0], true
@@ -25,7 +25,7 @@
 	return "", false
 }
 
-// materialize returns the table as a map of CEL's.
+// materialize returns a copy of the table as a CEL map.
 func (m *singleValueMap) materialize() traits.Mapper {
 	if m.copied == nil {
 		all := m.table.All()
--- a/match/rules/view.go
+++ b/match/rules/view.go
@@ -10,36 +10,37 @@
 	"sagelever/match"
 )
 
-// Sizes of what rules see. The bounds on cost are computed with them, and a message whose larger part a rule asks for
-// is refused. An ordinary message has a third of each.
+// Maximum sizes of the attributes that rules can read. The cost bounds are computed from them, and a message is
+// rejected if a rule reads a larger attribute. An ordinary message has a third of each.
 const (
-	MaxTextLength = 512 // bytes of a path, and of any value
-	MaxNameLength = 64  // bytes of the name of a header, parameter or cookie
-	MaxNames      = 32  // in a table
-	MaxValues     = 8   // of one name
-	MaxSegments   = 16  // of a path
+	MaxTextLength = 512 // bytes of a path, and of any other value
+	MaxNameLength = 64  // bytes of the name of a header, query parameter or cookie
+	MaxNames      = 32  // names in a table
+	MaxValues     = 8   // values of one name
+	MaxSegments   = 16  // segments of a path
 	MaxKeyLength  = 256 // bytes of a key that a rule computes
 )
 
-// tables are the variables for the parts of a message with names: those with the names that come once, and with all.
+// tables lists the variables of each part of a message that consists of named values: single maps the names with
+// exactly one value, multi maps all names to lists of values.
 var tables = [...]struct{ single, multi string }{{"header", "headers"}, {"query", "queries"}, {"cookie", "cookies"}}
 
-// activationView is a subject as expressions see it. Each part is asked for at most once, and only if a rule asks. A
-// part that is larger than the bounds on cost were computed with is seen as empty, and the message is refused in the
-// end.
+// activationView provides expressions with the variables of a subject. It reads the segments and tables of the subject
+// on first use, at most once. An attribute that exceeds the maximum sizes reads as empty, and the message is rejected
+// after the rules have been evaluated.
 type activationView struct {
 	subject  match.Subject
-	tooLarge string // which part is too large, "" if none was
+	tooLarge string // reason to reject the message, or "" if no attribute is too large
 
 	segmentsLoaded bool
 	tablesLoaded   [len(tables)]bool
 
 	segmentValues []string
-	segmentList   ref.Val // as CEL has them, nil until it asks
+	segmentList   ref.Val // segmentValues as a CEL list, created on first use
 
 	tableValues [len(tables)]match.Table
-	single      [len(tables)]ref.Val // as CEL has them, nil until it asks
-	multi       [len(tables)]ref.Val
+	single      [len(tables)]ref.Val // tableValues as CEL maps, created on first use
+	multi       [len(tables)]ref.Val // likewise, with all values of each name
 }
 
 // text returns the method, the path or the peer.
@@ -70,7 +71,7 @@
 	return v.segmentValues
 }
 
-// table returns a table by its number.
+// table returns a table by its index in tables.
 func (v *activationView) table(i int) match.Table {
 	if !v.tablesLoaded[i] {
 		v.tablesLoaded[i] = true
@@ -82,7 +83,7 @@
 	return v.tableValues[i]
 }
 
-// tableSizeError says in which way a table is too large, "" if it is not.
+// tableSizeError returns the reason why a table is too large, or "" if it is not.
 func tableSizeError(table map[string][]string) string {
 	if len(table) > MaxNames {
 		return " has too many names"
@@ -100,10 +101,10 @@
 	return ""
 }
 
-// Parent is nil: a view is a whole activation.
+// Parent implements cel.Activation. A view has no parent.
 func (v *activationView) Parent() cel.Activation { return nil }
 
-// ResolveName returns the value of a variable.
+// ResolveName implements cel.Activation. It returns the value of a variable.
 func (v *activationView) ResolveName(name string) (any, bool) {
 	switch name {
 	case "method", "path", "peer":
@@ -134,7 +135,7 @@
 	return v.multi[i], true
 }
 
-// emptySubject is a subject without any content, for expressions without variables.
+// emptySubject is an empty match.Subject, for the evaluation of expressions without variables.
 type emptySubject struct{}
 
 func (emptySubject) Text(string) string       { return "" }
--- a/match/rules/worstcase.go
+++ b/match/rules/worstcase.go
@@ -8,24 +8,24 @@
 	"sagelever/match"
 )
 
-// syntheticSubject is a message made for timing.
+// syntheticSubject is a generated message for measuring the time that rules take.
 type syntheticSubject struct {
 	texts    map[string]string
 	segments []string
 	tables   map[string]map[string][]string
 }
 
-func (p *syntheticSubject) Text(name string) string { return p.texts[name] }
-func (p *syntheticSubject) Segments() []string      { return p.segments }
-func (p *syntheticSubject) Table(name string) match.Table {
-	return match.Table{Of: p.tables[name], Fold: name == "header"}
+func (s *syntheticSubject) Text(name string) string { return s.texts[name] }
+func (s *syntheticSubject) Segments() []string      { return s.segments }
+func (s *syntheticSubject) Table(name string) match.Table {
+	return match.Table{Of: s.tables[name], Fold: name == "header"}
 }
-func (p *syntheticSubject) Size() int64            { return 64 << 10 }
-func (p *syntheticSubject) Hint() time.Duration    { return time.Millisecond }
-func (p *syntheticSubject) Sent() match.Repeatable { return match.Pure }
+func (s *syntheticSubject) Size() int64            { return 64 << 10 }
+func (s *syntheticSubject) Hint() time.Duration    { return time.Millisecond }
+func (s *syntheticSubject) Sent() match.Repeatable { return match.Pure }
 
-// WorstCaseSubject makes the message that takes most of the set's time by the cost model: each attribute by which rules
-// are found has the text that finds the most expensive of them, and everything else is as large as it may be.
+// WorstCaseSubject returns the message that takes the longest time to judge by the cost model: each indexed attribute
+// has the value that selects the most expensive rules, and all other attributes have their maximum size.
 func (s *Set) WorstCaseSubject() match.Subject {
 	costs := make([]time.Duration, len(s.rules))
 	for i, r := range s.rules {
@@ -47,9 +47,10 @@
 	return subject
 }
 
+// filler returns a text of the given length in bytes.
 func filler(length int) string { return strings.Repeat("a", length) }
 
-// newLargestSubject makes a message with the largest path, and with empty tables.
+// newLargestSubject returns a message with a path of the maximum size and with empty tables.
 func newLargestSubject() *syntheticSubject {
 	subject := &syntheticSubject{
 		texts: map[string]string{
@@ -68,14 +69,14 @@
 	return subject
 }
 
-// set returns an attribute a text.
-func (p *syntheticSubject) set(a attribute, text string) {
+// set assigns a text to an attribute.
+func (s *syntheticSubject) set(a attribute, text string) {
 	switch a.source {
 	case "method", "path", "peer":
-		p.texts[a.source] = text
+		s.texts[a.source] = text
 	case "segments":
-		p.segments[a.segment] = text
+		s.segments[a.segment] = text
 	default:
-		p.tables[a.source][a.name] = []string{text}
+		s.tables[a.source][a.name] = []string{text}
 	}
 }
