--- a/internal/settings/deployment/deployment.go
+++ b/internal/settings/deployment/deployment.go
@@ -1,6 +1,6 @@
 // Package deployment translates the settings of a deployment, a JSON object that the platform writes, into the
-// parameters of the agent's policy: a flat map of names to values. The agent in service and the simulator's adapter
-// receive the same object and both use this package.
+// parameters of the agent's policy: a flat map of names to values. Both the agent and the simulator's adapter receive
+// this object and use this package.
 package deployment
 
 import (
@@ -12,7 +12,7 @@
 
 // Parse translates the settings. It ignores unknown fields, and fields whose value has an unexpected type.
 //
-// The values are of the types bool, float64, string, []float64, []string and time.Duration. Besides the parameters of
+// The values have the types bool, float64, string, []float64, []string and time.Duration. Besides the parameters of
 // the tables in parameters.go, "workloads" and "customers" hold the names of all workloads and tenants as a []string.
 func Parse(text []byte) (map[string]any, error) {
 	var settings map[string]any
@@ -52,8 +52,8 @@
 	return names
 }
 
-// put stores a value of the settings under the policy's name. It ignores nil and values of other types than Parse
-// names.
+// put stores a value of the settings under the policy's name. It ignores nil and values of types that Parse does not
+// support.
 func put(result map[string]any, name string, kind parameter, value any) {
 	switch value := value.(type) {
 	case float64:
@@ -79,7 +79,7 @@
 	return value
 }
 
-// listOf returns the numbers of a list, or its strings if it has no numbers.
+// listOf returns the numbers of a list as a []float64, or its strings as a []string if it has no numbers.
 func listOf(values []any) any {
 	var numbers []float64
 	var texts []string
@@ -97,7 +97,10 @@
 	return texts
 }
 
-// FromMilliseconds converts a number of milliseconds, as the platform writes times, and rounds it to a microsecond.
+// microsecondsPerMillisecond converts milliseconds to microseconds.
+const microsecondsPerMillisecond = 1000
+
+// FromMilliseconds converts a number of milliseconds, the platform's unit of time, and rounds it to microseconds.
 func FromMilliseconds(milliseconds float64) time.Duration {
-	return time.Duration(math.Round(milliseconds*1000)) * time.Microsecond
+	return time.Duration(math.Round(milliseconds*microsecondsPerMillisecond)) * time.Microsecond
 }
--- a/internal/settings/deployment/parameters.go
+++ b/internal/settings/deployment/parameters.go
@@ -1,16 +1,16 @@
 package deployment
 
-// parameter is how a field of the settings reaches the policy.
+// parameter describes how a field of the settings is translated to a parameter of the policy.
 type parameter struct {
-	name         string // the policy's name for it
-	milliseconds bool   // the field is a number of milliseconds and becomes a time.Duration
+	name         string // the parameter's name in the policy
+	milliseconds bool   // the field is a number of milliseconds, to be converted to a time.Duration
 }
 
 func plain(name string) parameter { return parameter{name: name} }
 
 func duration(name string) parameter { return parameter{name: name, milliseconds: true} }
 
-// parameters are the fields of the deployment as a whole, by their paths in the settings.
+// parameters lists the fields that apply to the deployment as a whole, by their paths in the settings.
 var parameters = map[string]parameter{
 	"balancers":      plain("agents"),
 	"position":       plain("number"),
@@ -79,7 +79,7 @@
 	"scoringMix.tailSlack": plain("goal.tail.slack"),
 }
 
-// workloadParameters are the fields of an entry of "classes". The policy has them as workload.NAME.PARAMETER.
+// workloadParameters lists the fields of an entry of "classes". The policy's names are workload.NAME.PARAMETER.
 var workloadParameters = map[string]parameter{
 	"goalTime":   duration("goal"),
 	"giveUp":     duration("abandon"),
@@ -92,13 +92,13 @@
 	"aimStretch": plain("stretch"),
 }
 
-// tenantParameters are the fields of an entry of "orgs". The policy has them as customer.NAME.PARAMETER.
+// tenantParameters lists the fields of an entry of "orgs". The policy's names are customer.NAME.PARAMETER.
 var tenantParameters = map[string]parameter{
 	"quotaRps": plain("rate"),
 	"share":    plain("share"),
 }
 
-// enumValues maps enumerated values of the settings to those of the policy. Other texts are passed on as they are.
+// enumValues maps enumerated values of the settings to those of the policy. Other strings are passed on unchanged.
 var enumValues = map[string]string{
 	"free":        "pure",
 	"guarded":     "receipted",
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -10,17 +10,17 @@
 	errOutOfRange = errors.New("out of range")
 )
 
-// ErrDuration is the error of a text that is not a duration by ParseDuration.
+// ErrDuration is the error of ParseDuration for an invalid duration.
 var ErrDuration = errors.New("want a duration of a number and ms or s")
 
 // FieldError reports an invalid field of the settings file.
 type FieldError struct {
-	Field string // its name in the file
+	Field string // the field's name in the file
 	Err   error
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -9,26 +9,26 @@
 	"github.com/go-faster/errors"
 )
 
-// RuleLimits are the limits of the platform's rules. A limit that is missing from the settings is zero, which is the
-// cautious choice: no retries, no requests to a release on trial. Limits that this program does not apply are parsed
-// all the same, so that an invalid one is reported.
+// RuleLimits holds the limits that the platform's rules set. A limit that is missing from the settings is zero, the
+// most restrictive value: no retries, no requests to a release on trial. Limits that this program does not apply are
+// parsed as well, so that invalid values are reported.
 type RuleLimits struct {
 	ContactTimeout    time.Duration // inTouch: not applied
 	ConfirmTimeout    time.Duration // confirm: how long an operator may repeat an order
 	SyncTimeout       time.Duration // sync_time: not applied
-	DrainTime         time.Duration // empty: how long a leaving backend still serves
-	ShutdownGrace     time.Duration // leeway: how long a process may take to end after SIGTERM
+	DrainTime         time.Duration // empty: how long a backend still serves requests while it leaves
+	ShutdownGrace     time.Duration // leeway: how long a process may take to exit after SIGTERM
 	ApplyTimeout      time.Duration // apply: not applied
 	EvacuationTime    time.Duration // clearOut: not applied
 	RollbackTime      time.Duration // undo: not applied
 	RetryPeriod       time.Duration // retryPeriod: not applied
-	MaxTTL            time.Duration // ttl_max: longest validity of a directory answer
-	HeartbeatInterval time.Duration // the field pulse of the settings: between two heartbeats of a backend
+	MaxTTL            time.Duration // ttl_max: longest validity of a directory response
+	HeartbeatInterval time.Duration // the settings field pulse: time between two heartbeats of a backend
 
 	RetryBudgetRatio      float64 // retryShare: retries that each request adds to the retry budget
-	MaxExtraRetries       float64 // extraTries: size of the retry budgets of all proxies together
-	TrialRequestRatio     float64 // badShare: part of a service's requests that may go to a bad release
-	TrialRequestAllowance float64 // badLeeway: requests to a bad release beside that part, over all proxies
+	MaxExtraRetries       float64 // extraTries: combined size of the retry budgets of all proxies
+	TrialRequestRatio     float64 // badShare: ratio of a service's requests that may go to a bad release
+	TrialRequestAllowance float64 // badLeeway: requests to a bad release in addition to that ratio, over all proxies
 	WarmUpLoadFactor      float64 // warmUpExcess: not applied
 	WarmUpAllowance       float64 // warmUpLeeway: not applied
 }
@@ -36,10 +36,10 @@
 // defaultTimeout is used for a contact timeout or a shutdown grace that is missing from the settings.
 const defaultTimeout = 5 * time.Second
 
-// maxRatio bounds the plain numbers of the table.
+// maxRatio bounds the numbers without a unit in the table.
 const maxRatio = 1e9
 
-// durationFields returns the fields that hold durations, by their names in the table.
+// durationFields returns the fields of durations, by their names in the table.
 func (l *RuleLimits) durationFields() map[string]*time.Duration {
 	return map[string]*time.Duration{
 		"inTouch":     &l.ContactTimeout,
@@ -55,7 +55,7 @@
 	}
 }
 
-// numberFields returns the fields that hold plain numbers, by their names in the table.
+// numberFields returns the fields of numbers without a unit, by their names in the table.
 func (l *RuleLimits) numberFields() map[string]*float64 {
 	return map[string]*float64{
 		"retryShare":   &l.RetryBudgetRatio,
@@ -92,7 +92,7 @@
 	return limits, nil
 }
 
-// parseNumber parses a number from zero up to maxRatio.
+// parseNumber parses a number that is at least zero and less than maxRatio.
 func parseNumber(text string) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -104,14 +104,14 @@
 	return number, nil
 }
 
-// ParseDuration parses a duration as the platform writes it: a decimal number that is not negative, and the unit ms or
-// s, such as 1500ms or 2.5s. Its error is ErrDuration by errors.Is.
+// ParseDuration parses a duration as the platform writes it: a non-negative decimal number and the unit ms or s, such
+// as 1500ms or 2.5s. Its errors wrap ErrDuration.
 func ParseDuration(text string) (time.Duration, error) {
 	number, unit, found := cutUnit(text)
 	if !found {
 		return 0, errors.Wrapf(ErrDuration, "%q", text)
 	}
-	const maxExact = 1 << 53 // nanoseconds, up to which a float64 is exact
+	const maxExact = 1 << 53 // nanoseconds; a float64 represents integers up to here exactly
 	quantity, err := strconv.ParseFloat(number, 64)
 	if err != nil || !(quantity >= 0) || quantity*float64(unit) > maxExact {
 		return 0, errors.Wrapf(ErrDuration, "%q", text)
--- a/internal/settings/operatorfile/config.go
+++ b/internal/settings/operatorfile/config.go
@@ -1,6 +1,6 @@
-// Package operatorfile reads the operator's own configuration of an agent: an INI file beside the settings that the
-// platform writes. Whatever is unknown or invalid in it is an error with its line and column, so that a misspelt key
-// never passes for a default.
+// Package operatorfile reads the operator's configuration of an agent: an INI file in addition to the settings that the
+// platform writes. Unknown names and invalid values are errors with a line and column, so that a misspelled key does
+// not silently leave the default in effect.
 package operatorfile
 
 import (
@@ -13,7 +13,7 @@
 	"sagelever/match/rules"
 )
 
-// MaxBytes is how large the file may be. Ten thousand ordinary rules take two megabytes.
+// MaxBytes is the maximum size of the file. 10,000 ordinary rules take 2 MB.
 const MaxBytes = 4 << 20
 
 // Config is the content of the file.
@@ -24,20 +24,20 @@
 	}
 	WebSocket WebSocket
 	Rules     []rules.Rule // in the order of the file
-	RuleSet   *rules.Set   // the compiled rules; nil if there are none
+	RuleSet   *rules.Set   // the compiled rules, or nil if the file has none
 }
 
-// WebSocket configures the listener for clients over WebSocket, and the connections to backends that it uses.
+// WebSocket configures the listener for WebSocket clients, and the connections to backends that it uses.
 type WebSocket struct {
-	// Path is where clients upgrade. The listener is off if it is empty.
+	// Path is the URL path on which clients upgrade. If it is empty, the listener is disabled.
 	Path string `ini:"path" validate:"omitempty,startswith=/"`
-	// BackendPath is where backends accept the upgrade. If it is empty, it is Path.
+	// BackendPath is the URL path on which backends accept the upgrade. If it is empty, Path is used.
 	BackendPath string `ini:"appliances" validate:"omitempty,startswith=/"`
 	// MaxInFlightPerConnection bounds the open requests of one client connection.
 	MaxInFlightPerConnection int `ini:"in_flight" validate:"min=1,max=4096"`
 	// MaxInFlight bounds the open requests of all client connections.
 	MaxInFlight int `ini:"all" validate:"min=1,max=1048576"`
-	// MaxUnsent bounds the messages that wait for a client that does not read.
+	// MaxUnsent bounds the messages that are queued for a client that does not read.
 	MaxUnsent int `ini:"unsent" validate:"min=8,max=65536"`
 	// Heartbeat is the interval between pings.
 	Heartbeat time.Duration `ini:"heartbeat" validate:"min=1s,max=10m"`
@@ -45,7 +45,7 @@
 	ConnectionsPerBackend int `ini:"links" validate:"min=1,max=64"`
 }
 
-// defaultWebSocket holds the values of keys that the file leaves out.
+// defaultWebSocket holds the values of keys that are missing from the file.
 var defaultWebSocket = WebSocket{
 	MaxInFlightPerConnection: 64,
 	MaxInFlight:              4096,
@@ -54,8 +54,8 @@
 	ConnectionsPerBackend:    2,
 }
 
-// loadOptions make the INI library take values as they are written: expressions contain quotes, percent signs,
-// semicolons and backslashes of their own. Duplicates are kept, so that they can be reported.
+// loadOptions make the INI library return values unchanged, because expressions contain quotes, percent signs,
+// semicolons and backslashes. Duplicate keys and sections are kept, so that they can be reported.
 var loadOptions = ini.LoadOptions{
 	IgnoreInlineComment:        true,
 	IgnoreContinuation:         true,
@@ -66,7 +66,7 @@
 	AllowDuplicateShadowValues: true,
 }
 
-// Read parses the content of a file and compiles its rules for a deployment. The name appears in errors only. An error
+// Read parses the content of a file and compiles its rules for a deployment. The name is used only in errors. The error
 // is a *ParseError, or several of them joined.
 func Read(name string, data []byte, deployment match.Deployment) (*Config, error) {
 	doc := newDocument(name, data)
--- a/internal/settings/operatorfile/decoder.go
+++ b/internal/settings/operatorfile/decoder.go
@@ -14,14 +14,14 @@
 	"sagelever/match/rules"
 )
 
-// Names of the sections. A rule's section is ruleKind, a space and the rule's name.
+// Names of the sections. The name of a rule's section consists of ruleKind, a space and the rule's name.
 const (
 	matchSection     = "match"
 	webSocketSection = "websocket"
 	ruleKind         = "rule"
 )
 
-// decoder decodes the sections of one file into a Config. It goes on after an error, so that all errors of the file
+// decoder decodes the sections of one file into a Config. It continues after an error, so that all errors of the file
 // are reported together.
 type decoder struct {
 	doc          *document
@@ -45,7 +45,7 @@
 
 // decodeFile decodes all sections.
 func (d *decoder) decodeFile(file *ini.File) {
-	next := 0 // index in doc.sections where the search for the next section starts
+	next := 0 // index in doc.sections at which the search for the next section starts
 	for _, content := range file.Sections() {
 		location := section{name: content.Name()}
 		// The library lists its default section even if the file has none.
@@ -96,7 +96,7 @@
 	d.ruleSections = append(d.ruleSections, location)
 }
 
-// decodeUnique decodes a section that a file may have once, and validates the result.
+// decodeUnique decodes a section that may occur only once, and validates the result.
 func (d *decoder) decodeUnique(content *ini.Section, location section, target any) {
 	if d.seenSections[content.Name()] {
 		d.errorAt(location.position, "duplicate section [%s]", content.Name())
@@ -106,7 +106,7 @@
 	d.validate(location, target)
 }
 
-// decodeKeys sets the fields of a struct, given by pointer, to the values of the keys that keyName maps to them.
+// decodeKeys sets the fields of the struct that target points to. The field of a key is the one with that keyName.
 func (d *decoder) decodeKeys(content *ini.Section, location section, target any) {
 	fields := map[string]reflect.Value{}
 	structValue := reflect.ValueOf(target).Elem()
@@ -120,7 +120,7 @@
 		name := key.Name()
 		position := location.keys[name]
 		field, known := fields[name]
-		value := strings.TrimSpace(key.Value()) // Value, because String would interpolate %(name)s
+		value := strings.TrimSpace(key.Value()) // not String, which would interpolate %(name)s
 		switch {
 		case !known:
 			d.errorAt(position.key, "no such field: %s", name)
@@ -132,7 +132,7 @@
 	}
 }
 
-// decodeValue sets a field to a value by the field's type.
+// decodeValue parses a value according to the field's type and sets the field.
 func (d *decoder) decodeValue(name string, position keyPosition, field reflect.Value, value string) {
 	switch {
 	case field.Type() == reflect.TypeFor[time.Duration]():
@@ -152,7 +152,7 @@
 	}
 }
 
-// keyName returns the name of a struct field in the file: its ini tag, or else its own name in lower case.
+// keyName returns the key of a struct field in the file: the ini tag, or the field's name in lower case if it has none.
 func keyName(field reflect.StructField) string {
 	if name := field.Tag.Get("ini"); name != "" {
 		return name
@@ -160,10 +160,10 @@
 	return strings.ToLower(field.Name)
 }
 
-// constraintTexts describes the validate tags in use.
+// constraintTexts describes the constraints of the validate tags in error messages.
 var constraintTexts = map[string]string{"min": "at least", "max": "at most", "startswith": "the prefix"}
 
-// validate checks a decoded struct by its validate tags.
+// validate checks a decoded struct against its validate tags.
 func (d *decoder) validate(location section, target any) {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(keyName)
@@ -178,7 +178,7 @@
 	}
 }
 
-// compileRules compiles the decoded rules, if there are any.
+// compileRules compiles the decoded rules. Without rules, RuleSet stays nil.
 func (d *decoder) compileRules(deployment match.Deployment) error {
 	if len(d.config.Rules) == 0 {
 		return nil
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// compileError gives an error of rules.Compile its position in the file. An error of the set as a whole is reported at
-// the first rule.
+// compileError adds the position in the file to an error of rules.Compile. An error that concerns the set of rules is
+// reported at the first rule.
 func (d *decoder) compileError(err error) error {
 	var ruleError *rules.RuleError
 	if errors.As(err, &ruleError) {
--- a/internal/settings/operatorfile/position.go
+++ b/internal/settings/operatorfile/position.go
@@ -8,19 +8,19 @@
 	"gopkg.in/ini.v1"
 )
 
-// The INI library does not report where in the file it found a key. This file finds the positions by the same few
-// rules of syntax. Should the two disagree on some input, only the position in an error message is wrong.
+// The INI library does not report the positions of keys. The code in this file finds them by the same syntax rules. If
+// it disagrees with the library on some input, only the position in an error message is wrong.
 
-// position is a place in the file: line and column, each from 1. The zero value is no place.
+// position is a line and column in the file, each from 1. The zero value is an unknown position.
 type position struct{ line, column int }
 
-// keyPosition is the position of a key and that of its value.
+// keyPosition holds the positions of a key and of its value.
 type keyPosition struct {
 	key, value position
 }
 
-// within returns the position of a line and column of the value, or the alternative if the value's position is
-// unknown.
+// within returns the position in the file of a line and column within the value. It returns the alternative if the
+// value's position is unknown.
 func (p keyPosition) within(line, column int, alternative position) position {
 	switch {
 	case p.value.line == 0:
@@ -31,14 +31,14 @@
 	return position{p.value.line + line - 1, column}
 }
 
-// section is the position of a section's header and those of its keys.
+// section holds the positions of a section's header and of its keys.
 type section struct {
 	name     string
 	position position
 	keys     map[string]keyPosition
 }
 
-// document is the text of a file, with the positions of its sections in order.
+// document is the text of a file with its sections in order.
 type document struct {
 	fileName string
 	lines    []string
@@ -64,8 +64,8 @@
 	return parseError
 }
 
-// nextSection returns the next section of a name from an index on, and the index behind it. Without one it returns a
-// section without positions.
+// nextSection returns the first section with a name whose index is at least from, and the index after it. If there is
+// none, it returns a section without positions.
 func (d *document) nextSection(name string, from int) (section, int) {
 	for i := from; i < len(d.sections); i++ {
 		if d.sections[i].name == name {
@@ -75,7 +75,8 @@
 	return section{name: name}, from
 }
 
-// locateSyntaxError returns the position of the line that the INI library could not parse, which its error quotes.
+// locateSyntaxError returns the position of the line that the INI library could not parse. The library's error quotes
+// it.
 func (d *document) locateSyntaxError(err error) position {
 	message := strings.TrimSpace(err.Error())
 	for i, rawLine := range d.lines {
@@ -90,13 +91,13 @@
 	return position{1, 1}
 }
 
-// quotes are the delimiters of values that may span several lines.
+// quotes lists the delimiters of values that can span several lines.
 var quotes = []string{`"""`, "`"}
 
-// locateSections returns the sections of a file in order, beginning with the unnamed one before the first header.
+// locateSections returns the sections of a file in order, starting with the default section before the first header.
 func locateSections(lines []string) []section {
 	sections := []section{{name: ini.DefaultSection, keys: map[string]keyPosition{}}}
-	openQuote := "" // the delimiter that ends the current value of several lines
+	openQuote := "" // the closing delimiter of the current multi-line value, or ""
 	for i, rawLine := range lines {
 		line := strings.TrimSpace(rawLine)
 		start := position{i + 1, strings.Index(rawLine, line) + 1}
@@ -116,8 +117,8 @@
 	return sections
 }
 
-// locateKey records the positions of the key and value of a line, which starts at a position. Of a repeated key the
-// first counts. It returns the delimiter if the value goes on in the next line, and otherwise nothing.
+// locateKey records the positions of the key and the value of a line that starts at the given position. It ignores
+// repeated keys. It returns the closing delimiter if the value continues on the next line, and "" otherwise.
 func locateKey(keys map[string]keyPosition, line string, start position) (openQuote string) {
 	name, rawValue, found := strings.Cut(line, "=")
 	if !found {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file that the platform hands to each proxy and controller, and reports what is
-// wrong in it by the name of the field.
+// Package settings reads the settings file that the platform provides to each proxy and controller, and reports invalid
+// fields by name.
 package settings
 
 import (
@@ -13,7 +13,7 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// DefaultPath is the path of the settings file unless the environment variable PathVariable names another.
+// DefaultPath is the path of the settings file if the environment variable PathVariable is not set.
 const DefaultPath = "/etc/sagelever/boot.json"
 
 // PathVariable is the environment variable that names the settings file.
@@ -23,31 +23,31 @@
 //
 //easyjson:json
 type Settings struct {
-	Node            string            `json:"node"`    // name of this machine, unique in the system
+	Node            string            `json:"node"`    // name of this machine, unique in the deployment
 	Role            string            `json:"role"`    // name of the role in the deploy file
 	Handles         []string          `json:"handles"` // names of what this machine serves, as in the deploy file
 	IP              string            `json:"ip"`      // address on which other nodes reach this machine
 	Zone            string            `json:"zone"`
-	Region          string            `json:"region"`     // that of the zone, if it is empty
-	Zones           map[string]string `json:"zones"`      // region of every zone of the system
-	ListenAddresses map[string]string `json:"listens"`    // host:port by name of what is served there
-	PeerPortRange   []int             `json:"sparePorts"` // first and last of the ports for calls between nodes
-	// SeedAddresses are addresses of controllers by which a node finds the control group.
+	Region          string            `json:"region"`     // if empty, the zone's region
+	Zones           map[string]string `json:"zones"`      // the region of each zone
+	ListenAddresses map[string]string `json:"listens"`    // host:port by the name of what is served there
+	PeerPortRange   []int             `json:"sparePorts"` // first and last port for calls between nodes
+	// SeedAddresses are the addresses of controllers that a node contacts first to find the control group.
 	SeedAddresses []string `json:"firstContacts"`
-	// FreshStart makes a controller with an empty disk take part in the first membership. Without it such a controller
-	// waits until the members add it.
+	// FreshStart makes a controller with an empty disk a member of the initial control group. Otherwise a controller
+	// with an empty disk waits until the members add it.
 	FreshStart        bool           `json:"freshStart"`
 	CountsAsLoss      bool           `json:"countsAsLoss"` // not applied
 	Resources         ResourceLimits `json:"limits"`
-	DataDir           string         `json:"dataFolder"` // of a controller's state
-	HeartbeatInterval string         `json:"pulse"`      // as ParseDuration reads it
+	DataDir           string         `json:"dataFolder"` // directory of a controller's state
+	HeartbeatInterval string         `json:"pulse"`      // in the format of ParseDuration
 	FaultTolerance    FaultTolerance `json:"withstand"`
 	LimitsTable       []string       `json:"limitsTable"` // entries of the form name=value
 
 	RuleLimits RuleLimits `json:"-"` // the parsed LimitsTable and HeartbeatInterval
 }
 
-// ResourceLimits is what a process may use of its machine. Only the memory limit is applied, in mebibytes.
+// ResourceLimits holds the resources of its machine that a process may use. Only MemoryMB, in mebibytes, is applied.
 type ResourceLimits struct {
 	CPUShare  float64 `json:"cpuPart"`
 	MemoryMB  int     `json:"ramMb"`
@@ -55,8 +55,8 @@
 	StorageMB int     `json:"storageMb"`
 }
 
-// FaultTolerance says how many machines, zones or regions may fail at once while the system keeps all its guarantees.
-// It need not survive two of the three failures together.
+// FaultTolerance holds the number of machines, zones or regions that may fail at once while the system keeps all its
+// guarantees. The three numbers are alternatives: failures of different kinds need not be tolerated together.
 type FaultTolerance struct {
 	Hosts   int `json:"hostsLost"`
 	Zones   int `json:"zones"`
@@ -102,7 +102,7 @@
 	return s, nil
 }
 
-// validate checks the fields without which no role can start.
+// validate checks the fields that every role requires.
 func (s *Settings) validate() error {
 	switch {
 	case s.Node == "":
@@ -133,17 +133,17 @@
 	return nil
 }
 
-// validPortRange reports whether a range names a first and a later last TCP port.
+// validPortRange reports whether a range consists of a first and a higher last TCP port.
 func validPortRange(ports []int) bool {
 	const maxPort = 65535
 	return len(ports) == 2 && ports[0] >= 1 && ports[0] < ports[1] && ports[1] <= maxPort
 }
 
-// PeerPort returns the port for calls between nodes. It is the same on every machine of a system.
+// PeerPort returns the port for calls between nodes. It is the same on all machines of a deployment.
 func (s *Settings) PeerPort() string { return strconv.Itoa(s.PeerPortRange[0]) }
 
-// ToleratedDiskLosses returns how many controllers may lose their disks at once: the most that any of the alternatives
-// of FaultTolerance takes, given the number of controllers in each zone.
+// ToleratedDiskLosses returns how many controllers may lose their disks at once, given the number of controllers in
+// each zone: the maximum over the alternatives of FaultTolerance.
 func (s *Settings) ToleratedDiskLosses(perZone int) int {
 	byHosts := s.FaultTolerance.Hosts
 	byZones := s.FaultTolerance.Zones * perZone
@@ -151,7 +151,7 @@
 	return max(byHosts, byZones, byRegions)
 }
 
-// largestRegions returns how many controllers the largest regions, up to a count of regions, have together.
+// largestRegions returns the total number of controllers in the count largest regions.
 func (s *Settings) largestRegions(perZone, count int) int {
 	controllersByRegion := map[string]int{}
 	for _, region := range s.Zones {
