--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of the load balancer: it runs a proxy or a controller, checks a settings file, and
-// gives an operator's drain orders to the controllers.
+// Package cli implements the command line of the load balancer: it runs a proxy or a controller, checks a settings
+// file, and sends an operator's drain commands to the controllers.
 package cli
 
 import (
@@ -22,12 +22,12 @@
 const (
 	exitOK         = 0
 	exitFailed     = 1
-	exitUsage      = 2 // the command line is wrong
-	exitNoCapacity = 3 // a drain was refused, because it would leave too little capacity
-	exitNotDrained = 4 // the time to wait for a drain has passed, and requests are left
+	exitUsage      = 2 // the command line is invalid
+	exitNoCapacity = 3 // a drain was rejected because it would leave too little capacity
+	exitNotDrained = 4 // requests were left at the end of the time to wait for a drain
 )
 
-// commandLine is the declaration of the command line, and the values that were parsed from it.
+// commandLine declares the sub-commands and flags of the command line and holds their parsed values.
 type commandLine struct {
 	parser         *flaggy.Parser
 	proxy          *flaggy.Subcommand
@@ -67,8 +67,8 @@
 	return line
 }
 
-// Main runs the program with the arguments after its name, and returns its exit code. An unexpected argument ends the
-// process with exitUsage.
+// Main runs the program with its arguments, without the program's name, and returns the exit code. An unexpected
+// argument ends the process with exitUsage.
 func Main(args []string) int {
 	hangups := notifyHangup()
 	line := newCommandLine()
@@ -79,7 +79,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if line.drains.used() {
-		signal.Reset(syscall.SIGHUP) // an operator's command ends with its terminal
+		signal.Reset(syscall.SIGHUP) // lets an operator's command end with its terminal
 		return line.drains.run(ctx, line.settingsPath, os.Stdout, os.Stderr)
 	}
 	log, err := newLogger(line.logLevel)
@@ -87,7 +87,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	}
-	defer func() { _ = log.Sync() }() // fails on terminals, and there is nobody to tell
+	defer func() { _ = log.Sync() }() // fails on terminals, and the error cannot be logged
 	config, err := settings.Read(line.settingsPath)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -110,7 +110,8 @@
 	}
 }
 
-// limitMemory makes the garbage collector work harder near half of the process's memory limit.
+// limitMemory sets the Go runtime's soft memory limit to half of the process's memory limit. The garbage collector runs
+// more often when the process approaches it.
 func limitMemory(resources settings.ResourceLimits) {
 	if resources.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(resources.MemoryMB) << 20 / 2)
@@ -119,13 +120,13 @@
 
 // role is a proxy or a controller.
 type role interface {
-	// Run serves until the context ends, then shuts down in order, and returns.
+	// Run serves until the context ends, and returns after an orderly shutdown.
 	Run(ctx context.Context) error
-	// Reload takes over settings that may change while the role runs.
+	// Reload applies those settings that may change while the role runs.
 	Reload(config *settings.Settings)
 }
 
-// newRole returns the role that the command line asks for.
+// newRole returns the role that the command line selects.
 func (l *commandLine) newRole(config *settings.Settings, log *zap.Logger) (role, error) {
 	if l.proxy.Used {
 		return proxy.New(proxy.Options{Settings: config, Log: log}), nil
@@ -133,7 +134,7 @@
 	return server.New(server.Options{Settings: config, MembersPerZone: l.membersPerZone, Log: log})
 }
 
-// runRole runs the role until it has shut down, and reloads its settings meanwhile.
+// runRole runs the role until it has shut down. Meanwhile it reloads the settings when they change.
 func (l *commandLine) runRole(
 	ctx context.Context, config *settings.Settings, hangups <-chan os.Signal, log *zap.Logger,
 ) error {
@@ -141,11 +142,11 @@
 	if err != nil {
 		return err
 	}
-	// Reloading goes on after the SIGTERM that ends ctx, until the role has shut down.
+	// After SIGTERM ends ctx, settings are still reloaded until the role has shut down.
 	reloadCtx, stopReload := context.WithCancel(context.Background())
 	defer stopReload()
 	watcher := &settingsWatcher{path: l.settingsPath, hangups: hangups, log: log, reload: running.Reload}
-	// Nobody waits for the watcher's end: if the settings file is a pipe, reading it may block for ever.
+	// Does not wait for the watcher to return: if the settings file is a pipe, reading it may block indefinitely.
 	go watcher.run(reloadCtx)
 	return running.Run(ctx)
 }
--- a/internal/cli/drains.go
+++ b/internal/cli/drains.go
@@ -14,7 +14,7 @@
 	"sagelever/internal/settings"
 )
 
-// drainCommands are the sub-commands drain, undrain and drains, and the values of their arguments and flags.
+// drainCommands declares the sub-commands drain, undrain and drains, and holds the values of their arguments and flags.
 type drainCommands struct {
 	drain   *flaggy.Subcommand
 	undrain *flaggy.Subcommand
@@ -22,7 +22,7 @@
 
 	target   string // a backend's id, SERVICE@ZONE or ZONE
 	contacts string // addresses of controllers, separated by commas
-	timeout  string // as time.ParseDuration reads it
+	timeout  string // in the format of time.ParseDuration
 	wait     bool
 	force    bool
 	paced    bool
@@ -55,9 +55,10 @@
 	return d
 }
 
+// used reports whether the command line has one of the sub-commands.
 func (d *drainCommands) used() bool { return d.drain.Used || d.undrain.Used || d.list.Used }
 
-// run executes the sub-command that was used, and returns the exit code.
+// run executes the sub-command on the command line and returns the exit code.
 func (d *drainCommands) run(ctx context.Context, settingsPath string, out, errOut io.Writer) int {
 	timeout, err := time.ParseDuration(d.timeout)
 	if err != nil || timeout <= 0 || d.force && d.paced {
@@ -88,7 +89,7 @@
 	return exitOK
 }
 
-// controllerAddresses returns the addresses of --at, or else those of the settings file.
+// controllerAddresses returns the addresses of --at, or those of the settings file if --at is missing.
 func (d *drainCommands) controllerAddresses(settingsPath string) ([]string, error) {
 	addresses := strings.FieldsFunc(d.contacts, func(r rune) bool { return r == ',' || r == ' ' })
 	if len(addresses) > 0 {
@@ -101,7 +102,7 @@
 	return config.SeedAddresses, nil
 }
 
-// execute gives the order to the controllers.
+// execute sends the command to the controllers.
 func (d *drainCommands) execute(ctx context.Context, session *drainSession) error {
 	switch {
 	case d.undrain.Used:
@@ -115,7 +116,7 @@
 	}
 }
 
-// exitCodeOf returns the exit code for a failed order.
+// exitCodeOf returns the exit code for a failed command.
 func exitCodeOf(err error) int {
 	if _, ok := errors.Into[*client.InsufficientCapacityError](err); ok {
 		return exitNoCapacity
--- a/internal/cli/drainsession.go
+++ b/internal/cli/drainsession.go
@@ -13,10 +13,10 @@
 	"sagelever/internal/control/drain"
 )
 
-// progressInterval is how often the progress of a drain is read while waiting for it.
+// progressInterval is the interval at which the progress of a drain is read while waiting for it.
 const progressInterval = 500 * time.Millisecond
 
-// drainSession gives orders on one target to the controllers, and prints what they answer.
+// drainSession sends commands on one target to the controllers and prints their responses.
 type drainSession struct {
 	controllers *client.Client
 	target      string
@@ -25,14 +25,14 @@
 	errOut      io.Writer
 }
 
-// printText prints a line for people.
+// printText prints a line, unless the output is JSON.
 func (s *drainSession) printText(text string) {
 	if !s.json {
 		fmt.Fprintln(s.out, text)
 	}
 }
 
-// printDrains prints a list of drains for people or programs.
+// printDrains prints a list of drains as a table or as JSON.
 func (s *drainSession) printDrains(drains []drain.Progress) {
 	if !s.json {
 		client.WriteTable(s.out, drains)
@@ -46,7 +46,7 @@
 	fmt.Fprintf(s.out, "%s\n", text)
 }
 
-// list prints the drains of the target, or all if there is no target.
+// list prints the drains of the target, or all drains if there is no target.
 func (s *drainSession) list(ctx context.Context) error {
 	drains, err := s.controllers.ListDrains(ctx, s.target)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// drain orders the drain of the target.
+// drain starts a drain of the target.
 func (s *drainSession) drain(ctx context.Context, force bool) error {
 	response, err := s.controllers.Drain(ctx, s.target, force)
 	if err != nil {
@@ -95,13 +95,13 @@
 			if err != nil {
 				fmt.Fprintln(s.errOut, err)
 			}
-			s.printDrains(latest) // the drain stays in force; this is what is left
+			s.printDrains(latest) // the drain remains active; print what is left
 			return exitNotDrained
 		}
 	}
 }
 
-// printFinal prints the final state for programs. People have read it in the last line of progress.
+// printFinal prints the final state as JSON. The text output already ends with it as the last line of progress.
 func (s *drainSession) printFinal(drains []drain.Progress) {
 	if s.json {
 		s.printDrains(drains)
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -5,8 +5,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// newLogger returns a logger that writes lines for a console to standard error, from a level on. No line is sampled
-// away.
+// newLogger returns a logger that writes messages of at least the given level to standard error, in a console format
+// and without sampling.
 func newLogger(level string) (*zap.Logger, error) {
 	atomicLevel, err := zap.ParseAtomicLevel(level)
 	if err != nil {
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -12,20 +12,21 @@
 	"sagelever/internal/settings"
 )
 
-// settingsPollInterval is how often the settings file is checked for changes. It bounds how long outdated seed
-// addresses are used after a change without a signal.
+// settingsPollInterval is the interval at which the settings file is checked for changes. It bounds how long outdated
+// seed addresses are used if no signal follows a change.
 const settingsPollInterval = 3 * time.Second
 
-// notifyHangup catches SIGHUP for the rest of the process's life. It is never released: by default the signal ends
-// the process, and the platform may send it before the settings were read, or while the process shuts down after a
-// SIGTERM.
+// notifyHangup returns a channel that receives SIGHUP until the process exits. The signal is never reset to its
+// default, which ends the process, because the platform may send it before the settings have been read or during the
+// shutdown after SIGTERM.
 func notifyHangup() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// settingsWatcher reloads the settings file on SIGHUP and when the file has changed. An invalid file changes nothing.
+// settingsWatcher reloads the settings file on SIGHUP and when the file has changed. It ignores an invalid file, except
+// for a warning in the log.
 type settingsWatcher struct {
 	path    string
 	hangups <-chan os.Signal
@@ -53,6 +54,7 @@
 	}
 }
 
+// readAndReload reads the file and applies it to the role if it is valid.
 func (w *settingsWatcher) readAndReload() {
 	config, err := settings.Read(w.path)
 	if err != nil {
@@ -63,7 +65,7 @@
 	w.log.Info("settings reloaded")
 }
 
-// fileFingerprint tells versions of a file apart. It is the zero value for a file that cannot be examined.
+// fileFingerprint distinguishes versions of a file. It is the zero value if the file's attributes cannot be read.
 type fileFingerprint struct {
 	size     int64
 	modified int64 // Unix time in nanoseconds
