--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry serves the figures of a process as text, for whoever watches it or looks into an incident.
+// Package telemetry serves the metrics of a process as text for monitoring and for the analysis of incidents.
 package telemetry
 
 import (
@@ -8,24 +8,24 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Path is where a role serves its page.
+// Path is the URL path on which a role serves its page of metrics.
 const Path = "/metrics"
 
-// namePrefix begins the names of all figures.
+// namePrefix is the prefix of the names of all metrics.
 const namePrefix = "sagelever_"
 
-// Page is the figures of one process. Create it with NewPage; it serves them in the Prometheus text format.
+// Page holds the metrics of one process and serves them in the Prometheus text format. Create it with NewPage.
 type Page struct {
 	set *metrics.Set
 }
 
-// NewPage returns a page without figures.
+// NewPage returns a page without metrics.
 func NewPage() *Page { return &Page{set: metrics.NewSet()} }
 
-// Add adds a figure, whose value read returns whenever the page is asked for. A name may be added once.
+// Add adds a gauge. The page calls read for its value on each request. Each name may be added only once.
 func (p *Page) Add(name string, read func() float64) { p.set.NewGauge(namePrefix+name, read) }
 
-// AddCounters adds counters by their names.
+// AddCounters adds a gauge for each counter, by its name.
 func (p *Page) AddCounters(counters map[string]*atomic.Int64) {
 	for name, counter := range counters {
 		p.Add(name, func() float64 { return float64(counter.Load()) })
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A page has a line for each figure, with its value at the time of the request.
+// A page has a line for each metric, with its value at the time of the request.
 func TestPage(t *testing.T) {
 	page := NewPage()
 	value := 1.5
