--- a/cmd/loadbalancer/main.go
+++ b/cmd/loadbalancer/main.go
@@ -1,5 +1,5 @@
-// Command loadbalancer is the global load balancer. Its sub-command proxy carries traffic, controller takes part in the
-// control group, and drain, undrain and drains are for operators.
+// Command loadbalancer runs the global load balancer. The sub-command proxy carries traffic, controller runs a member
+// of the control group, and drain, undrain and drains are for operators.
 package main
 
 import (
