--- a/tools/account/main.go
+++ b/tools/account/main.go
@@ -1,5 +1,5 @@
-// Command account adds up the account lines in the logs of many agents, by intervals of time since the first line.
-// What is harmless for each agent by itself shows here as the fleet's.
+// Command account sums the counters in the account lines of many agents' logs, by intervals of time since the first
+// line. It shows problems of a fleet that the log of a single agent does not.
 //
 //	go run ./tools/account [-span 5s] [-votes] LOG...
 package main
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// maxLineLength bounds a line of a log, in bytes.
+// maxLineLength is the maximum length of a log line in bytes.
 const maxLineLength = 1 << 20
 
 func main() {
@@ -28,8 +28,8 @@
 	}
 }
 
-// report prints the totals of the logs at the paths, with a column for each span. If votes is set, the policy's lines
-// come before it.
+// report prints a table of the totals over all logs, with a column for each interval of the given span. If votes is
+// set, it prints the policy's lines first.
 func report(out io.Writer, paths []string, span time.Duration, votes bool) error {
 	records, err := readLogs(paths)
 	if err != nil {
@@ -54,15 +54,15 @@
 	return nil
 }
 
-// readLogs returns the records of all logs, log by log.
+// readLogs returns the records of all logs, in the order of the paths.
 func readLogs(paths []string) ([]logRecord, error) {
 	var records []logRecord
 	for _, path := range paths {
-		ofLog, err := readLog(path)
+		logRecords, err := readLog(path)
 		if err != nil {
 			return nil, err
 		}
-		records = append(records, ofLog...)
+		records = append(records, logRecords...)
 	}
 	return records, nil
 }
@@ -89,10 +89,10 @@
 	return records, nil
 }
 
-// totals are the sums of a fleet's counters, by the index of the interval and the counter's name.
+// totals holds the sums of all agents' counters, by the index of the interval and the counter's name.
 type totals map[int]map[string]int64
 
-// add adds a count to a counter of an interval.
+// add adds a count to the total of a counter in an interval.
 func (t totals) add(interval int, name string, count int64) {
 	if t[interval] == nil {
 		t[interval] = map[string]int64{}
@@ -100,7 +100,7 @@
 	t[interval][name] += count
 }
 
-// writeTable writes a row for each counter and a column for each interval of a span.
+// writeTable writes a row for each counter, with a column for each interval of the given span.
 func (t totals) writeTable(out io.Writer, span time.Duration) {
 	intervals := slices.Sorted(maps.Keys(t))
 	names := map[string]bool{}
--- a/tools/account/main_test.go
+++ b/tools/account/main_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// The lines of two agents add up by interval. Other lines are ignored, and logs without account lines are an error.
+// The counters of two agents are summed by interval. Other lines are ignored, and logs without account lines are an
+// error.
 func TestReport(t *testing.T) {
 	dir := t.TempDir()
 	writeLog := func(name, text string) string {
--- a/tools/account/record.go
+++ b/tools/account/record.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Keys and events of an agent's log.
+// Field names and events in an agent's log.
 const (
 	timeKey      = "time"
 	eventKey     = "event"
 	levelKey     = "level"
 	textKey      = "text"
-	accountEvent = "account" // counters since the last such line
+	accountEvent = "account" // counters since the previous account line
 	policyEvent  = "module"  // a line that the policy logs
 )
 
-// logRecord is an account line, or a line of the policy.
+// logRecord is an account line or a line of the policy.
 type logRecord struct {
-	at       time.Time // by the agent's clock
-	path     string    // of the log
+	at       time.Time // according to the agent's clock
+	path     string    // path of the log
 	counters map[string]int64
-	text     string // of a line of the policy
+	text     string // text of a line of the policy; empty for an account line
 }
 
 // parseLine parses a log line of key=value fields. It returns false for lines of other events.
@@ -35,7 +35,7 @@
 		}
 		switch key {
 		case timeKey:
-			record.at, _ = time.Parse(time.RFC3339Nano, value) // a line without a valid time is dropped below
+			record.at, _ = time.Parse(time.RFC3339Nano, value) // lines without a valid time are rejected below
 		case eventKey:
 			event = value
 		case levelKey:
