--- a/tools/figures/findings.go
+++ b/tools/figures/findings.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// noiseThreshold is the change of a score up to which the benchmarks' documentation takes it for chance.
+// noiseThreshold is the largest change of a score that the benchmarks' documentation attributes to chance.
 const noiseThreshold = 0.03
 
-// series identifies runs that follow one another.
+// series identifies the runs whose scores are compared over time.
 type series struct{ site, bench, kind string }
 
+// compare orders series by benchmark, site and kind.
 func (s series) compare(other series) int {
 	return strings.Compare(s.bench+s.site+s.kind, other.bench+other.site+other.kind)
 }
@@ -19,10 +20,10 @@
 // history is the state of a series after its last run.
 type history struct {
 	latest scoredRun
-	best   scoredRun // of the runs that played the same days as the latest
+	best   scoredRun // the best of the runs since the days last changed
 }
 
-// add adds the next run.
+// add adds a run that is later than all previous ones.
 func (h *history) add(run scoredRun) {
 	if h.latest.days != run.days || run.score > h.best.score {
 		h.best = run
@@ -30,12 +31,12 @@
 	h.latest = run
 }
 
-// describe returns a line on the latest run.
+// describe returns a line about the latest run, given the hash of the current policy.
 func (h *history) describe(policyHash string) string {
 	latest := h.latest
 	line := fmt.Sprintf("%-9s %-5s %-20s %.3f at %s", latest.bench, latest.kind, latest.site, latest.score, latest.commit)
-	if fall := h.best.score - latest.score; fall > noiseThreshold {
-		line += fmt.Sprintf("  FALLEN by %.3f from %.3f at %s", fall, h.best.score, h.best.commit)
+	if drop := h.best.score - latest.score; drop > noiseThreshold {
+		line += fmt.Sprintf("  FALLEN by %.3f from %.3f at %s", drop, h.best.score, h.best.commit)
 	}
 	if latest.rules != rulesKept {
 		line += "  RULES: " + latest.rules
@@ -46,8 +47,8 @@
 	return line
 }
 
-// findings returns a line for each series of a record, which is sorted by date: its latest score, how far that is
-// below the best, and whether it is of the policy with the given hash.
+// findings returns a line for each series of a record, which must be sorted by date: the latest score, its distance
+// from the best score if it is lower, and whether the run used the policy with the given hash.
 func findings(record []scoredRun, policyHash string) []string {
 	histories := map[series]*history{}
 	var order []series
--- a/tools/figures/journal.go
+++ b/tools/figures/journal.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// commitLen is how many digits of a commit's hash the record keeps.
+// commitLen is the number of hexadecimal digits of a commit's hash in the record.
 const commitLen = 7
 
-// Names in the journal.
+// Values of fields in the journal.
 const (
 	realScoreCommand = "real-score"
 	scoreSuffix      = "score"
 	quickMode        = "quick"
 )
 
-// journalEntry is what the record needs of one file of the journal.
+// journalEntry holds the fields of a journal file that the record needs.
 type journalEntry struct {
 	ID      string   `json:"id"`
 	Command string   `json:"cmd"`
@@ -27,20 +27,20 @@
 	Site    string   `json:"site"`
 	Head    string   `json:"head"` // commit
 	Dirty   bool     `json:"dirty"`
-	Panel   string   `json:"panel"` // the days that were played
+	Panel   string   `json:"panel"` // the days that the run covers
 	At      []string `json:"at"`
-	Sim     bool     `json:"sim"` // of the project's own adapter or agent
-	OK      bool     `json:"ok"`  // the run was finished
+	Sim     bool     `json:"sim"` // the run is of the project's own adapter or agent
+	OK      bool     `json:"ok"`  // the run completed
 	Score   *float64 `json:"score"`
 	Figures struct {
 		Real *float64 `json:"real_score"`
-		Gate *float64 `json:"gate"` // of the standing test: 1 if passed, 0 if failed
+		Gate *float64 `json:"gate"` // result of the standing test: 1 if passed, 0 if failed
 	} `json:"figures"`
 	Policy []journalPolicy `json:"policy"`
 	Days   []journalDay    `json:"days"`
 }
 
-// journalPolicy is a file of the policy that ran.
+// journalPolicy is a source file of the policy that the run used.
 type journalPolicy struct {
 	SHA256 string `json:"sha256"`
 }
@@ -49,11 +49,11 @@
 type journalDay struct {
 	Name  string             `json:"name"`
 	Fault *string            `json:"fault"`
-	Rules map[string]float64 `json:"rules"` // how often each rule was broken
-	Gate  any                `json:"gate"`  // a text that says why the day failed the gate, or something else
+	Rules map[string]float64 `json:"rules"` // number of violations of each rule
+	Gate  any                `json:"gate"`  // the reason as a string if the day failed the gate, otherwise another type
 }
 
-// brokenRules returns what the day broke.
+// brokenRules returns the rules that were violated on the day, its fault and its failed gate.
 func (d journalDay) brokenRules() []string {
 	var broken []string
 	for rule, count := range d.Rules {
@@ -70,7 +70,7 @@
 	return broken
 }
 
-// score returns the score of the entry's run, or nil if it has none.
+// score returns the score of the run, or nil if it has none.
 func (e journalEntry) score() *float64 {
 	if e.Command == realScoreCommand {
 		return e.Figures.Real
@@ -78,8 +78,8 @@
 	return e.Score
 }
 
-// bench returns the benchmark of the entry. Runs of real agents are told apart by their panel: the standing test (its
-// days are +mass), the days of a large fleet (+vast), or the days of few agents on sockets.
+// bench returns the name of the benchmark. For runs of real agents it depends on the days in the panel: those of the
+// standing test contain +mass and those of a large fleet +vast; all others are days of few agents on sockets.
 func (e journalEntry) bench() string {
 	switch {
 	case e.Command != realScoreCommand:
@@ -93,7 +93,7 @@
 	}
 }
 
-// kind returns whether all days were played.
+// kind returns quickMode if the run covers only part of the days, and "full" otherwise.
 func (e journalEntry) kind() string {
 	if e.Mode == quickMode || strings.HasSuffix(e.Panel, ":"+quickMode) {
 		return quickMode
@@ -101,7 +101,7 @@
 	return "full"
 }
 
-// commit returns the abbreviated commit, with a plus if the work tree had changes.
+// commit returns the abbreviated commit hash, with a plus sign if the work tree had uncommitted changes.
 func (e journalEntry) commit() string {
 	commit := e.Head[:min(commitLen, len(e.Head))]
 	if e.Dirty {
@@ -110,7 +110,7 @@
 	return commit
 }
 
-// rules returns rulesKept, or which rules the run broke, in alphabetical order.
+// rules returns the rules that the run violated in alphabetical order, or rulesKept if there are none.
 func (e journalEntry) rules() string {
 	var broken []string
 	for _, day := range e.Days {
@@ -126,13 +126,13 @@
 	return strings.Join(broken, "; ")
 }
 
-// complete reports whether the entry is of a finished and scored run of the project's own adapter or agent.
+// complete reports whether the entry is of a completed and scored run of the project's own adapter or agent.
 func (e journalEntry) complete() bool {
 	scored := strings.HasSuffix(e.Command, scoreSuffix) && e.score() != nil
 	return scored && e.Sim && e.OK && e.Site != "" && len(e.At) > 0 && len(e.Policy) > 0
 }
 
-// runOf returns the record's line for an entry, if the entry is complete.
+// runOf returns the record's line for an entry, and false if the entry is not complete.
 func runOf(entry journalEntry) (run scoredRun, ok bool) {
 	if !entry.complete() {
 		return scoredRun{}, false
@@ -151,7 +151,7 @@
 	}, true
 }
 
-// addJournal adds the runs of a journal that a record lacks, and sorts the record by date.
+// addJournal adds the runs of a journal that are missing from a record, and sorts the record by date.
 func addJournal(record []scoredRun, dir string) ([]scoredRun, error) {
 	known := map[string]bool{}
 	for _, run := range record {
--- a/tools/figures/main.go
+++ b/tools/figures/main.go
@@ -1,9 +1,9 @@
-// Command figures keeps docs/figures.csv, the record of the scores of all benchmark runs, and reports which site has
-// fallen from its best score and which has not been scored since the agent's policy last changed. A low score is no
-// error: the command fails only if it cannot read or write.
+// Command figures maintains docs/figures.csv, the record of the scores of all benchmark runs. It reports sites whose
+// score has dropped from its best value, and sites without a score since the agent's policy last changed. A low score
+// is not an error: the command fails only if it cannot read or write a file.
 //
-//	go run ./tools/figures       report what the record shows
-//	go run ./tools/figures -add  first add the scored runs of the journal that the record lacks
+//	go run ./tools/figures       report on the record
+//	go run ./tools/figures -add  first add scored runs of the journal that are missing from the record
 package main
 
 import (
@@ -16,9 +16,9 @@
 
 const (
 	journalDir = "journal"
-	// policyFile is the file by whose hash the record tells versions of the policy apart.
+	// policyFile is the file whose hash identifies the version of the policy in the record.
 	policyFile = "internal/agent/policy/decide.go"
-	// hashLen is how many hexadecimal digits of a hash the record keeps.
+	// hashLen is the number of hexadecimal digits of a policy's hash in the record.
 	hashLen = 12
 )
 
@@ -33,7 +33,7 @@
 }
 
 // report prints the findings on the record at a path. If add is set, it first adds the journal's runs to the record,
-// which may be missing then.
+// and creates the record if it does not exist.
 func report(out io.Writer, path string, add bool) error {
 	record, err := readRecordFile(path, add)
 	if err != nil {
--- a/tools/figures/record.go
+++ b/tools/figures/record.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// rulesKept is the value of scoredRun.rules for a run that broke no rule.
+// rulesKept is the value of scoredRun.rules for a run without violations.
 const rulesKept = "kept"
 
-// scoredRun is one line of the record. Runs are comparable if their site, bench, kind and days are the same.
+// scoredRun is one line of the record. Runs are comparable if they have the same site, bench, kind and days.
 type scoredRun struct {
 	date       string
 	commit     string
@@ -21,10 +21,10 @@
 	bench      string
 	kind       string // full or quick
 	score      float64
-	rules      string // rulesKept, or which rules were broken
-	policyHash string // of the policy that ran
-	days       string // the set of days that was played
-	entryID    string // of the journal
+	rules      string // rulesKept, or the violated rules
+	policyHash string // hash of the policy that the run used
+	days       string // the set of days that the run covers
+	entryID    string // ID of the run's journal entry
 }
 
 // columns are the names of the record's columns.
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// readRecord reads a record. An empty input is an empty record.
+// readRecord reads a record. It returns an empty record for an empty input.
 func readRecord(in io.Reader) ([]scoredRun, error) {
 	rows, err := csv.NewReader(in).ReadAll()
 	if err != nil || len(rows) == 0 {
@@ -76,7 +76,7 @@
 	return record, nil
 }
 
-// writeRecord writes a record with its header.
+// writeRecord writes a record with a header row.
 func writeRecord(out io.Writer, record []scoredRun) error {
 	rows := [][]string{columns}
 	for _, run := range record {
@@ -85,7 +85,7 @@
 	return csv.NewWriter(out).WriteAll(rows)
 }
 
-// readRecordFile reads a record from a file. If the file may be missing, a missing one is an empty record.
+// readRecordFile reads a record from a file. If mayBeMissing is set, it returns an empty record for a missing file.
 func readRecordFile(path string, mayBeMissing bool) ([]scoredRun, error) {
 	file, err := os.Open(path)
 	if mayBeMissing && errors.Is(err, os.ErrNotExist) {
@@ -102,7 +102,7 @@
 	return record, nil
 }
 
-// writeRecordFile replaces the record in a file.
+// writeRecordFile writes a record to a file and replaces the previous content.
 func writeRecordFile(path string, record []scoredRun) error {
 	var text strings.Builder
 	if err := writeRecord(&text, record); err != nil {
