--- a/internal/control/calls/calls.go
+++ b/internal/control/calls/calls.go
@@ -25,10 +25,10 @@
 	// ReleaseRead returns the phase of a release. Its target is the service.
 	ReleaseRead Name = "releases.read"
 
-	// ClearOutBegin takes all backends of a zone out of service. Its target is the zone.
-	ClearOutBegin Name = "clear_out.begin"
-	// ClearOutFinish withdraws one order to clear out a zone. Its target is the zone.
-	ClearOutFinish Name = "clear_out.finish"
+	// EvacuationBegin takes all backends of a zone out of service. Its target is the zone.
+	EvacuationBegin Name = "clear_out.begin"
+	// EvacuationEnd withdraws one order to clear out a zone. Its target is the zone.
+	EvacuationEnd Name = "clear_out.finish"
 
 	// DrainBegin drains a backend, the backends of a service in a zone, or a zone: a drain.BeginRequest, answered by a
 	// drain.Response.
--- a/internal/control/server/clear_out.go
+++ b/internal/control/server/clear_out.go
@@ -16,15 +16,15 @@
 
 // handleClearOutBegin takes all backends of a zone out of service.
 func (s *Server) handleClearOutBegin(w http.ResponseWriter, r *http.Request) error {
-	return s.changeClearOut(w, r, calls.ClearOutBegin)
+	return s.changeClearOut(w, r, calls.EvacuationBegin)
 }
 
 // handleClearOutFinish withdraws one order to clear out a zone. The zone is in service again once all are withdrawn.
 func (s *Server) handleClearOutFinish(w http.ResponseWriter, r *http.Request) error {
-	return s.changeClearOut(w, r, calls.ClearOutFinish)
+	return s.changeClearOut(w, r, calls.EvacuationEnd)
 }
 
-// changeClearOut carries out calls.ClearOutBegin or calls.ClearOutFinish.
+// changeClearOut carries out calls.EvacuationBegin or calls.EvacuationEnd.
 func (s *Server) changeClearOut(w http.ResponseWriter, r *http.Request, call calls.Name) error {
 	zone, err := readTarget(r)
 	if err != nil {
@@ -39,7 +39,7 @@
 	received := s.now()
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	begin := call == calls.ClearOutBegin
+	begin := call == calls.EvacuationBegin
 	version, err := s.operations.join(ctx, operationKey(call, zone), 0, func(ctx context.Context) (uint64, error) {
 		return s.proposeClearOut(ctx, zone, begin)
 	})
--- a/internal/testbed/cluster/stress.go
+++ b/internal/testbed/cluster/stress.go
@@ -68,7 +68,7 @@
 }
 
 func (c *Cluster) beginEvacuation(ctx context.Context, zone string) error {
-	if err := c.Operator().Call(ctx, calls.ClearOutBegin, zone, nil, nil); err != nil {
+	if err := c.Operator().Call(ctx, calls.EvacuationBegin, zone, nil, nil); err != nil {
 		return errors.Wrap(err, "clear out")
 	}
 	for _, backend := range c.allBackends() {
@@ -86,7 +86,7 @@
 			c.Ledger.BackendReturned(backend.ID, time.Now())
 		}
 	}
-	if err := c.Operator().Call(ctx, calls.ClearOutFinish, zone, nil, nil); err != nil {
+	if err := c.Operator().Call(ctx, calls.EvacuationEnd, zone, nil, nil); err != nil {
 		return errors.Wrap(err, "take back")
 	}
 	return nil
