--- a/internal/control/drain/active.go
+++ b/internal/control/drain/active.go
@@ -24,7 +24,7 @@
 		Target:    listed.TargetName(zone),
 		Zone:      zone,
 		Version:   version,
-		StartedAt: time.UnixMilli(listed.BeganMs),
+		StartedAt: time.UnixMilli(listed.StartedMs),
 		Covers: func(backend BackendCapacity) bool {
 			return backend.Zone == zone && listed.Covers(backend.Service, backend.ID)
 		},
--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -35,9 +35,9 @@
 //
 //easyjson:json
 type Drain struct {
-	Service string `json:"s,omitempty"`
-	ID      string `json:"i,omitempty"`
-	BeganMs int64  `json:"b"` // Unix milliseconds, by the clock of the controller that received the order
+	Service   string `json:"s,omitempty"`
+	ID        string `json:"i,omitempty"`
+	StartedMs int64  `json:"b"` // Unix milliseconds, by the clock of the controller that received the order
 }
 
 // zoneDrains is the body of the register of ListKey.
--- a/internal/control/drain/drain_easyjson.go
+++ b/internal/control/drain/drain_easyjson.go
@@ -144,7 +144,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.BeganMs = int64(in.Int64())
+				out.StartedMs = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -184,7 +184,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.BeganMs))
+		out.Int64(int64(in.StartedMs))
 	}
 	out.RawByte('}')
 }
--- a/internal/control/drain/update.go
+++ b/internal/control/drain/update.go
@@ -21,7 +21,7 @@
 		if len(drains) >= maxPerZone {
 			return current
 		}
-		added.BeganMs = now.UnixMilli()
+		added.StartedMs = now.UnixMilli()
 		return encodeList(current, append(drains, added))
 	}
 }
