--- a/internal/control/message/pull.go
+++ b/internal/control/message/pull.go
@@ -105,9 +105,9 @@
 	// AuthorityUnstated is what versions before this field send.
 	AuthorityUnstated Authority = iota
 
-	// AuthorityLacking is sent by a controller that has not made sure since its start that it knows everything that was
+	// AuthorityUnverified is sent by a controller that has not made sure since its start that it knows everything that was
 	// acknowledged before.
-	AuthorityLacking
+	AuthorityUnverified
 
 	// AuthorityFollowing is sent by a controller that knew everything once, and learns of changes as they are chosen.
 	AuthorityFollowing
@@ -124,16 +124,16 @@
 	switch {
 	case !r.HasQuorum || r.Authority == AuthorityFollowing:
 		return before
-	case r.Authority == AuthorityLacking:
+	case r.Authority == AuthorityUnverified:
 		return false
 	default:
 		return true
 	}
 }
 
-// WithdrawProgress lowers the response's progress so that it doesn't cover items which were left out of it. requested
+// ExcludeFromProgress lowers the response's progress so that it doesn't cover items which were left out of it. requested
 // is the progress of the request. Within each origin, the left out items must come after those that are sent.
-func (r *PullResponse) WithdrawProgress(leftOut []replication.Item, requested replication.Vector) {
+func (r *PullResponse) ExcludeFromProgress(leftOut []replication.Item, requested replication.Vector) {
 	lowest := map[string]uint64{}
 	for _, item := range leftOut {
 		origin := r.OriginOf(item)
--- a/internal/control/replica/response_limit.go
+++ b/internal/control/replica/response_limit.go
@@ -34,7 +34,7 @@
 	for i, item := range response.Items {
 		size += itemOverheadBytes + len(item.Key) + len(item.Body)
 		if size > maxBytes && i > 0 {
-			response.WithdrawProgress(response.Items[i:], request.Progress)
+			response.ExcludeFromProgress(response.Items[i:], request.Progress)
 			response.Items = response.Items[:i]
 			response.Truncated = true
 			return
--- a/internal/control/replica/verification.go
+++ b/internal/control/replica/verification.go
@@ -13,7 +13,7 @@
 //
 // A replica runs a verification after its start and whenever it has become a member again: a value that it accepted
 // before may have been acknowledged by another member, and only that member knew that the value is chosen. Until the
-// verification has ended, the replica may lack items even if it has a quorum (message.AuthorityLacking). Proxies also
+// verification has ended, the replica may lack items even if it has a quorum (message.AuthorityUnverified). Proxies also
 // request verifications, to learn whether their items are complete. Requests during a verification share the next one.
 //
 // Verifications are numbered; one is in progress while begun is greater than completed.
@@ -108,7 +108,7 @@
 	requested := pending.verification
 	switch {
 	case !r.isVerified():
-		return message.AuthorityLacking
+		return message.AuthorityUnverified
 	case requested > 0 && r.verification.completed >= requested && response.HasQuorum && !response.Truncated:
 		return message.AuthorityConfirmed
 	default:
