--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -30,8 +30,8 @@
 	maxResponseBytes = 16 << 20
 )
 
-// ErrNoContacts is returned by a client that was given no address.
-var ErrNoContacts = errors.New("no contact is known: name one with --at")
+// ErrNoEndpoints is returned by a client that was given no address.
+var ErrNoEndpoints = errors.New("no contact is known: name one with --at")
 
 // Client calls the control API. It is not safe for concurrent use.
 type Client struct {
@@ -75,7 +75,7 @@
 	ctx context.Context, call calls.Name, target string, body []byte, out easyjson.Unmarshaler,
 ) error {
 	if len(c.contacts) == 0 {
-		return ErrNoContacts
+		return ErrNoEndpoints
 	}
 	lastErr := errors.New("no controller was asked")
 	maybeApplied := false
