--- a/internal/control/config/commit.go
+++ b/internal/control/config/commit.go
@@ -7,8 +7,8 @@
 	"sagelever/internal/control/quorum"
 )
 
-// KeepHighestVersion returns the rule for a single item without a history: the highest version prevails, and an equal
-// or lower one has no effect.
+// KeepHighestVersion returns an update for a single item without a history: a higher version replaces the current
+// value, and an equal or lower one has no effect.
 func KeepHighestVersion(incoming quorum.Value) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		if incoming.Version > current.Version {
@@ -18,16 +18,17 @@
 	}
 }
 
-// Commit returns the rule by which a change is decided, given the current values of all registers that it sets:
+// Commit returns the function that decides a change, given the current values of all registers that the change sets.
+// Its invariants are:
 //
-//   - The highest version of an item prevails.
-//   - Under one version only the first content that is confirmed is ever confirmed.
-//   - The change is atomic: if one of its items cannot be confirmed, none takes effect.
+//   - The highest version of an item is in force.
+//   - At most one content is ever confirmed under a version: the first one.
+//   - A change is atomic: if one of its items cannot be confirmed, none takes effect.
 //
-// An item that a higher version has already superseded is confirmed without effect, and recorded in the register's
+// An item that a higher version has already superseded is confirmed without effect. It is recorded in the register's
 // history, so that no other content can be confirmed under its version later.
 //
-// Outcome tells from the chosen values how the change ended.
+// Outcome derives the result of the change from the chosen values.
 func Commit(changes map[string]quorum.Value) quorum.DecideFunc {
 	digest := uint64(noChangeDigest)
 	if len(changes) > 1 {
@@ -42,10 +43,10 @@
 			case statusSuperseded:
 				recorded := recordSuperseded(current[key], incoming)
 				if statusOf(recorded, incoming) != statusConfirmed {
-					return nil // it is older than everything that the full history keeps
+					return nil // its version is lower than all that the full history keeps
 				}
 				next[key] = recorded
-			case statusConflict, statusForgotten:
+			case statusConflict, statusUnknown:
 				return nil
 			}
 		}
@@ -53,8 +54,8 @@
 	}
 }
 
-// supersede returns the new value of a register, with the current one added to its history. digest is that of the
-// change by which the new value comes, or noChangeDigest if it comes alone.
+// supersede returns the new value of a register, with the current one added to its history. digest is the digest of the
+// change that sets the new value, or noChangeDigest if the change sets no other item.
 func supersede(current, incoming quorum.Value, digest uint64) quorum.Value {
 	past := decodeHistory(current)
 	if current.Version > 0 {
@@ -65,15 +66,15 @@
 	return incoming
 }
 
-// recordSuperseded returns the current value of a register, with an incoming one of a lower version added to its
+// recordSuperseded returns the current value of a register, with an incoming value of a lower version added to its
 // history.
 func recordSuperseded(current, incoming quorum.Value) quorum.Value {
 	current.Annotation = decodeHistory(current).add(incoming).encode()
 	return current
 }
 
-// Outcome returns how a change ended, given the values that a round of Commit has chosen: nil if every item is
-// confirmed, else a *ConflictError or an *IndeterminateError.
+// Outcome returns the result of a change, given the values that were chosen in a round of Commit: nil if every item is
+// confirmed, otherwise a *ConflictError or an *IndeterminateError.
 func Outcome(chosen, changes map[string]quorum.Value) error {
 	var conflict *ConflictError
 	allConfirmed := true
@@ -91,7 +92,7 @@
 	case allConfirmed:
 		return nil
 	case conflict == nil:
-		return &IndeterminateError{Reason: forgottenReason}
+		return &IndeterminateError{Reason: unknownReason}
 	case partlyCommitted(chosen, changes):
 		return &IndeterminateError{Reason: partlyCommittedReason + conflict.Error()}
 	}
@@ -100,13 +101,13 @@
 
 // Reasons of an IndeterminateError.
 const (
-	forgottenReason = "a version in the call is older than the history that is kept, so that its content is not known"
-	// partlyCommittedReason precedes the reason why the change as a whole can't be committed.
+	unknownReason = "a version in the call is older than the history that is kept, so that its content is not known"
+	// partlyCommittedReason is a prefix; the reason why the change as a whole can't be committed follows.
 	partlyCommittedReason = "a part of this call is in force from an earlier attempt, but "
 )
 
-// partlyCommitted reports whether an interrupted attempt at this very change has left some of its items in force. The
-// change cannot be rejected then.
+// partlyCommitted reports whether an interrupted attempt at the same change has left some of its items in force. Such a
+// change must not be rejected.
 func partlyCommitted(chosen, changes map[string]quorum.Value) bool {
 	if len(changes) < 2 {
 		return false
@@ -114,8 +115,8 @@
 	digest := changeDigest(changes)
 	for key, incoming := range changes {
 		current := chosen[key]
-		cameByChange := current.Version == incoming.Version && decodeHistory(current).changeDigest == digest
-		if cameByChange && statusOf(current, incoming) == statusConfirmed {
+		setByChange := current.Version == incoming.Version && decodeHistory(current).changeDigest == digest
+		if setByChange && statusOf(current, incoming) == statusConfirmed {
 			return true
 		}
 	}
--- a/internal/control/config/digest.go
+++ b/internal/control/config/digest.go
@@ -15,7 +15,7 @@
 const deletedDigest = 0
 
 // contentDigest returns a digest of an item's content without its version: the first eight bytes of the SHA-256 of the
-// compact body. Two different contents have the same digest with a probability of 2^-64.
+// compact body. Two different contents collide with a probability of 2^-64.
 func contentDigest(value quorum.Value) uint64 {
 	if value.Deleted {
 		return deletedDigest
@@ -24,7 +24,7 @@
 	return max(deletedDigest+1, binary.BigEndian.Uint64(sum[:]))
 }
 
-// noChangeDigest stands for a value that did not come with others in one change. No change has it as its digest.
+// noChangeDigest stands for a value that was the only one in its change. No change has this digest.
 const noChangeDigest = 0
 
 // changeDigest returns a digest of everything that a change sets.
@@ -33,8 +33,8 @@
 	return max(noChangeDigest+1, binary.BigEndian.Uint64(sum[:]))
 }
 
-// ChangeText returns a text that is the same for two changes if and only if they set the same (but for collisions of
-// content digests). It is not printable.
+// ChangeText returns a string that identifies what a change sets: it is equal for two changes if and only if they set
+// the same items, versions and contents, apart from collisions of content digests. It is not printable.
 func ChangeText(changes map[string]quorum.Value) string {
 	var text bytes.Buffer
 	for _, key := range slices.Sorted(maps.Keys(changes)) {
@@ -47,8 +47,8 @@
 	return text.String()
 }
 
-// compactBody returns a JSON body without insignificant white space, by which bodies are compared. A body that is not
-// valid JSON is returned as it is.
+// compactBody returns a JSON body without insignificant white space, the form in which bodies are compared. A body that
+// is not valid JSON is returned unchanged.
 func compactBody(body string) string {
 	var compact bytes.Buffer
 	if json.Compact(&compact, []byte(body)) != nil {
--- a/internal/control/config/index.go
+++ b/internal/control/config/index.go
@@ -6,16 +6,16 @@
 	"sagelever/internal/control/quorum"
 )
 
-// Index is the configuration in force, arranged so that checking a change costs in proportion to the change and not to
-// the configuration. It is not safe for concurrent use.
+// Index indexes the configuration in force, so that the cost of checking a change depends on the size of the change and
+// not on that of the configuration. It is not safe for concurrent use.
 type Index struct {
 	current          map[string]quorum.Value // by register key
 	routes           map[string]indexedRoute // by name
-	routesByMatchKey nameSets                // names of routes by match key: one each, if Check was obeyed
-	routesByService  nameSets                // names of routes by the services that they name
+	routesByMatchKey nameSets                // names of routes by match key; one each if every change passed Check
+	routesByService  nameSets                // names of routes by the services that they refer to
 }
 
-// indexedRoute is a route as the index last read it.
+// indexedRoute is a route as of the last Update that read it.
 type indexedRoute struct {
 	value        quorum.Value
 	matchKey     string
@@ -27,8 +27,8 @@
 	return &Index{routes: map[string]indexedRoute{}, routesByMatchKey: nameSets{}, routesByService: nameSets{}}
 }
 
-// Update brings the index up to date with the configuration in force, by register key. It reads only the routes that
-// have changed. The index keeps the map, which must not change before the next Update.
+// Update updates the index to the configuration in force, given by register key. It decodes only the routes that have
+// changed. The index retains the map, which must not be modified before the next Update.
 func (x *Index) Update(current map[string]quorum.Value) {
 	x.current = current
 	for name := range x.routes {
@@ -46,7 +46,7 @@
 			continue
 		}
 		x.remove(name)
-		if route, err := decodeRoute(name, value); err == nil { // it was checked before it was committed
+		if route, err := decodeRoute(name, value); err == nil { // committed routes are valid
 			x.add(name, indexedRoute{value: value, matchKey: route.matchKey(), serviceNames: route.serviceNames()})
 		}
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-// nameSets are sets of names by a key. There are no empty sets.
+// nameSets are sets of names by key. No set is empty.
 type nameSets map[string]map[string]bool
 
 func (sets nameSets) add(key, name string) {
@@ -89,11 +89,13 @@
 	}
 }
 
-// Check reports whether a change may take effect on the configuration in force: afterwards every route of the change
-// names services that exist, no route has lost its service, and no two routes have the same host and path prefix.
+// Check checks a change against the configuration in force. With the change applied, every route of the change must
+// refer to existing services, no route in force may refer to a deleted service, and no two routes may have the same
+// host and path prefix.
 //
-// An item that was confirmed before is not checked again: it is confirmed again, whatever has changed since. The error
-// is an *InvalidError, or an *IndeterminateError if an earlier attempt at the change has taken effect in part.
+// Items that were already confirmed are not checked, as they are confirmed again even if the configuration has changed
+// since. The error is an *InvalidError, or an *IndeterminateError if an earlier attempt at the change has taken effect
+// in part.
 func (x *Index) Check(changes map[string]quorum.Value) error {
 	claimed := map[string]string{}
 	for key, value := range changes {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// checkItem checks one item of a change. claimed are the names of the change's routes that were checked so far, by
+// checkItem checks one item of a change. claimed holds the names of the change's routes that were checked so far, by
 // match key.
 func (x *Index) checkItem(
 	changes map[string]quorum.Value, claimed map[string]string, key string, value quorum.Value,
@@ -123,8 +125,9 @@
 	return nil
 }
 
-// checkRoute checks a route of a change. Even a route that would have no effect is invalid if it names a service that
-// never existed, because it cannot have been valid at any time. If its version is forgotten, no more can be said of it.
+// checkRoute checks a route of a change. A route that would have no effect is still invalid if it refers to a service
+// that never existed, because it was not valid at any time. For a version that the history no longer covers, this is
+// the only check.
 func (x *Index) checkRoute(
 	changes map[string]quorum.Value, claimed map[string]string, name string, value quorum.Value,
 ) error {
@@ -147,7 +150,7 @@
 	return x.checkMatchKey(changes, claimed, name, route.matchKey())
 }
 
-// checkMatchKey checks that a route that takes effect shares its match key with no other route, and claims the key.
+// checkMatchKey checks that no other route has the match key of a route that takes effect, and adds the key to claimed.
 func (x *Index) checkMatchKey(
 	changes map[string]quorum.Value, claimed map[string]string, name, matchKey string,
 ) error {
@@ -164,7 +167,7 @@
 	return nil
 }
 
-// serviceAvailable reports whether a route of a change may name a service, given the status of the route.
+// serviceAvailable reports whether a route of a change may refer to a service, given the status of the route.
 func (x *Index) serviceAvailable(changes map[string]quorum.Value, service string, status itemStatus) bool {
 	key := Key(KindServices, service)
 	current := x.current[key]
@@ -189,8 +192,8 @@
 	return changed && statusOf(x.current[key], incoming) == statusNewer
 }
 
-// checkRemovedService checks that no route is left that names a service which the change deletes. The routes of the
-// change itself are checked by checkRoute.
+// checkRemovedService checks that no route in force still refers to a service that the change deletes. The routes of
+// the change itself are checked by checkRoute.
 func (x *Index) checkRemovedService(changes map[string]quorum.Value, service string) error {
 	for route := range x.routesByService[service] {
 		if !x.isReplaced(changes, route) {
--- a/internal/control/config/key.go
+++ b/internal/control/config/key.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Kinds of items. The limits are a single item, whose name is empty.
+// Kinds of items. KindLimits has a single item, whose name is empty.
 const (
 	KindRoutes   = "routes"
 	KindServices = "services"
@@ -10,17 +10,17 @@
 	KindTenants  = "tenants"
 )
 
-// KeyPrefix begins the key of every register that stores an item.
+// KeyPrefix is the prefix of the keys of registers that store items.
 const KeyPrefix = "item/"
 
 // Key returns the key of the register that stores an item.
 func Key(kind, name string) string { return KeyPrefix + kind + "/" + name }
 
-// SplitKey is the inverse of Key. ok is false if the key is not that of an item.
+// SplitKey returns the kind and the name that Key was given. ok is false if no item has this key.
 func SplitKey(key string) (kind, name string, ok bool) {
-	rest, ok := strings.CutPrefix(key, KeyPrefix)
+	suffix, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
 		return "", "", false
 	}
-	return strings.Cut(rest, "/")
+	return strings.Cut(suffix, "/")
 }
--- a/internal/control/config/request.go
+++ b/internal/control/config/request.go
@@ -7,10 +7,10 @@
 	"sagelever/internal/control/quorum"
 )
 
-// maxNesting bounds the levels of JSON in a change request; a valid one has six.
+// maxNesting bounds the nesting depth of JSON in a change request. A valid request has a depth of six.
 const maxNesting = 32
 
-// ParseChangeRequest reads a change request. Data behind the request, or nesting beyond maxNesting levels, is an error.
+// ParseChangeRequest decodes a change request. Trailing data and nesting deeper than maxNesting are errors.
 func ParseChangeRequest(data []byte) (*ChangeRequest, error) {
 	if err := checkNesting(data); err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 	return request, nil
 }
 
-// checkNesting protects the JSON decoder, which is recursive, from exhausting the stack.
+// checkNesting rejects deeply nested JSON, on which the recursive decoder would exhaust the stack.
 func checkNesting(data []byte) error {
 	depth, inString := 0, false
 	for i := 0; i < len(data); i++ {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Values returns the values that the request sets, by register key. It checks each item by itself; whether the change
-// fits the configuration in force is for Index.Check.
+// Values returns the values that the request sets, by register key. It validates each item in isolation; Index.Check
+// checks the change against the configuration in force.
 func (c *ChangeRequest) Values() (map[string]quorum.Value, error) {
 	values := changedValues{}
 	for _, item := range c.PutItems.Items {
@@ -68,7 +68,7 @@
 	return values, nil
 }
 
-// checkItem checks what can be checked of an item by itself.
+// checkItem validates an item in isolation.
 func checkItem(item Item) error {
 	if item.Type != KindLimits && item.Metadata.Name == "" {
 		return errors.Errorf("%s: without a name", item.Type)
@@ -82,7 +82,7 @@
 // changedValues are the values that a change sets, by register key.
 type changedValues map[string]quorum.Value
 
-// put adds an item. If a request has an item twice, its highest version prevails, as it does between requests.
+// put adds an item. If a request has an item more than once, the highest version is kept, as it is across requests.
 func (values changedValues) put(kind, name, version string, value quorum.Value) error {
 	label := kind + " " + name
 	number, err := ParseVersion(version)
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// DependsOnOtherItems reports whether the validity of a change depends on items that it does not set: a route names
-// services, and a service that is deleted may be named by routes. Any other change is valid by itself.
+// DependsOnOtherItems reports whether the validity of a change depends on items that it does not set. This is the case
+// if the change sets a route, which refers to services, or deletes a service, which routes may refer to.
 func DependsOnOtherItems(changes map[string]quorum.Value) bool {
 	for key, value := range changes {
 		kind, _, _ := SplitKey(key)
--- a/internal/control/config/self_contained.go
+++ b/internal/control/config/self_contained.go
@@ -7,10 +7,11 @@
 	"sagelever/internal/control/quorum"
 )
 
-// isSelfContained reports whether a change is valid by the current values of its own registers and by the known
-// services alone, so that no other part of the configuration has to be read to check it. That is so if every route
-// keeps its host and path prefix, and each service it names is known or was already named by the route in force.
-// Changes of weights, timeouts and services are of this kind.
+// isSelfContained reports whether the validity of a change follows from the current values of its own registers and
+// from the known services, so that no other part of the configuration has to be read to check it. The conditions are
+// that the change deletes no service, that every route keeps its host and path prefix, and that every service of a
+// route is known or is one that the route in force already refers to. Changes of weights and timeouts, and new settings
+// of a service, are typically self-contained.
 func isSelfContained(current, known, changes map[string]quorum.Value) bool {
 	unknown := func(service string) bool { return !exists(known[Key(KindServices, service)]) }
 	for key, value := range changes {
@@ -30,7 +31,7 @@
 }
 
 // RequiredServices returns the register keys of the services that must be known for a change to be self-contained. ok
-// is false if the change cannot be self-contained, whatever services exist.
+// is false if the change is not self-contained even if all services exist.
 func RequiredServices(current, changes map[string]quorum.Value) (keys []string, ok bool) {
 	required := map[string]bool{}
 	for key, value := range changes {
@@ -52,13 +53,13 @@
 	return slices.Sorted(maps.Keys(required)), true
 }
 
-// addedServices returns the services that an incoming route names and the current one does not. inPlace is false if the
-// route is new or changes its host or path prefix, or if it has an older version that may have to be checked.
+// addedServices returns the services that an incoming route refers to and the current one does not. inPlace is false if
+// the route is new, if its host or path prefix changes, or if it has an older version that may have to be checked.
 func addedServices(name string, current, incoming quorum.Value) (added []string, inPlace bool) {
 	switch statusOf(current, incoming) {
 	case statusConfirmed, statusConflict:
-		return nil, true // nothing to check: it is confirmed again, or the change is a conflict
-	case statusSuperseded, statusForgotten:
+		return nil, true // needs no check: the item is confirmed again, or the change is rejected as a conflict
+	case statusSuperseded, statusUnknown:
 		return nil, false
 	}
 	if !exists(current) {
@@ -81,8 +82,8 @@
 	return added, true
 }
 
-// CommitSelfContained returns the rule of Commit for a change that was found to be self-contained. If by now, given the
-// current values of its registers, the change is not, it has no effect and must be checked by an Index.
+// CommitSelfContained is Commit for a change that was found to be self-contained. If the change is no longer
+// self-contained, given the current values of its registers, it has no effect and must be checked by an Index.
 func CommitSelfContained(known, changes map[string]quorum.Value) quorum.DecideFunc {
 	commit := Commit(changes)
 	return func(current map[string]quorum.Value) map[string]quorum.Value {
--- a/internal/control/config/validate.go
+++ b/internal/control/config/validate.go
@@ -11,7 +11,7 @@
 	"sagelever/internal/settings"
 )
 
-// Kinds of routes, by the protocol: whether a request may be sent a second time.
+// Kinds of routes in the protocol: whether a request may be sent more than once.
 const (
 	routeKindIdempotent    = "harmless"
 	routeKindNonIdempotent = "risky"
@@ -20,7 +20,7 @@
 const (
 	// maxTimeout bounds the timeout of a route (PROTOCOL, "The operator").
 	maxTimeout = 10 * time.Minute
-	// maxTargetOverTimeout bounds by how much a route's latency target may exceed its timeout, exclusively.
+	// maxTargetOverTimeout is the exclusive bound by which a route's latency target may exceed its timeout.
 	maxTargetOverTimeout = time.Minute
 	// maxWeight bounds the weight of a service in a route.
 	maxWeight = 1e9
@@ -32,7 +32,7 @@
 	validate() error
 }
 
-// DecodeBody reads and checks the body of an item of a kind. It returns an error for a body that could not be set.
+// DecodeBody decodes and validates the body of an item of a kind.
 func DecodeBody(kind, text string) (Body, error) {
 	body, err := newBody(kind)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return nil, errors.Errorf("%q is no type of item", kind)
 }
 
-// decodeRoute reads the body of a route from its register.
+// decodeRoute decodes the body of a route from the value of its register.
 func decodeRoute(name string, value quorum.Value) (*RouteBody, error) {
 	body, err := DecodeBody(KindRoutes, value.Body)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return body.(*RouteBody), nil
 }
 
-// ParseOptionalDuration reads a duration that may be left out, in which case it is 0.
+// ParseOptionalDuration parses a duration. It returns 0 for an empty text.
 func ParseOptionalDuration(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -81,13 +81,14 @@
 	return settings.ParseDuration(text)
 }
 
-// Idempotent reports whether requests of the route may be sent a second time.
+// Idempotent reports whether requests of the route may be sent more than once.
 func (r *RouteBody) Idempotent() bool { return r.Kind == routeKindIdempotent }
 
-// matchKey is what a request has to match for the route; no two routes may have the same.
+// matchKey returns the host and path prefix that requests of the route match, as a key. No two routes may have the
+// same.
 func (r *RouteBody) matchKey() string { return strings.ToLower(r.Host) + " " + r.PathPrefix }
 
-// serviceNames returns the services that the route names.
+// serviceNames returns the services that the route refers to.
 func (r *RouteBody) serviceNames() []string {
 	if r.Service != "" {
 		return []string{r.Service}
@@ -169,5 +170,5 @@
 	return nil
 }
 
-// validate accepts any regions: a tenant may be bound to regions that this load balancer does not have.
+// validate accepts any regions, because a tenant may be bound to regions that this load balancer does not have.
 func (t *TenantBody) validate() error { return nil }
--- a/internal/control/config/wire.go
+++ b/internal/control/config/wire.go
@@ -1,11 +1,11 @@
-// Package config is the load balancer's configuration: the items that operators send (routes, services, limits,
-// tenants), the rules by which a change is valid, and the rule by which it is committed to the replicated registers.
+// Package config defines the load balancer's configuration: the items that operators send (routes, services, limits,
+// tenants), the validation of changes, and the function that commits a change to the replicated registers.
 //
-// Every item is stored in a register of its own and carries a version chosen by the operator: the highest version is
-// in force, and under one version at most one content is ever confirmed, however often and in whatever order changes
-// are sent. See Commit.
+// Every item is stored in a register of its own and has a version chosen by the operator. The highest version is in
+// force, and at most one content is ever confirmed under a version, no matter how often and in which order changes are
+// sent. See Commit.
 //
-// The package does no I/O and reads no clock: its callers read and write the registers.
+// The package does no I/O and reads no clock; its callers read and write the registers.
 package config
 
 import (
@@ -26,21 +26,21 @@
 	Remove   map[string][]ItemRef `json:"remove"`
 }
 
-// ItemList is a list of items with their contents. It is also the answer to settings.read.
+// ItemList is a list of items with their contents. It is also the response to settings.read.
 //
 //easyjson:json
 type ItemList struct {
 	Items []Item `json:"items"`
 }
 
-// Item is one entry of the configuration. Type is one of the kinds; Body stays as it was sent, see DecodeBody.
+// Item is one entry of the configuration. Type is one of the kinds; Body is the JSON as sent, which DecodeBody decodes.
 type Item struct {
 	Type     string          `json:"type"`
 	Metadata Metadata        `json:"metadata"`
 	Body     json.RawMessage `json:"body"`
 }
 
-// Metadata is the name and the version of an item. The limits have no name.
+// Metadata holds the name and the version of an item. The limits have no name.
 type Metadata struct {
 	Name    string `json:"name,omitempty"`
 	Version string `json:"version"`
@@ -52,7 +52,7 @@
 	Version string `json:"version"`
 }
 
-// RouteBody is the body of a route. Durations are texts that settings.ParseDuration reads. Either Service or
+// RouteBody is the body of a route. Durations are strings in the format of settings.ParseDuration. Either Service or
 // WeightedServices is set.
 //
 //easyjson:json
@@ -62,10 +62,10 @@
 	Kind             string            `json:"kind"` // routeKindIdempotent or routeKindNonIdempotent
 	Timeout          string            `json:"giveUp"`
 	LatencyTarget    string            `json:"target_time"` // empty: none
-	Priority         int               `json:"rank"`        // the lowest goes first
+	Priority         int               `json:"rank"`        // requests with the lowest value are sent first
 	Service          string            `json:"service"`
 	WeightedServices []WeightedService `json:"shares"`
-	MaxAttempts      int               `json:"tries"`       // 0 stands for 1
+	MaxAttempts      int               `json:"tries"`       // 0 means 1
 	HomeRegions      []string          `json:"homeRegions"` // empty: served in any region
 	Tenant           string            `json:"tenant"`      // empty: none
 }
@@ -83,10 +83,10 @@
 	HealthCheckPath     string  `json:"checkPath"`
 	MaxConnections      int     `json:"maxLinks"`
 	WarmUp              string  `json:"warmUp"`       // a duration; empty: none
-	WarmUpRatePerSecond float64 `json:"warmingRateS"` // requests per second that a warming backend bears
+	WarmUpRatePerSecond float64 `json:"warmingRateS"` // requests per second that a backend can serve while warming up
 }
 
-// LimitsBody is the body of the limits: what a client may send. HeaderTimeout and IdleTimeout are durations.
+// LimitsBody is the body of the limits on client requests. HeaderTimeout and IdleTimeout are durations.
 //
 //easyjson:json
 type LimitsBody struct {
@@ -96,17 +96,17 @@
 	IdleTimeout    string `json:"quiet"`
 }
 
-// TenantBody is the body of a tenant. Its home regions bind all its routes.
+// TenantBody is the body of a tenant. Its home regions restrict all its routes.
 //
 //easyjson:json
 type TenantBody struct {
 	HomeRegions []string `json:"homeRegions"`
 }
 
-// versionDigits is the length of a version in the protocol: hexadecimal digits.
+// versionDigits is the number of hexadecimal digits of a version in the protocol.
 const versionDigits = 8
 
-// ParseVersion reads a version in the protocol's form: eight hexadecimal digits.
+// ParseVersion parses a version in the protocol's format: eight hexadecimal digits.
 func ParseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 16, 32)
 	if err != nil || len(text) != versionDigits {
@@ -115,5 +115,5 @@
 	return version, nil
 }
 
-// FormatVersion writes a version in the protocol's form.
+// FormatVersion formats a version in the protocol's format.
 func FormatVersion(version uint64) string { return fmt.Sprintf("%0*x", versionDigits, version) }
