--- a/internal/control/routing/capacity.go
+++ b/internal/control/routing/capacity.go
@@ -10,7 +10,7 @@
 	"sagelever/internal/control/replication"
 )
 
-// BackendCapacities returns the backends, by rising ID, as a capacity check counts them. backends are given by ID.
+// BackendCapacities returns the input of a capacity check for some backends, given by ID. It is sorted by ID.
 func BackendCapacities(
 	table *Table, backends map[string]*replication.Backend, regionByZone map[string]string, now time.Time,
 ) []drain.BackendCapacity {
@@ -33,8 +33,9 @@
 	return capacities
 }
 
-// isServing reports whether a backend can be counted on: it is not leaving for any reason, and its build is neither on
-// trial nor replaced. During a release that is the old build, after a finished one the new build.
+// isServing reports whether the capacity of a backend counts: the backend is not leaving service for any reason, and
+// its build is neither on trial nor replaced. The build that counts is the old one during a release and after a
+// reverted one, and the new one after a finished release.
 func isServing(table *Table, id string, backend *replication.Backend) bool {
 	if backend.Phase != replication.PhaseReady || table.Evacuated[backend.Zone] {
 		return false
--- a/internal/control/routing/route.go
+++ b/internal/control/routing/route.go
@@ -13,19 +13,19 @@
 // Route is a route of the configuration.
 type Route struct {
 	Name             string
-	Idempotent       bool // a request may be sent a second time
+	Idempotent       bool // a request may be sent more than once
 	Timeout          time.Duration
 	LatencyTarget    time.Duration
-	Priority         int // the lowest goes first
+	Priority         int // requests with the lowest value are sent first
 	MaxAttempts      int // at least 1
 	WeightedServices []config.WeightedService
-	HomeRegions      map[string]bool // where its requests may be served; nil: anywhere
+	HomeRegions      map[string]bool // regions where requests may be served; nil: any region
 	HomeRegionList   string          // HomeRegions, sorted and joined by commas
 	totalWeight      float64
 	tenant           string
 }
 
-// newRoute converts the body of a route. The durations were checked by config.DecodeBody.
+// newRoute converts the body of a route. Its durations are valid, as config.DecodeBody has checked them.
 func newRoute(name string, body *config.RouteBody) *Route {
 	route := &Route{
 		Name:             name,
@@ -56,10 +56,10 @@
 			return weighted.Service
 		}
 	}
-	return r.WeightedServices[0].Service // the weights were added up with a rounding error
+	return r.WeightedServices[0].Service // reached only by a rounding error in the total weight
 }
 
-// newSet returns the set of some names, or nil if there are none.
+// newSet returns a set of names, or nil if there are none.
 func newSet(names []string) map[string]bool {
 	if len(names) == 0 {
 		return nil
@@ -71,7 +71,8 @@
 	return set
 }
 
-// intersect returns what is in both sets. A nil set stands for everything; the result may be empty and not nil.
+// intersect returns the intersection of two sets. A nil set contains everything. The result is nil only if both sets
+// are.
 func intersect(a, b map[string]bool) map[string]bool {
 	if a == nil {
 		return b
--- a/internal/control/routing/table.go
+++ b/internal/control/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing is the configuration in the form in which a proxy uses it: an immutable table that finds the route of
-// a request and tells what operators drain or evacuate. A controller reads the same table to judge the capacity of the
-// backends. The package does no I/O.
+// Package routing provides the configuration as an immutable table, in which a proxy looks up the route of a request
+// and what operators drain or evacuate. A controller uses the same table to determine the capacity of the backends. The
+// package does no I/O.
 package routing
 
 import (
@@ -15,18 +15,18 @@
 	"sagelever/internal/settings"
 )
 
-// Table is the configuration as a proxy uses it. It never changes once it is built: a proxy replaces it as a whole, and
-// any number of goroutines may read it.
+// Table is the configuration in the form that a proxy uses. It is immutable and safe for concurrent use; a proxy
+// replaces it when the configuration changes.
 type Table struct {
 	routes        map[string]map[string]*Route // by lower-case host and path prefix
-	prefixLengths map[string][]int             // of each host's prefixes, the longest first
+	prefixLengths map[string][]int             // by host, in descending order
 	Services      map[string]*Service          // by name
 	Evacuated     map[string]bool              // zones to which no request may be sent
-	Drains        map[string][]drain.Drain     // what operators drain, by zone
-	DrainVersions map[string]uint64            // the versions of the registers that Drains were read from, by zone
+	Drains        map[string][]drain.Drain     // the active drains by zone
+	DrainVersions map[string]uint64            // the version of the register of drains, by zone
 	Releases      map[string]*release.Release  // by service
 	Limits        RequestLimits
-	ItemCount     int // items of the configuration, readable or not
+	ItemCount     int // items of the configuration, including those that cannot be decoded
 }
 
 // Service is a service of the configuration.
@@ -34,10 +34,10 @@
 	HealthCheckPath string
 	MaxConnections  int
 	WarmUp          time.Duration
-	WarmUpRate      float64 // requests per second that a warming backend bears
+	WarmUpRate      float64 // requests per second that a backend can serve while warming up
 }
 
-// RequestLimits are the limits on what a client may send.
+// RequestLimits are the limits on client requests.
 type RequestLimits struct {
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
@@ -45,8 +45,8 @@
 	IdleTimeout    time.Duration
 }
 
-// NewTable builds the table of the configuration in the registers, by their keys. A register that cannot be decoded is
-// left out: it was checked before it was committed.
+// NewTable builds the table from the registers, given by key. Registers that cannot be decoded are omitted; none is
+// expected, because changes are validated before they are committed.
 func NewTable(registers map[string]quorum.Value) *Table {
 	builder := &tableBuilder{
 		table: &Table{
@@ -64,18 +64,18 @@
 	for key := range registers {
 		keys = append(keys, key)
 	}
-	sort.Strings(keys) // so that, if two routes had the same host and path prefix, all proxies would use the same one
+	sort.Strings(keys) // so that all proxies use the same route if two have the same host and path prefix
 	for _, key := range keys {
 		if value := registers[key]; !value.Deleted {
 			builder.addRegister(key, value)
 		}
 	}
-	builder.bindTenants()
+	builder.applyTenantRegions()
 	builder.collectPrefixLengths()
 	return builder.table
 }
 
-// IsDrained reports whether an operator drains a backend of a service in a zone.
+// IsDrained reports whether a drain covers a backend of a service in a zone.
 func (t *Table) IsDrained(service, id, zone string) bool {
 	for _, active := range t.Drains[zone] {
 		if active.Covers(service, id) {
@@ -85,9 +85,9 @@
 	return false
 }
 
-// FindRoute returns the route of a request, or nil if there is none: of the routes of the host, the one with the
-// longest prefix of the path. It costs one look-up for each distinct length of the host's prefixes, however many routes
-// there are.
+// FindRoute returns the route of a request, or nil if there is none. Among the routes of the host, the one with the
+// longest matching path prefix is used. The cost is one lookup for each distinct prefix length of the host, regardless
+// of the number of routes.
 func (t *Table) FindRoute(host, path string) *Route {
 	host = strings.ToLower(withoutPort(host))
 	routes := t.routes[host]
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// withoutPort cuts the port off a host. A colon inside the brackets of an IPv6 address does not begin a port.
+// withoutPort returns a host without its port. A colon inside the brackets of an IPv6 address does not separate a port.
 func withoutPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host, ']') < i {
 		return host[:i]
@@ -109,10 +109,10 @@
 	return host
 }
 
-// tableBuilder collects registers into a table.
+// tableBuilder builds a table from registers.
 type tableBuilder struct {
 	table         *Table
-	tenantRegions map[string]map[string]bool // by tenant; nil: anywhere
+	tenantRegions map[string]map[string]bool // by tenant; nil: any region
 }
 
 // addRegister adds a register that is not deleted.
@@ -170,9 +170,9 @@
 	}
 }
 
-// bindTenants restricts routes to the home regions of their tenants, once all tenants are known. If both a route and
-// its tenant have home regions, both bind.
-func (b *tableBuilder) bindTenants() {
+// applyTenantRegions restricts routes to the home regions of their tenants. All tenants must have been added. If a
+// route and its tenant both have home regions, both restrictions apply.
+func (b *tableBuilder) applyTenantRegions() {
 	for _, routes := range b.table.routes {
 		for _, route := range routes {
 			if regions := b.tenantRegions[route.tenant]; route.tenant != "" && regions != nil {
@@ -198,7 +198,7 @@
 	}
 }
 
-// newService converts the body of a service. The durations were checked by config.DecodeBody.
+// newService converts the body of a service. Its durations are valid, as config.DecodeBody has checked them.
 func newService(body *config.ServiceBody) *Service {
 	warmUp, _ := config.ParseOptionalDuration(body.WarmUp)
 	return &Service{
@@ -209,7 +209,7 @@
 	}
 }
 
-// newRequestLimits converts the body of the limits. The durations were checked by config.DecodeBody.
+// newRequestLimits converts the body of the limits. Its durations are valid, as config.DecodeBody has checked them.
 func newRequestLimits(body *config.LimitsBody) RequestLimits {
 	headerTimeout, _ := settings.ParseDuration(body.HeaderTimeout)
 	idleTimeout, _ := settings.ParseDuration(body.IdleTimeout)
