--- a/internal/control/release/release.go
+++ b/internal/control/release/release.go
@@ -1,6 +1,6 @@
-// Package release is the gradual release of a new build of a service: its state in a register that a round of the
-// quorum decides (package quorum), the updates that start and end it, and the count of the proxies' votes. It does no
-// I/O; clocks are handed in.
+// Package release implements the gradual release of a new build of a service: its state, which is stored in a
+// replicated register (package quorum), the updates that start and end a release, and the count of the proxies' votes.
+// The package does no I/O; callers pass the current time.
 package release
 
 import (
@@ -14,18 +14,18 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// RegisterKeyPrefix begins the key of every register that holds a release.
+// RegisterKeyPrefix is the prefix of the keys of registers that store releases.
 const RegisterKeyPrefix = "release/"
 
-// RegisterKey returns the key of the register that holds the release of a service.
+// RegisterKey returns the key of the register that stores the release of a service.
 func RegisterKey(service string) string { return RegisterKeyPrefix + service }
 
-// Phase is how far a release has come, in the protocol's words. The empty Phase stands for none.
+// Phase is the phase of a release, as named in the protocol. It is empty if there is no release.
 type Phase string
 
 // Phases of a release.
 const (
-	PhaseInService Phase = "in_service" // it is under way
+	PhaseInService Phase = "in_service" // in progress
 	PhaseFinished  Phase = "finished"   // the target has replaced the old build
 	PhaseReverted  Phase = "reverted"   // the old build has all traffic again
 )
@@ -36,9 +36,9 @@
 type Release struct {
 	Target     string `json:"target"` // the version of the new build
 	Phase      Phase  `json:"phase"`
-	DurationMs int64  `json:"over"`   // over which the share of the new build rises
+	DurationMs int64  `json:"over"`   // duration of the increase of the new build's share
 	StartedMs  int64  `json:"began"`  // Unix milliseconds, by the clock of the controller that received the order
-	Number     uint64 `json:"number"` // counts the releases of the service, from 1
+	Number     uint64 `json:"number"` // of the release among those of the service, from 1
 }
 
 // StartRequest is the body of a releases.begin call.
@@ -50,12 +50,12 @@
 	Duration string `json:"over"`
 }
 
-// Start returns the update that starts a release. One to the same target over the same duration that is under way
-// continues; any other is replaced.
+// Start returns the update that starts a release. A release in progress with the same target and duration continues;
+// any other is replaced.
 func Start(target string, duration time.Duration, now time.Time) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		release, exists := Read(current)
-		if exists && release.isUnderWay(target, duration) {
+		if exists && release.isInProgress(target, duration) {
 			return current
 		}
 		next := &Release{
@@ -69,15 +69,15 @@
 	}
 }
 
-// StartOnce is Start for an order that may be a copy of an earlier one: an order with the same target and duration
-// within the window changes nothing, even if another release was started since.
+// StartOnce is Start for an order that may be a resent one: an order with the same target and duration as an earlier
+// one within the window has no effect, even if another release was started in between.
 func StartOnce(target string, duration time.Duration, now time.Time, window time.Duration) quorum.UpdateFunc {
 	order := duration.String() + " " + target
 	return dedup.ApplyOnce(order, now, window, Start(target, duration, now))
 }
 
-// End returns the update that ends the release with a number, in a phase. A release that has already ended stays as it
-// is, so that of two decisions that race the first is kept.
+// End returns the update that ends the release with the given number in the given phase. It has no effect on a release
+// that has already ended, so that the first of two concurrent decisions is kept.
 func End(number uint64, phase Phase) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		release, exists := Read(current)
@@ -89,7 +89,7 @@
 	}
 }
 
-// Read returns the release in a register, and whether there is one that can be read. The release is never nil.
+// Read decodes the release in a register, and reports whether there is a valid one. The release is never nil.
 func Read(value quorum.Value) (*Release, bool) {
 	release := &Release{}
 	if value.Body == "" {
@@ -99,12 +99,12 @@
 	return release, err == nil
 }
 
-func (r *Release) isUnderWay(target string, duration time.Duration) bool {
+func (r *Release) isInProgress(target string, duration time.Duration) bool {
 	return r.Phase == PhaseInService && r.Target == target && r.DurationMs == duration.Milliseconds()
 }
 
-// replace returns the next value of the register, with this release.
+// replace returns the next value of the register, which stores this release.
 func (r *Release) replace(current quorum.Value) quorum.Value {
-	body, _ := easyjson.Marshal(r) // strings and integers always encode
+	body, _ := easyjson.Marshal(r) // encoding strings and integers cannot fail
 	return quorum.Value{Version: current.Version + 1, Body: string(body), Annotation: current.Annotation}
 }
--- a/internal/control/release/votes.go
+++ b/internal/control/release/votes.go
@@ -2,16 +2,17 @@
 
 import "sagelever/internal/control/replication"
 
-// Votes of a proxy on a release. A proxy that has not decided has no vote.
+// Votes of a proxy on a release. The vote of a proxy that has not decided is empty.
 const (
 	VoteRevert = "back"
 	VoteFinish = "on"
 )
 
-// CountVotes returns the phase in which the proxies' votes end the release with a number, or "" if it goes on.
+// CountVotes returns the phase in which the proxies' votes end the release with the given number, or "" if the release
+// continues.
 //
-// A single vote to revert ends it: a proxy casts it on the evidence of all proxies, and the sooner it counts, the fewer
-// requests fail. To finish it takes a majority of the proxies that see requests of the service.
+// A single vote to revert suffices: a proxy bases it on the reports of all proxies, and an early revert reduces the
+// number of failed requests. Finishing a release requires a majority of the proxies with requests to the service.
 func CountVotes(number uint64, tallies []*replication.ReleaseTally) Phase {
 	finishVotes, voters := 0, 0
 	for _, tally := range tallies {
