--- a/internal/control/drain/active.go
+++ b/internal/control/drain/active.go
@@ -9,11 +9,11 @@
 	"sagelever/internal/control/quorum"
 )
 
-// ActiveDrain is a drain that is in force, by the version of the register that lists it.
+// ActiveDrain is a drain in force, with the version of the register that lists it.
 type ActiveDrain struct {
-	Target    string // as Drain.TargetName writes it
+	Target    string // the result of Drain.TargetName
 	Zone      string
-	Version   uint64 // of the zone's register: a proxy that has this version or a later one knows of the drain
+	Version   uint64 // of the zone's register; a proxy with this version or a later one applies the drain
 	StartedAt time.Time
 	Covers    func(BackendCapacity) bool
 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// ActiveDrains returns the drains in force, given the chosen values of the registers, by rising zone.
+// ActiveDrains returns the drains in force, given the chosen values of the registers by key. They are sorted by zone.
 func ActiveDrains(registers map[string]quorum.Value) []ActiveDrain {
 	var active []ActiveDrain
 	for _, key := range slices.Sorted(maps.Keys(registers)) {
--- a/internal/control/drain/capacity.go
+++ b/internal/control/drain/capacity.go
@@ -10,26 +10,26 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// ServiceLoad is the load that one kind of traffic puts on a service, as one proxy sees it. The loads of several
-// proxies add up.
+// ServiceLoad is the load that one class of traffic puts on a service, as measured by one proxy. The loads of several
+// proxies are added.
 //
 //easyjson:json
 type ServiceLoad struct {
 	Service           string  `json:"s"`
-	HomeRegions       string  `json:"h,omitempty"` // where it may be served, sorted, joined by commas; empty: anywhere
+	HomeRegions       string  `json:"h,omitempty"` // where it may be served: sorted, comma-separated; empty: any region
 	RequestsPerSecond float64 `json:"r"`
-	ServiceSeconds    float64 `json:"w"` // the mean time that a backend needs for a request
+	ServiceSeconds    float64 `json:"w"` // mean time that a backend takes for a request
 }
 
-// BackendCapacity is a backend as a capacity check counts it.
+// BackendCapacity is the capacity of a backend in a capacity check.
 type BackendCapacity struct {
 	ID         string
 	Service    string
 	Zone       string
 	Region     string
-	Slots      int     // requests that it processes at once
-	Serving    bool    // it gets new work, and is not about to leave
-	WarmUpRate float64 // requests per second that it bears while it is warming up; 0: it is warm
+	Slots      int     // requests that it processes concurrently
+	Serving    bool    // it gets new requests and is not leaving service
+	WarmUpRate float64 // requests per second that it can serve while warming up; 0: it is warm
 }
 
 // CapacityShortfall is a lack of capacity of a service, in slots.
@@ -37,10 +37,10 @@
 //easyjson:json
 type CapacityShortfall struct {
 	Service     string  `json:"service"`
-	HomeRegions string  `json:"homes,omitempty"` // of the traffic that would lack capacity; empty: all traffic
-	Required    float64 `json:"need"`            // slots that the load keeps busy
-	Remaining   float64 `json:"have"`            // slots that would be left
-	Current     float64 `json:"before"`          // slots that there are now
+	HomeRegions string  `json:"homes,omitempty"` // of the affected traffic; empty: all traffic
+	Required    float64 `json:"need"`            // slots that the load occupies
+	Remaining   float64 `json:"have"`            // slots that would remain
+	Current     float64 `json:"before"`          // slots that exist now
 }
 
 func (s CapacityShortfall) String() string {
@@ -52,22 +52,24 @@
 	return fmt.Sprintf(format, s.Service, scope, s.Required, s.Remaining, s.Current)
 }
 
-// headroomDeviations is how many standard deviations of the number of busy slots must remain free. That number is about
-// Poisson distributed, so that its standard deviation is the root of its mean. By the square-root staffing rule half a
-// deviation lets about every second request find a free slot at once.
+// headroomDeviations is the number of slots that must remain free, in standard deviations of the number of busy slots.
+// The latter is approximately Poisson distributed, so its standard deviation is the square root of its mean. By the
+// square-root staffing rule, about half of the requests find a free slot immediately with a headroom of half a
+// deviation.
 const headroomDeviations = 0.5
 
-// isShort reports whether the remaining slots are too few.
+// isShort reports whether the remaining slots are too few for the load with its headroom.
 func (s CapacityShortfall) isShort() bool {
 	headroom := headroomDeviations * math.Sqrt(s.Required)
 	return s.Required+headroom > s.Remaining || s.Remaining == 0
 }
 
-// CapacityShortfalls returns for which services and home regions too few slots would remain without the removed
-// backends, by service and regions. By Little's law a load keeps rate times service time slots busy.
+// CapacityShortfalls returns the services and home regions for which too few slots would remain without the removed
+// backends, sorted by service and regions. By Little's law, the number of slots that a load occupies is its request
+// rate times the service time.
 //
-// Backends that are not serving do not count, so that removals that are under way add up. A service without load is
-// short too if it would lose its last backend. A shortfall that none of the removed backends contributes to is not
+// Backends that are not serving do not count, so that removals in progress add up. A service without load also has a
+// shortfall if it would lose its last backend. A shortfall to which none of the removed backends contributes is not
 // reported.
 func CapacityShortfalls(
 	loads []ServiceLoad, backends []BackendCapacity, removed func(BackendCapacity) bool,
@@ -86,10 +88,11 @@
 	return shortfalls
 }
 
-// trafficClass is the traffic to a service that may be served in the same home regions; "" stands for any region.
+// trafficClass is the traffic to a service with the same home regions; no home regions stand for any region.
 type trafficClass struct{ service, homeRegions string }
 
-// includes reports whether all traffic of another class has to be served by backends that may serve this one.
+// includes reports whether all backends that may serve another class may also serve this one, so that the other class's
+// load counts towards this one's.
 func (c trafficClass) includes(other trafficClass) bool {
 	if other.service != c.service {
 		return false
@@ -105,13 +108,13 @@
 	return c.homeRegions == "" || regionsWithin(backend.Region, c.homeRegions)
 }
 
-// serviceTotal is the load on a service as a whole.
+// serviceTotal is the load of all traffic to a service.
 type serviceTotal struct {
 	busySlots         float64
 	requestsPerSecond float64
 }
 
-// meanServiceSeconds is 0 for a service without load.
+// meanServiceSeconds returns the mean time that a backend takes for a request, or 0 for a service without load.
 func (t serviceTotal) meanServiceSeconds() float64 {
 	if t.requestsPerSecond <= 0 {
 		return 0
@@ -125,7 +128,7 @@
 	totals    map[string]serviceTotal // by service
 }
 
-// newDemand adds up loads. Each service that has backends gets the class of all its traffic, loaded or not.
+// newDemand adds up loads. Each service with backends gets a class for all its traffic, even if it has no load.
 func newDemand(loads []ServiceLoad, backends []BackendCapacity) demand {
 	d := demand{busySlots: map[trafficClass]float64{}, totals: map[string]serviceTotal{}}
 	for _, load := range loads {
@@ -145,8 +148,8 @@
 	return d
 }
 
-// assess compares the slots that a class requires with those that remain. affected reports whether any removed backend
-// serves the class.
+// assess compares the slots that a class requires with those that would remain. affected reports whether any removed
+// backend serves the class.
 func (d demand) assess(
 	class trafficClass, backends []BackendCapacity, removed func(BackendCapacity) bool,
 ) (shortfall CapacityShortfall, affected bool) {
@@ -171,7 +174,8 @@
 	return shortfall, affected
 }
 
-// usableSlots returns the slots of a backend, or those that its rate keeps busy while it is warming up.
+// usableSlots returns the slots of a backend. While the backend is warming up, only the slots that its warm-up rate
+// occupies are usable.
 func (d demand) usableSlots(backend BackendCapacity) float64 {
 	usable := float64(backend.Slots)
 	if backend.WarmUpRate > 0 {
@@ -180,7 +184,7 @@
 	return usable
 }
 
-// regionsWithin reports whether all regions of one list, joined by commas, are in another.
+// regionsWithin reports whether all regions of one comma-separated list are in another.
 func regionsWithin(subset, regions string) bool {
 	for _, region := range strings.Split(subset, ",") {
 		if !strings.Contains(","+regions+",", ","+region+",") {
--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -1,10 +1,10 @@
-// Package drain is what operators take out of service: backends, services in a zone, or whole zones that are drained,
-// and zones that are evacuated. A drain stops new work and lets requests in flight finish; an evacuation stops all
-// traffic to a zone.
+// Package drain implements drains and evacuations, by which operators take backends out of service. A drain stops new
+// requests to a backend, to the backends of a service in a zone, or to all backends in a zone, and lets requests in
+// flight finish. An evacuation stops all traffic to a zone.
 //
-// Both are kept in registers that a round of the quorum decides (package quorum). This package holds the updates of
-// these registers, the check that enough capacity remains, and the progress of a drain from the reports of the proxies.
-// It does no I/O; clocks are handed in.
+// Both are stored in replicated registers (package quorum). This package provides the updates of these registers, the
+// check that enough capacity remains, and the progress of a drain according to the reports of the proxies. It does no
+// I/O; callers pass the current time.
 package drain
 
 import (
@@ -17,21 +17,21 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// ListKeyPrefix begins the key of every register that lists the drains of a zone.
+// ListKeyPrefix is the prefix of the keys of registers that list the drains in a zone.
 const ListKeyPrefix = "drain/"
 
-// ListKey returns the key of the register that lists the drains in a zone. There is a register for each zone and not
-// for each backend, so that the number of registers does not grow with the backends that were ever drained.
+// ListKey returns the key of the register that lists the drains in a zone. There is one register for each zone and not
+// for each backend, so that the number of registers does not grow with the number of backends that were ever drained.
 func ListKey(zone string) string { return ListKeyPrefix + zone }
 
-// ZoneOfListKey is the inverse of ListKey.
+// ZoneOfListKey returns the zone of a key that ListKey returned.
 func ZoneOfListKey(key string) string { return strings.TrimPrefix(key, ListKeyPrefix) }
 
-// maxPerZone bounds the drains in a zone.
+// maxPerZone bounds the number of drains in a zone.
 const maxPerZone = 256
 
-// Drain is an operator's order that something in a zone gets no new work: one backend if ID is set, the backends of a
-// service if Service is set, or else all backends.
+// Drain is an operator's order to send no new requests to backends in a zone: to one backend if ID is set, to the
+// backends of a service if Service is set, otherwise to all backends.
 //
 //easyjson:json
 type Drain struct {
@@ -40,7 +40,7 @@
 	StartedMs int64  `json:"b"` // Unix milliseconds, by the clock of the controller that received the order
 }
 
-// zoneDrains is the body of the register of ListKey.
+// zoneDrains is the body of a register that lists the drains in a zone.
 //
 //easyjson:json
 type zoneDrains struct {
@@ -52,10 +52,10 @@
 //easyjson:json
 type BeginRequest struct {
 	Target string `json:"target"`
-	Force  bool   `json:"force"` // begin even if too little capacity would remain
+	Force  bool   `json:"force"` // drain even if too little capacity would remain
 }
 
-// Covers reports whether a drain of a zone covers a backend of a service in that zone.
+// Covers reports whether the drain applies to a backend of a service in the drain's zone.
 func (d Drain) Covers(service, id string) bool {
 	if d.ID != "" {
 		return d.ID == id
@@ -63,10 +63,10 @@
 	return d.Service == "" || d.Service == service
 }
 
-// SameTarget reports whether two drains of a zone have the same target.
+// SameTarget reports whether two drains in one zone have the same target.
 func (d Drain) SameTarget(other Drain) bool { return d.Service == other.Service && d.ID == other.ID }
 
-// ReadList reads the drains from the register of a zone. A register that cannot be read has none.
+// ReadList decodes the drains in the register of a zone. It returns none if the register cannot be decoded.
 func ReadList(value quorum.Value) []Drain {
 	body := &zoneDrains{}
 	if value.Body == "" || easyjson.Unmarshal([]byte(value.Body), body) != nil {
@@ -75,14 +75,14 @@
 	return body.Drains
 }
 
-// encodeList returns the next value of a zone's register.
+// encodeList returns the next value of a zone's register, which lists the given drains.
 func encodeList(current quorum.Value, drains []Drain) quorum.Value {
-	body, _ := easyjson.Marshal(&zoneDrains{Drains: drains}) // strings and integers always encode
+	body, _ := easyjson.Marshal(&zoneDrains{Drains: drains}) // encoding strings and integers cannot fail
 	return quorum.Value{Version: current.Version + 1, Body: string(body), Annotation: current.Annotation}
 }
 
-// Find returns the drain with a target name, as given by Drain.TargetName, and the key of the register that lists it.
-// The name suffices: the backend may be gone by now.
+// Find returns the drain with a target name, as returned by Drain.TargetName, and the key of the register that lists
+// it. The backend need not exist any more.
 func Find(registers map[string]quorum.Value, name string) (key string, found Drain, ok bool) {
 	for key, value := range registers {
 		zone, isList := strings.CutPrefix(key, ListKeyPrefix)
--- a/internal/control/drain/evacuation.go
+++ b/internal/control/drain/evacuation.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// EvacuationKeyPrefix begins the key of every register that tells whether a zone is evacuated.
+	// EvacuationKeyPrefix is the prefix of the keys of registers that store the evacuation state of a zone.
 	EvacuationKeyPrefix   = "zone/"
 	acknowledgedKeyPrefix = "heard/"
 )
 
-// EvacuationKey returns the key of the register that tells whether a zone is evacuated.
+// EvacuationKey returns the key of the register that stores the evacuation state of a zone.
 func EvacuationKey(zone string) string { return EvacuationKeyPrefix + zone }
 
-// AcknowledgedKey returns the key of the register that holds the highest version of the register of EvacuationKey whose
-// order is known to have been acknowledged to the operator.
+// AcknowledgedKey returns the key of the register that stores the highest acknowledged version of the zone's evacuation
+// register: the order that set it is known to have been acknowledged to the operator.
 func AcknowledgedKey(zone string) string { return acknowledgedKeyPrefix + zone }
 
-// EvacuationState is what the register of EvacuationKey says: how many orders to evacuate the zone are in force, and
-// whether the last order withdrew one.
+// EvacuationState is the evacuation state of a zone: the number of evacuation orders in force, and whether the last
+// order withdrew one.
 type EvacuationState struct {
 	orders        int
 	lastWithdrawn bool
 }
 
-// maxEvacuationOrders bounds the orders that are counted for one zone.
+// maxEvacuationOrders bounds the number of evacuation orders in force for one zone.
 const maxEvacuationOrders = 1000
 
-// Words of the body of the register of EvacuationKey, see ReadEvacuation.
+// Words in the body of an evacuation register, see ReadEvacuation.
 const (
 	wordOff       = "off"
 	wordOn        = "on"
 	wordWithdrawn = "back"
 )
 
-// ReadEvacuation reads a body: "off", "on", "on N" with the number of orders in force, or "on N back" if the last order
-// withdrew one. The version before this one knows only the first two, and writes them.
+// ReadEvacuation parses the body of an evacuation register: "off", "on", "on N" with the number of orders in force, or
+// "on N back" if the last order withdrew one. The previous version of the software supports only the first two forms.
 func ReadEvacuation(body string) EvacuationState {
 	words := strings.Fields(body)
 	if len(words) == 0 || words[0] != wordOn {
@@ -58,7 +58,8 @@
 // InForce reports whether the zone is evacuated.
 func (s EvacuationState) InForce() bool { return s.orders > 0 }
 
-// encode is the inverse of ReadEvacuation. It writes what the version before this one can read where it can.
+// encode is the inverse of ReadEvacuation. It uses a form that the previous version of the software supports if there
+// is one.
 func (s EvacuationState) encode() string {
 	switch {
 	case s.orders == 0:
@@ -71,12 +72,13 @@
 	return wordOn + " " + strconv.Itoa(s.orders)
 }
 
-// SetEvacuation returns the update that orders the evacuation of a zone, or withdraws one such order. Orders add up: a
-// zone is evacuated until as many are withdrawn as were given.
+// SetEvacuation returns the update that orders the evacuation of a zone, or withdraws one such order. Orders are
+// counted: a zone is evacuated until as many orders are withdrawn as were given.
 //
-// An order has neither a name nor a body, so that a copy which an operator sends because the answer was lost looks like
-// another order. It is taken for a copy if the last order was of the same kind and is not known to have been
-// acknowledged. acknowledged is the version up to which orders are known to have been, see AcknowledgedKey.
+// An order has neither a name nor a body, so an order that an operator resends because the response was lost looks the
+// same as a new one. It is treated as resent, and has no effect, if the last order was of the same kind and is not
+// known to be acknowledged. acknowledged is the version up to which orders are known to be acknowledged, see
+// AcknowledgedKey.
 func SetEvacuation(evacuate bool, acknowledged uint64) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		state := ReadEvacuation(current.Body)
@@ -100,7 +102,7 @@
 	}
 }
 
-// accepts reports whether one more order can be counted, or one fewer.
+// accepts reports whether the number of orders can be increased or, for a withdrawal, decreased.
 func (s EvacuationState) accepts(evacuate bool) bool {
 	if evacuate {
 		return s.orders < maxEvacuationOrders
@@ -108,12 +110,12 @@
 	return s.orders > 0
 }
 
-// evacuationOrder stands for the last order in the annotation of the register of EvacuationKey: it records when that
+// evacuationOrder is the entry for the last order in the annotation of an evacuation register, which records when that
 // order was given.
 const evacuationOrder = "word"
 
-// SetEvacuationOnce is SetEvacuation for an order that is given now. An order can be a copy of the last one only within
-// the window; after it, the last one counts as acknowledged.
+// SetEvacuationOnce is SetEvacuation for an order given at the time now. An order can be a resent one only within the
+// window after the last order; later, the last order counts as acknowledged.
 func SetEvacuationOnce(evacuate bool, acknowledged uint64, now time.Time, window time.Duration) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		applied := dedup.ReadAppliedOrders(current)
@@ -129,8 +131,8 @@
 	}
 }
 
-// Acknowledge returns the update of the register of AcknowledgedKey that records that the order which brought a version
-// of the register of EvacuationKey was acknowledged.
+// Acknowledge returns the update of the register of AcknowledgedKey that records a version of the evacuation register
+// as acknowledged. A lower version has no effect.
 func Acknowledge(version uint64) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		if ReadAcknowledged(current) >= version {
@@ -140,8 +142,8 @@
 	}
 }
 
-// ReadAcknowledged reads the register of AcknowledgedKey. It returns 0 if there is none.
+// ReadAcknowledged decodes the register of AcknowledgedKey. It returns 0 for an empty register.
 func ReadAcknowledged(value quorum.Value) uint64 {
-	version, _ := strconv.ParseUint(value.Body, 10, 64) // an empty register is version 0
+	version, _ := strconv.ParseUint(value.Body, 10, 64) // an empty register means version 0
 	return version
 }
--- a/internal/control/drain/progress.go
+++ b/internal/control/drain/progress.go
@@ -7,21 +7,21 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// ProxyReport is what one proxy reports about drains.
+// ProxyReport is a proxy's report on drains.
 type ProxyReport struct {
 	Proxy         string
 	Zone          string
-	DrainVersions map[string]uint64         // by zone: the version of the register of drains that it has applied
-	InFlight      map[string]InFlightCounts // by backend
+	DrainVersions map[string]uint64         // the applied version of the register of drains, by zone
+	InFlight      map[string]InFlightCounts // by backend ID
 }
 
-// InFlightCounts are the numbers of requests that one proxy has in flight at one backend.
+// InFlightCounts are the numbers of requests in flight from one proxy to one backend.
 type InFlightCounts struct {
 	Idempotent    int
 	NonIdempotent int
 }
 
-// Progress is how far a drain has come.
+// Progress is the progress of a drain.
 //
 //easyjson:json
 type Progress struct {
@@ -47,38 +47,38 @@
 	NonIdempotent int    `json:"risky"`
 }
 
-// BlockingProxy is a proxy that a drain waits for: it has requests in flight, or does not know of the drain yet.
+// BlockingProxy is a proxy that a drain waits for: it has requests in flight, or has not applied the drain yet.
 //
 //easyjson:json
 type BlockingProxy struct {
 	Proxy         string `json:"node"`
 	Zone          string `json:"zone"`
-	MaySend       bool   `json:"sends"` // it does not know of the drain yet
+	MaySend       bool   `json:"sends"` // it has not applied the drain yet
 	Idempotent    int    `json:"harmless"`
 	NonIdempotent int    `json:"risky"`
 }
 
-// ProgressList is the answer to a drains.read call.
+// ProgressList is the response to a drains.read call.
 //
 //easyjson:json
 type ProgressList struct {
 	Drains []Progress `json:"drains"`
 }
 
-// Response is the answer to a drains.begin call. If the call was rejected for lack of capacity, Shortfalls says why.
+// Response is the response to a drains.begin call. Shortfalls is set if the call was rejected for lack of capacity.
 //
 //easyjson:json
 type Response struct {
 	Target        string              `json:"target"`
 	AlreadyActive bool                `json:"stood,omitempty"`
 	Shortfalls    []CapacityShortfall `json:"short,omitempty"`
-	Unresponsive  []string            `json:"unheard,omitempty"` // proxies whose load is not in the figures
-	// Backends are those that the rejected drain covers: each may be drained by itself when there is capacity.
+	Unresponsive  []string            `json:"unheard,omitempty"` // proxies whose load is not included
+	// Backends are those that the rejected drain covers. Each can be drained on its own once there is capacity.
 	Backends []string `json:"backends,omitempty"`
 }
 
-// MeasureProgress returns how far each drain has come, by the reports of the proxies. unresponsive are the proxies that
-// should have reported and did not; no drain is done before they have.
+// MeasureProgress returns the progress of each drain according to the reports of the proxies. unresponsive lists the
+// proxies whose reports are missing; no drain is done while there are any.
 func MeasureProgress(
 	drains []ActiveDrain, backends []BackendCapacity, reports []ProxyReport, unresponsive []string, now time.Time,
 ) []Progress {
@@ -100,7 +100,7 @@
 	return list
 }
 
-// addBackends adds the backends that the drain covers, and the requests that all proxies have in flight there.
+// addBackends adds the backends that the drain covers, with the requests in flight from all proxies.
 func (p *Progress) addBackends(active ActiveDrain, backends []BackendCapacity, reports []ProxyReport) {
 	for _, backend := range backends {
 		if !active.Covers(backend) {
@@ -118,7 +118,7 @@
 	}
 }
 
-// addBlockingProxies adds the proxies that the drain waits for, by name. The backends must have been added.
+// addBlockingProxies adds the proxies that the drain waits for, sorted by name. It must be called after addBackends.
 func (p *Progress) addBlockingProxies(active ActiveDrain, reports []ProxyReport) {
 	for _, report := range reports {
 		proxy := BlockingProxy{
--- a/internal/control/drain/target.go
+++ b/internal/control/drain/target.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// serviceZoneSeparator stands between the service and the zone in a target name.
+// serviceZoneSeparator separates the service from the zone in a target name.
 const serviceZoneSeparator = "@"
 
 // TargetName returns the name of the drain's target: BACKEND, SERVICE@ZONE or ZONE.
@@ -20,19 +20,19 @@
 	return zone
 }
 
-// ParseTarget reads the name of a target, as TargetName writes it. zones are the regions of the known zones, by zone;
-// zoneOf returns the zone of a backend, or "" if there is no such backend. Unknown zones and backends are errors.
-// Whether a service exists is for the caller to check.
+// ParseTarget parses a target name, as returned by Drain.TargetName. regionByZone has the regions of all zones; zoneOf
+// returns the zone of a backend, or "" if there is no such backend. An unknown zone or backend is an error. The caller
+// has to check that the service exists.
 func ParseTarget(
-	target string, zones map[string]string, zoneOf func(id string) string,
+	target string, regionByZone map[string]string, zoneOf func(id string) string,
 ) (zone string, parsed Drain, err error) {
 	if service, zone, ok := strings.Cut(target, serviceZoneSeparator); ok {
-		if zones[zone] == "" || service == "" {
+		if regionByZone[zone] == "" || service == "" {
 			return "", Drain{}, errors.Errorf("%q: want SERVICE@ZONE, and there is no such zone", target)
 		}
 		return zone, Drain{Service: service}, nil
 	}
-	if zones[target] != "" {
+	if regionByZone[target] != "" {
 		return target, Drain{}, nil
 	}
 	if zone := zoneOf(target); zone != "" {
--- a/internal/control/drain/target_test.go
+++ b/internal/control/drain/target_test.go
@@ -9,7 +9,7 @@
 	"sagelever/internal/control/routing"
 )
 
-// What the name of a target means, and which backends its drain covers.
+// A target name is parsed to the drain with this name, which covers the expected backends.
 func TestParseTarget(t *testing.T) {
 	regionByZone := map[string]string{"a1": "a", "b1": "b"}
 	zoneOf := func(id string) string { return map[string]string{"i1": "a1"}[id] }
--- a/internal/control/drain/update.go
+++ b/internal/control/drain/update.go
@@ -9,8 +9,8 @@
 	"sagelever/internal/control/quorum"
 )
 
-// Add returns the update that adds a drain to the register of its zone. A drain that is already listed changes nothing.
-// Drains of backends that have ended are removed on this occasion; if the zone still has maxPerZone, nothing changes.
+// Add returns the update that adds a drain to the register of its zone. It has no effect if the drain is already
+// listed. It also removes the drains of backends that have ended; if maxPerZone drains are left, it has no effect.
 func Add(added Drain, ended func(id string) bool, now time.Time) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		drains := ReadList(current)
@@ -26,8 +26,8 @@
 	}
 }
 
-// Remove returns the update that removes a drain from the register of its zone. A drain that is not listed changes
-// nothing.
+// Remove returns the update that removes a drain from the register of its zone. It has no effect if the drain is not
+// listed.
 func Remove(removed Drain) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		drains := ReadList(current)
@@ -39,26 +39,27 @@
 	}
 }
 
-// Prefixes of the orders that the register of a zone remembers; the target's name follows.
+// Prefixes of the orders recorded in the register of a zone. The target's name follows.
 const (
 	orderBegin = "begin "
 	orderEnd   = "end "
 )
 
-// AddRecorded is Add, and records the order in the register, so that AddedRecently recognizes a copy of it even when
-// the backend has ended and its drain was removed.
+// AddRecorded is like Add, and also records the order in the register, so that AddedRecently recognizes a resent order
+// even if the backend has ended and its drain was removed.
 func AddRecorded(
 	zone string, added Drain, ended func(id string) bool, now time.Time, window time.Duration,
 ) quorum.UpdateFunc {
 	return recordOrder(orderBegin+added.TargetName(zone), now, window, Add(added, ended, now))
 }
 
-// RemoveRecorded is Remove, and records the order in the register, so that RemovedRecently recognizes a copy of it.
+// RemoveRecorded is like Remove, and also records the order in the register, so that RemovedRecently recognizes a
+// resent order.
 func RemoveRecorded(zone string, removed Drain, now time.Time, window time.Duration) quorum.UpdateFunc {
 	return recordOrder(orderEnd+removed.TargetName(zone), now, window, Remove(removed))
 }
 
-// recordOrder returns an update that records an order in the register if it changes the register.
+// recordOrder returns an update that applies another one and records the order in the register if the register changes.
 func recordOrder(order string, now time.Time, window time.Duration, update quorum.UpdateFunc) quorum.UpdateFunc {
 	return func(current quorum.Value) quorum.Value {
 		next := update(current)
@@ -69,12 +70,12 @@
 	}
 }
 
-// AddedRecently reports whether AddRecorded has added a drain with this target name within the window.
+// AddedRecently reports whether AddRecorded added a drain with a target name within the window.
 func AddedRecently(registers map[string]quorum.Value, name string, now time.Time, window time.Duration) bool {
 	return orderRecorded(registers, orderBegin+name, now, window)
 }
 
-// RemovedRecently reports whether RemoveRecorded has removed a drain with this target name within the window.
+// RemovedRecently reports whether RemoveRecorded removed a drain with a target name within the window.
 func RemovedRecently(registers map[string]quorum.Value, name string, now time.Time, window time.Duration) bool {
 	return orderRecorded(registers, orderEnd+name, now, window)
 }
