--- a/internal/control/message/change.go
+++ b/internal/control/message/change.go
@@ -4,8 +4,8 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// ChangeRequest hands a change of the configuration over to another controller, which decides it together with those
-// that compete with it.
+// ChangeRequest forwards a change of the configuration to another controller, which decides it together with other
+// pending changes of the same registers.
 //
 //easyjson:json
 type ChangeRequest struct {
@@ -13,10 +13,10 @@
 	Change easyjson.RawMessage `json:"c"`
 }
 
-// ChangeResponse is how the operator's call is to be answered.
+// ChangeResponse is the response to return to the operator.
 //
 //easyjson:json
 type ChangeResponse struct {
-	Status int    `json:"s"` // of HTTP
+	Status int    `json:"s"` // HTTP status
 	Error  string `json:"e,omitempty"`
 }
--- a/internal/control/message/peer.go
+++ b/internal/control/message/peer.go
@@ -7,20 +7,20 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// PeerRequest is a request of one controller to another. Which fields it uses depends on the path under which it is
-// sent.
+// PeerRequest is a request from one controller to another. The path to which it is sent determines which fields are
+// set.
 //
 //easyjson:json
 type PeerRequest struct {
-	// Epoch is that of the sender's configuration. Whoever knows a newer one refuses.
+	// Epoch is the epoch of the sender's configuration. A receiver with a newer epoch rejects the request.
 	Epoch uint64 `json:"e,omitempty"`
 	// Proposal is the number of the Paxos round (PreparePath, AcceptPath, ConfirmPath).
 	Proposal quorum.ProposalNumber `json:"b"`
-	// Keys are the registers of a round (PreparePath, ConfirmPath), or those that are read by name (ReadPath).
+	// Keys are the registers of a round (PreparePath, ConfirmPath), or those to read (ReadPath).
 	Keys []string `json:"k,omitempty"`
 	// Entries are the values to accept (AcceptPath).
 	Entries []quorum.Entry `json:"v,omitempty"`
-	// Ranges describes what the sender holds, as range summaries (ReadPath, StatePath).
+	// Ranges summarizes the entries that the sender has (ReadPath, StatePath).
 	Ranges *rangesync.Request `json:"d,omitempty"`
 	// Configuration is the sender's configuration (StatePath).
 	Configuration *ConfigurationEntry `json:"s,omitempty"`
@@ -29,34 +29,35 @@
 	Generation uint64 `json:"g,omitempty"`
 }
 
-// PeerResponse answers a PeerRequest.
+// PeerResponse is the response to a PeerRequest.
 //
 //easyjson:json
 type PeerResponse struct {
 	OK bool `json:"o"`
-	// Entries are what was accepted on the registers (PreparePath), or what the sender lacks (ReadPath, StatePath).
+	// Entries are the accepted values of the registers (PreparePath), or the entries that the sender lacks (ReadPath,
+	// StatePath).
 	Entries []quorum.Entry `json:"h,omitempty"`
-	// Unconfirmed are the positions of the request's keys that the responder has not accepted under its proposal
-	// (ConfirmPath).
+	// Unconfirmed are the indexes of those keys of the request for which the responder has not accepted the request's
+	// proposal (ConfirmPath).
 	Unconfirmed []int `json:"u,omitempty"`
-	// Ranges is the result of the comparison that Entries belong to (ReadPath, StatePath).
+	// Ranges is the result of comparing the request's ranges, to which Entries belong (ReadPath, StatePath).
 	Ranges *rangesync.Response `json:"s,omitempty"`
-	// PromisedProposal is the higher proposal because of which a prepare or accept was rejected.
+	// PromisedProposal is the higher proposal that caused the rejection of a prepare or accept.
 	PromisedProposal quorum.ProposalNumber `json:"r"`
-	// Configuration is set where a newer configuration than the sender's is in force.
+	// Configuration is set if the responder has a newer configuration than the sender.
 	Configuration *ConfigurationEntry `json:"t,omitempty"`
 	// ActiveEpoch is the epoch in which the responder is, or was last, active (StatePath).
 	ActiveEpoch uint64 `json:"e,omitempty"`
 	// DiskID identifies the responder's disk (StatePath, GenerationPath).
 	DiskID string `json:"d,omitempty"`
-	// DiskGenerations is what the responder knows of other controllers' disks, by node (StatePath).
+	// DiskGenerations has the disks of other controllers that the responder knows, by node (StatePath).
 	DiskGenerations map[string]DiskGeneration `json:"x,omitempty"`
 	// Generation is the last known generation of the sender's disk (GenerationPath).
 	Generation uint64 `json:"g,omitempty"`
 }
 
-// DiskGeneration is what a controller knows of another controller's disk. The generation of a disk only grows, so that
-// a disk which was restored from an old copy is recognised by its lower number.
+// DiskGeneration is the last known generation of another controller's disk. The generation of a disk never decreases,
+// so a disk that was restored from an old copy is recognized by its lower number.
 type DiskGeneration struct {
 	DiskID string `json:"d"`
 	Number uint64 `json:"n"`
--- a/internal/control/message/survey.go
+++ b/internal/control/message/survey.go
@@ -7,28 +7,28 @@
 
 //go:generate go tool easyjson $GOFILE
 
-// InFlightReport is a proxy's answer to an in-flight survey: its unfinished requests at draining backends, and the
-// load it carries.
+// InFlightReport is a proxy's report for an in-flight survey: its requests in flight to draining backends, and its load
+// on services.
 //
 //easyjson:json
 type InFlightReport struct {
 	From     Member `json:"f"`
 	SurveyID uint64 `json:"k"`
-	// DrainVersions is, by zone, the version of the drains that the proxy acts on.
+	// DrainVersions has the version of the drains that the proxy has applied, by zone.
 	DrainVersions map[string]uint64             `json:"d,omitempty"`
 	Backends      []replication.BackendInFlight `json:"o,omitempty"`
 	Loads         []drain.ServiceLoad           `json:"l,omitempty"`
 }
 
-// InFlightSurvey is what one controller has collected from the proxies that hold a lease from it.
+// InFlightSurvey has the reports that one controller has collected from the proxies to which it granted a lease.
 //
 //easyjson:json
 type InFlightSurvey struct {
 	Reports []InFlightReport `json:"w,omitempty"`
-	Missing []string         `json:"m,omitempty"` // proxies that have not answered
+	Missing []string         `json:"m,omitempty"` // proxies that have not reported
 }
 
-// ProgressReports converts the survey into the input of the drain progress computation.
+// ProgressReports converts the survey to the input of drain.MeasureProgress and of the capacity check.
 func (s InFlightSurvey) ProgressReports() (reports []drain.ProxyReport, loads []drain.ServiceLoad) {
 	for _, report := range s.Reports {
 		inFlight := make(map[string]drain.InFlightCounts, len(report.Backends))
