--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -1,5 +1,5 @@
-// Package client is an operator's client of the control API: it changes the configuration, and begins, follows and ends
-// drains. It calls one controller after the other until it gets a definite response.
+// Package client implements an operator's client of the control API, which changes the configuration and starts,
+// monitors and ends drains. The client tries one controller after the other until it gets a definite response.
 package client
 
 import (
@@ -19,10 +19,11 @@
 )
 
 const (
-	// requestTimeout bounds a request to one controller, which may have to ask all others.
+	// requestTimeout bounds a request to one controller, which may have to query all others.
 	requestTimeout = 3 * time.Second
 
-	// initialBackoff is the pause after all controllers have been asked once. It doubles each time, up to maxBackoff.
+	// initialBackoff is the pause after the first round of all endpoints. It doubles after each further round, up to
+	// maxBackoff.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 
@@ -30,21 +31,21 @@
 	maxResponseBytes = 16 << 20
 )
 
-// ErrNoEndpoints is returned by a client that was given no address.
-var ErrNoEndpoints = errors.New("no contact is known: name one with --at")
+// ErrNoEndpoints is returned by calls of a client without endpoints.
+var ErrNoEndpoints = errors.New("no controller address given: specify one with --at")
 
 // Client calls the control API. It is not safe for concurrent use.
 type Client struct {
-	contacts []string
-	http     *http.Client
-	next     int // index of the contact to ask next, modulo their number: the one that has responded last
+	endpoints []string
+	http      *http.Client
+	next      int // index of the endpoint to call next, modulo their number; the last one with a definite response
 }
 
-// New returns a client of the controllers at some addresses, as host:port.
-func New(contacts []string) *Client {
+// New returns a client of the controllers with the given addresses, each as host:port.
+func New(endpoints []string) *Client {
 	return &Client{
-		contacts: contacts,
-		http:     &http.Client{Timeout: requestTimeout, CheckRedirect: checkRedirect},
+		endpoints: endpoints,
+		http:      &http.Client{Timeout: requestTimeout, CheckRedirect: checkRedirect},
 	}
 }
 
@@ -55,41 +56,42 @@
 	return nil
 }
 
-// RejectedError is a definite rejection, which repeating the call would not change: a 4xx except 408 and 429.
+// RejectedError is a definite rejection, that is, a 4xx status except 408 and 429. Repeating the call would not help.
 type RejectedError struct {
 	Status  int
 	Message string
 	Body    []byte
 
-	// MaybeApplied is set if another controller may have carried out the call before, without a definite response.
+	// MaybeApplied is set if another controller may have executed the call before, without a definite response.
 	MaybeApplied bool
 }
 
 func (e *RejectedError) Error() string { return e.Message }
 
-// Call makes an API call and decodes the response into out, unless that is nil. target is what the call is about;
-// it may be empty. A call without a definite response (an error, a time-out, a 5xx, 408 or 429) is repeated at the next
-// contact, with a growing pause after each round of all contacts, until ctx ends. Operations are idempotent within the
-// controllers' resend window. Call returns a *RejectedError if the call is rejected.
+// Call makes an API call and decodes the response into out, unless out is nil. target is the call's target, if any.
+//
+// A call without a definite response (an error, a timeout, a 5xx, 408 or 429 status) is repeated at the next endpoint,
+// with an exponential backoff after each round of all endpoints, until ctx ends. This is safe because operations are
+// idempotent within the controllers' resend window. Call returns a *RejectedError if the call is rejected.
 func (c *Client) Call(
 	ctx context.Context, call calls.Name, target string, body []byte, out easyjson.Unmarshaler,
 ) error {
-	if len(c.contacts) == 0 {
+	if len(c.endpoints) == 0 {
 		return ErrNoEndpoints
 	}
-	lastErr := errors.New("no controller was asked")
+	lastErr := errors.New("no request was sent")
 	maybeApplied := false
 	backoff := initialBackoff
 	for attempts := 0; ; attempts++ {
-		if attempts > 0 && attempts%len(c.contacts) == 0 {
+		if attempts > 0 && attempts%len(c.endpoints) == 0 {
 			wait(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 		}
 		if ctx.Err() != nil {
 			return errors.Wrap(lastErr, "no definite response in time")
 		}
-		contact := c.contacts[c.next%len(c.contacts)]
-		resp, err := c.post(ctx, contact, call, target, body)
+		endpoint := c.endpoints[c.next%len(c.endpoints)]
+		resp, err := c.post(ctx, endpoint, call, target, body)
 		switch {
 		case err != nil:
 			lastErr = err
@@ -103,14 +105,14 @@
 				MaybeApplied: maybeApplied,
 			}
 		default:
-			lastErr = errors.Errorf("%s: %d %s", contact, resp.status, resp.text())
+			lastErr = errors.Errorf("%s: %d %s", endpoint, resp.status, resp.text())
 		}
 		maybeApplied = maybeApplied || !isDialError(err)
 		c.next++
 	}
 }
 
-// isDialError reports whether a request has failed before it was sent.
+// isDialError reports whether a request failed before it was sent.
 func isDialError(err error) bool {
 	opErr, ok := errors.Into[*net.OpError](err)
 	return ok && opErr.Op == "dial"
@@ -124,7 +126,7 @@
 	}
 }
 
-// response is an HTTP response that was read to its end.
+// response is an HTTP response with its complete body.
 type response struct {
 	status int
 	body   []byte
@@ -137,7 +139,7 @@
 	if r.status == http.StatusRequestTimeout || r.status == http.StatusTooManyRequests {
 		return false
 	}
-	return r.status >= 400 && r.status < 500
+	return r.status >= http.StatusBadRequest && r.status < http.StatusInternalServerError
 }
 
 func (r response) decode(out easyjson.Unmarshaler) error {
@@ -149,9 +151,9 @@
 
 // post sends a call to one controller.
 func (c *Client) post(
-	ctx context.Context, contact string, call calls.Name, target string, body []byte,
+	ctx context.Context, endpoint string, call calls.Name, target string, body []byte,
 ) (response, error) {
-	address := "http://" + contact + "/api/rpc?call=" + url.QueryEscape(string(call))
+	address := "http://" + endpoint + "/api/rpc?call=" + url.QueryEscape(string(call))
 	if target != "" {
 		address += "&of=" + url.QueryEscape(target)
 	}
--- a/internal/control/client/drain.go
+++ b/internal/control/client/drain.go
@@ -13,12 +13,12 @@
 	"sagelever/internal/control/drain"
 )
 
-// capacityRetryInterval is how often DrainGradually checks whether the next backend can be spared.
+// capacityRetryInterval is the interval at which DrainGradually retries a drain that lacks capacity.
 const capacityRetryInterval = time.Second
 
-// InsufficientCapacityError is returned for a drain that was rejected, as it would leave too little capacity.
+// InsufficientCapacityError is returned for a drain that was rejected because too little capacity would remain.
 type InsufficientCapacityError struct {
-	Response drain.Response // tells where, and which backends the drain would have covered
+	Response drain.Response // has the shortfalls and the backends that the drain would cover
 }
 
 func (e *InsufficientCapacityError) Error() string {
@@ -34,8 +34,8 @@
 	return text.String()
 }
 
-// Drain takes a target out of service: a backend, SERVICE@ZONE or a zone. It returns an *InsufficientCapacityError if
-// too little capacity would be left, unless force is set.
+// Drain drains a target, which is a backend, SERVICE@ZONE or a zone. Unless force is set, it returns an
+// *InsufficientCapacityError if too little capacity would remain.
 func (c *Client) Drain(ctx context.Context, target string, force bool) (*drain.Response, error) {
 	body, err := easyjson.Marshal(&drain.BeginRequest{Target: target, Force: force})
 	if err != nil {
@@ -56,8 +56,8 @@
 	return nil, err
 }
 
-// Undrain withdraws a drain. It also succeeds where there is no such drain, but a controller that was asked before may
-// have withdrawn it.
+// Undrain withdraws a drain. It also succeeds if there is no such drain and another controller may have withdrawn it
+// during the call.
 func (c *Client) Undrain(ctx context.Context, target string) error {
 	err := c.Call(ctx, calls.DrainEnd, target, nil, nil)
 	rejected, ok := errors.Into[*RejectedError](err)
@@ -67,16 +67,17 @@
 	return err
 }
 
-// ListDrains returns the progress of the active drains: of all, or of the one with a target.
+// ListDrains returns the progress of the active drains: of the one with the given target, or of all if it is empty.
 func (c *Client) ListDrains(ctx context.Context, target string) ([]drain.Progress, error) {
 	list := &drain.ProgressList{}
 	err := c.Call(ctx, calls.DrainsRead, target, nil, list)
 	return list.Drains, err
 }
 
-// DrainGradually drains a target as its capacity can be spared: as a whole if possible, otherwise one backend after the
-// other, each as soon as the others carry the load without it. report is told what happens. What is drained when it
-// returns an error stays drained, and another call goes on from there.
+// DrainGradually drains a target as capacity permits: the whole target if possible, otherwise one backend after the
+// other, each as soon as the remaining backends have enough capacity for the load. It calls report with messages on its
+// progress. If it returns an error, the backends drained so far stay drained, and another call continues with the
+// others.
 func (c *Client) DrainGradually(ctx context.Context, target string, report func(string)) error {
 	_, err := c.Drain(ctx, target, false)
 	shortage, ok := errors.Into[*InsufficientCapacityError](err)
@@ -87,7 +88,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "drained so far: %s", strings.Join(drained, " "))
 	}
-	// One drain of the target replaces those of its backends, and covers backends that join later.
+	// One drain of the target replaces those of its backends, and also covers backends that join later.
 	if _, err := c.Drain(ctx, target, false); err != nil {
 		return err
 	}
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// drainEach drains backends one after the other and returns those that it has drained.
+// drainEach drains backends one after the other and returns those that it drained.
 func (c *Client) drainEach(ctx context.Context, ids []string, report func(string)) (drained []string, err error) {
 	for _, id := range ids {
 		found, err := c.drainWhenPossible(ctx, id, report)
@@ -117,8 +118,8 @@
 	return drained, nil
 }
 
-// drainWhenPossible drains a backend as soon as its capacity can be spared. found is false if the backend has ended by
-// itself. It returns an *InsufficientCapacityError if ctx ends first.
+// drainWhenPossible drains a backend as soon as enough capacity remains without it. found is false if the backend no
+// longer exists. It returns an *InsufficientCapacityError if ctx ends first.
 func (c *Client) drainWhenPossible(ctx context.Context, id string, report func(string)) (found bool, err error) {
 	lastReport := ""
 	for {
--- a/internal/control/client/format.go
+++ b/internal/control/client/format.go
@@ -13,8 +13,8 @@
 // columnPadding is the number of spaces between columns.
 const columnPadding = 2
 
-// WriteTable writes drains as a table for operators, and below it what each of them waits for. Idempotent requests are
-// called harmless and the others risky, as in the kind of a route.
+// WriteTable writes drains as a table for operators, followed by what each drain waits for. Idempotent requests are
+// called harmless and the others risky, as in the kinds of routes.
 func WriteTable(w io.Writer, drains []drain.Progress) {
 	if len(drains) == 0 {
 		fmt.Fprintln(w, "nothing is drained")
@@ -32,7 +32,7 @@
 			progress.Idempotent,
 			progress.NonIdempotent)
 	}
-	_ = table.Flush() // an operator's terminal: there is nobody else to tell
+	_ = table.Flush() // the output is the operator's terminal, so an error can't be reported elsewhere
 	for _, progress := range drains {
 		for _, blocker := range blockers(progress) {
 			fmt.Fprintf(w, "  %s: %s\n", progress.Target, blocker)
@@ -47,7 +47,7 @@
 	return "in progress"
 }
 
-// blockers returns what a drain waits for, a line for each proxy.
+// blockers describes what a drain waits for, in one line for each proxy.
 func blockers(progress drain.Progress) []string {
 	var lines []string
 	for _, proxy := range progress.BlockingProxies {
--- a/internal/control/client/format_test.go
+++ b/internal/control/client/format_test.go
@@ -7,7 +7,7 @@
 	"sagelever/internal/control/drain"
 )
 
-// The table names each drain, and below it each proxy that the drain waits for.
+// The table lists each drain, followed by each proxy that a drain waits for.
 func TestWriteTable(t *testing.T) {
 	var out strings.Builder
 	WriteTable(&out, []drain.Progress{
