--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -12,10 +12,10 @@
 	"sagelever/internal/telemetry"
 )
 
-// targetParam names what an operation is about, as a query parameter: a backend, a service, a zone or a drain.
+// targetParam is the query parameter that names the target of an operation: a backend, a service, a zone or a drain.
 const targetParam = "of"
 
-// Bounds of requests, in bytes.
+// Limits on the size of requests, in bytes.
 const (
 	maxConfigBytes = 16 << 20
 	maxBodyBytes   = 64 << 10 // of heartbeats and release orders
@@ -23,10 +23,10 @@
 	maxTargetBytes = 256
 )
 
-// retryAfter is the Retry-After of a 503, in seconds: another controller may be asked sooner.
+// retryAfter is the Retry-After header of a 503 response, in seconds. Callers may try another controller sooner.
 const retryAfter = "0.2"
 
-// apiFunc handles an operation. An error that it returns decides the response; it has written nothing then.
+// apiFunc handles an operation. If it returns an error, it has written nothing, and the error determines the response.
 type apiFunc func(w http.ResponseWriter, r *http.Request) error
 
 // ServeHTTP implements http.Handler.
@@ -36,7 +36,7 @@
 	}
 }
 
-// apiHandler serves backends and operators.
+// apiHandler returns the handler for requests from backends and operators.
 func (s *Server) apiHandler() http.Handler {
 	router := mux.NewRouter()
 	router.UseEncodedPath()
@@ -59,7 +59,7 @@
 	return router
 }
 
-// readTarget returns targetParam of a request.
+// readTarget returns the value of targetParam in a request.
 func readTarget(r *http.Request) (string, error) {
 	target := r.URL.Query().Get(targetParam)
 	if target == "" || len(target) > maxTargetBytes {
@@ -80,7 +80,7 @@
 	return nil, invalidRequest(err)
 }
 
-// writeError responds to an operation that failed.
+// writeError writes the response to an operation that failed with err.
 func writeError(w http.ResponseWriter, err error) {
 	if shortage, ok := errors.Into[*insufficientCapacityError](err); ok {
 		err = writeValue(w, statusOf(err), shortage.response)
@@ -98,7 +98,7 @@
 // writeOK acknowledges an operation that has no result.
 func writeOK(w http.ResponseWriter) { writeJSON(w, http.StatusOK, []byte("{}")) }
 
-// writeValue responds with a value as JSON. After an error, which is an *encodingError, nothing has been written.
+// writeValue responds with a value as JSON. If it returns an error, which is an *encodingError, it has written nothing.
 func writeValue(w http.ResponseWriter, status int, value easyjson.Marshaler) error {
 	data, err := easyjson.Marshal(value)
 	if err != nil {
--- a/internal/control/server/api_test.go
+++ b/internal/control/server/api_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Invalid requests get a 4xx with a text, and change nothing.
+// Invalid requests get a 4xx response with a text and have no effect.
 func TestInvalidRequests(t *testing.T) {
 	t.Parallel()
 	cluster := newStartedCluster(t)
@@ -59,8 +59,8 @@
 	}
 }
 
-// A member that is cut off neither confirms nor rejects any operation: it answers 503 at once, with a Retry-After. A
-// request that is malformed is rejected by any member.
+// A member without a quorum neither confirms nor rejects an operation: it responds 503 immediately, with a Retry-After
+// header. Any member rejects a malformed request.
 func TestPartitionedMemberIsUnavailable(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
--- a/internal/control/server/change.go
+++ b/internal/control/server/change.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	// timePerItem is added to callTimeout for each item of a change: callers wait that much longer for large ones.
+	// timePerItem is added to callTimeout for each item of a change, as callers wait longer for a large change.
 	timePerItem = 3 * time.Millisecond
 
-	// maxFailedHandOvers is how often a change is handed over without a definite answer before this controller proposes
-	// it itself.
+	// maxFailedHandOvers is the number of hand-overs without a definite answer after which this controller proposes a
+	// change itself.
 	maxFailedHandOvers = 2
 )
 
-// configChange is a change of the configuration, as an operator has sent it.
+// configChange is a change of the configuration that an operator has requested.
 type configChange struct {
-	body   []byte // of the call
+	body   []byte // of the request
 	values map[string]quorum.Value
-	keys   []string // of values, in order
+	keys   []string // keys of values, sorted
 
-	mayHandOver     bool // another controller may decide it
-	failedHandOvers int  // how often it was handed over without a definite answer
+	mayHandOver     bool // the change may be handed over to another controller
+	failedHandOvers int  // number of hand-overs without a definite answer
 }
 
-// newConfigChange parses the body of a call. It checks what can be checked without knowing the current configuration.
+// newConfigChange parses the body of a request. It checks everything that doesn't depend on the current configuration.
 func newConfigChange(body []byte) (*configChange, error) {
 	request, err := config.ParseChangeRequest(body)
 	if err != nil {
@@ -50,12 +50,12 @@
 	return &configChange{body: body, values: values, keys: slices.Sorted(maps.Keys(values))}, nil
 }
 
-// timeout is how long its caller waits, and how long an attempt at it may take.
+// timeout returns how long the caller waits for the change. It also bounds each attempt to commit the change.
 func (c *configChange) timeout() time.Duration {
 	return callTimeout + time.Duration(len(c.values))*timePerItem
 }
 
-// commit validates a change and commits it, as one operation with whatever is the same change sent again.
+// commit validates and commits a change. Concurrent calls with the same change share one operation.
 func (s *Server) commit(ctx context.Context, change *configChange) error {
 	if err := s.requireQuorum(); err != nil {
 		return err
@@ -70,7 +70,8 @@
 	})
 }
 
-// attemptChange commits a change once, or hands it over to the controller that decides those that compete with it.
+// attemptChange makes one attempt to commit a change. If another controller coordinates the competing changes, it hands
+// the change over to that controller.
 func (s *Server) attemptChange(ctx context.Context, change *configChange) error {
 	err := s.contended(change)
 	if err == nil {
@@ -84,8 +85,9 @@
 	return s.handOver(ctx, contended.Coordinator, change)
 }
 
-// handOver has the coordinator decide a change, and returns what it has answered. No answer, and one that leaves the
-// outcome open, counts as too few members: the change is attempted again.
+// handOver sends a change to the coordinator and returns an error if the coordinator rejects it. If there is no answer,
+// or if the answer leaves the outcome open, handOver returns replica.ErrTooFewResponses, so that the change is
+// attempted again.
 func (s *Server) handOver(ctx context.Context, coordinator message.Member, change *configChange) error {
 	body, err := easyjson.Marshal(&message.ChangeRequest{Change: change.body})
 	if err != nil {
@@ -103,10 +105,10 @@
 	return &coordinatorError{status: response.Status, message: response.Error}
 }
 
-// contended returns a *replica.ContendedError if a change is to be handed over without being validated here, which may
-// compete with the coordinator's rounds.
+// contended returns a *replica.ContendedError if a change is to be handed over without being validated here, as the
+// validation may compete with the coordinator's rounds.
 func (s *Server) contended(change *configChange) error {
-	if !change.handsOver() {
+	if !change.canHandOver() {
 		return nil
 	}
 	s.mu.Lock()
@@ -114,24 +116,25 @@
 	return s.replica.Contended(s.now())
 }
 
-// handsOver reports whether a change may be handed over: unless that has failed too often.
-func (c *configChange) handsOver() bool {
+// canHandOver reports whether the change may be handed over. It may not after maxFailedHandOvers failed hand-overs.
+func (c *configChange) canHandOver() bool {
 	return c.mayHandOver && c.failedHandOvers < maxFailedHandOvers
 }
 
-// proposer returns how a change is proposed.
+// proposer returns the function that proposes a change.
 func (s *Server) proposer(change *configChange) proposeFunc {
-	if change.handsOver() {
+	if change.canHandOver() {
 		return s.proposeOrHandOver
 	}
-	return s.proposeTogether
+	return s.proposeAtomic
 }
 
-// proposeFunc changes registers by one decision and returns their values as chosen.
+// proposeFunc changes registers by one decision and returns the chosen values.
 type proposeFunc func(ctx context.Context, keys []string, decide quorum.DecideFunc) (map[string]quorum.Value, error)
 
-// validateAndPropose validates a change against the current configuration and proposes it. The current configuration is
-// read only where validity depends on it, as a read costs a message to all members and grows with the configuration.
+// validateAndPropose validates a change against the current configuration and proposes it. It reads the current
+// configuration only if the validity of the change depends on it, as a read costs a message to all members and grows
+// with the configuration.
 func (s *Server) validateAndPropose(ctx context.Context, change *configChange) error {
 	propose := s.proposer(change)
 	if !config.DependsOnOtherItems(change.values) {
@@ -150,8 +153,8 @@
 	return commitWith(ctx, propose, change, config.Commit(change.values))
 }
 
-// commitSelfContained commits a change whose validity depends on no more than the services that it refers to. done is
-// false if that is not so, or cannot be told without reading the configuration.
+// commitSelfContained commits a change whose validity depends only on the services that it refers to. done is false if
+// the validity depends on other items too, or if this can't be determined without reading the configuration.
 func (s *Server) commitSelfContained(
 	ctx context.Context, propose proposeFunc, change *configChange,
 ) (done bool, err error) {
@@ -169,7 +172,7 @@
 	return !isType[*config.IndeterminateError](err), err
 }
 
-// commitWith proposes a change by a decision function and returns what became of it.
+// commitWith proposes a change with a decision function and returns the outcome.
 func commitWith(ctx context.Context, propose proposeFunc, change *configChange, decide quorum.DecideFunc) error {
 	chosen, err := propose(ctx, change.keys, decide)
 	if err != nil {
--- a/internal/control/server/clear_out.go
+++ b/internal/control/server/clear_out.go
@@ -10,8 +10,8 @@
 	"sagelever/internal/control/quorum"
 )
 
-// ackDeliveryTime is how long after the arrival of an order a response may be sent that surely reaches the caller
-// before it gives up, which is after a second, and repeats the order at another controller.
+// ackDeliveryTime is the time after the arrival of an order within which a response must be sent to reach the caller
+// reliably. A caller gives up after a second and repeats the order at another controller.
 const ackDeliveryTime = 700 * time.Millisecond
 
 // handleClearOutBegin takes all backends of a zone out of service.
@@ -19,12 +19,13 @@
 	return s.changeClearOut(w, r, calls.EvacuationBegin)
 }
 
-// handleClearOutFinish withdraws one order to clear out a zone. The zone is in service again once all are withdrawn.
+// handleClearOutFinish withdraws one order to clear out a zone. The zone returns to service once all such orders have
+// been withdrawn.
 func (s *Server) handleClearOutFinish(w http.ResponseWriter, r *http.Request) error {
 	return s.changeClearOut(w, r, calls.EvacuationEnd)
 }
 
-// changeClearOut carries out calls.EvacuationBegin or calls.EvacuationEnd.
+// changeClearOut executes calls.EvacuationBegin or calls.EvacuationEnd.
 func (s *Server) changeClearOut(w http.ResponseWriter, r *http.Request, call calls.Name) error {
 	zone, err := readTarget(r)
 	if err != nil {
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// proposeClearOut has an order on a zone chosen and returns the version that the zone's register has with it. Orders
-// add up, but a repetition of one that has not been acknowledged changes nothing.
+// proposeClearOut commits an order on a zone and returns the resulting version of the zone's register. Orders are
+// counted, but repeating an order that has not been acknowledged has no effect.
 func (s *Server) proposeClearOut(ctx context.Context, zone string, begin bool) (version uint64, err error) {
 	now := s.now()
 	err = s.newRetryPolicy(callTimeout).run(ctx, func(ctx context.Context) error {
@@ -77,11 +78,11 @@
 	return version, err
 }
 
-// recordAcknowledged records that the order which has brought a version of a zone's register was acknowledged in time:
-// the same order is a new one from then on. After a failure it still counts as a repetition, as it did before.
+// recordAcknowledged records that the order that produced a version of a zone's register was acknowledged in time. From
+// then on the same order counts as a new one. If the record fails, the same order still counts as a repetition.
 func (s *Server) recordAcknowledged(zone string, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	changes := map[string]quorum.UpdateFunc{drain.AcknowledgedKey(zone): drain.Acknowledge(version)}
-	_, _ = s.propose(ctx, changes) // see above: a failure does no harm
+	_, _ = s.propose(ctx, changes) // a failure is harmless: the order still counts as a repetition
 }
--- a/internal/control/server/configuration.go
+++ b/internal/control/server/configuration.go
@@ -14,7 +14,7 @@
 	"sagelever/internal/rpc"
 )
 
-// handleSettingsChange commits a change of the configuration: all of its items, or none.
+// handleSettingsChange commits a change of the configuration atomically: all of its items or none.
 func (s *Server) handleSettingsChange(w http.ResponseWriter, r *http.Request) error {
 	data, err := readBody(w, r, maxConfigBytes)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return list
 }
 
-// sharedIndex is an index of the current configuration that concurrent changes use in turn. It is built by the first
-// one and then kept up to date, as building it costs more than a check.
+// sharedIndex is an index of the current configuration that concurrent changes use one at a time. The first check
+// builds it and later checks update it, as building it costs more than a check.
 type sharedIndex struct {
 	mu    sync.Mutex
 	index *config.Index
--- a/internal/control/server/counters.go
+++ b/internal/control/server/counters.go
@@ -11,33 +11,33 @@
 	"sagelever/internal/telemetry"
 )
 
-// Distances of a peer, as indices of counters.sentBytes: traffic costs more the farther it goes.
+// Distances to a peer, used as indices of counters.sentBytes. The cost of traffic increases with the distance.
 const (
 	sameZone = iota
 	sameRegion
 	otherRegion
-	distances // number of distances
+	distanceCount // number of distances
 )
 
-// counters count what the controller has done since it started. They are logged every reportInterval.
+// counters are event counts since the start of the controller. They are logged every reportInterval.
 type counters struct {
 	heartbeats atomic.Int64
 	pulls      atomic.Int64
 	lookups    atomic.Int64
 	proposals  atomic.Int64
-	handedOver atomic.Int64 // changes that another controller was asked to decide
+	handedOver atomic.Int64 // changes handed over to another controller
 	peerCalls  atomic.Int64
-	sentBytes  [distances]atomic.Int64 // in responses to pulls, by distance
+	sentBytes  [distanceCount]atomic.Int64 // in responses to pulls, by distance
 }
 
-// pathCounters count the requests to one path of the peer port and their body bytes, as sent.
+// pathCounters count the requests to one path of the peer port and the bytes of their bodies as transmitted.
 type pathCounters struct {
 	calls         atomic.Int64
 	receivedBytes atomic.Int64
 	sentBytes     atomic.Int64
 }
 
-// countPath wraps the handler of a path of the peer port so that its requests are counted.
+// countPath wraps the handler of a path of the peer port to count its requests.
 func (s *Server) countPath(path string, handler http.HandlerFunc) http.HandlerFunc {
 	counters := &pathCounters{}
 	s.pathCounters[path] = counters
@@ -59,7 +59,7 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// countSent counts bytes that were sent to a peer in a zone.
+// countSent adds the size of a response to the counter for the distance of the peer's zone.
 func (s *Server) countSent(zone string, size int) {
 	distance := otherRegion
 	switch {
@@ -73,7 +73,7 @@
 
 // reportCounters logs all counters.
 func (s *Server) reportCounters() {
-	contention, use := s.contentionStats(), s.resources.use()
+	contention, usage := s.contentionStats(), s.resources.usage()
 	s.log.Info("counters",
 		zap.Int64("heartbeats", s.counters.heartbeats.Load()),
 		zap.Int64("pulls", s.counters.pulls.Load()),
@@ -82,8 +82,8 @@
 		zap.Int64("handedOver", s.counters.handedOver.Load()),
 		zap.Uint64("defeats", contention.Defeats),
 		zap.Uint64("batched", contention.Batched),
-		zap.Int64("connections", use.connections),
-		zap.Uint64("memoryMB", use.memoryBytes>>20),
+		zap.Int64("connections", usage.connections),
+		zap.Uint64("memoryMB", usage.memoryBytes>>20),
 		zap.Int64("peerCalls", s.counters.peerCalls.Load()),
 		zap.Int64("bytesSentInZone", s.counters.sentBytes[sameZone].Load()),
 		zap.Int64("bytesSentInRegion", s.counters.sentBytes[sameRegion].Load()),
@@ -113,36 +113,36 @@
 	})
 	page.Add("round_defeats_total", func() float64 { return float64(s.contentionStats().Defeats) })
 	page.Add("batched_proposals_total", func() float64 { return float64(s.contentionStats().Batched) })
-	page.Add("connections", func() float64 { return float64(s.resources.use().connections) })
-	page.Add("memory_bytes", func() float64 { return float64(s.resources.use().memoryBytes) })
+	page.Add("connections", func() float64 { return float64(s.resources.usage().connections) })
+	page.Add("memory_bytes", func() float64 { return float64(s.resources.usage().memoryBytes) })
 	page.Add("undecided_registers", func() float64 { return float64(s.undecidedCount()) })
 	page.Add("operations_in_progress", func() float64 { return float64(s.operations.size()) })
 	return page
 }
 
-// contentionStats returns what the replica has counted of competing rounds.
+// contentionStats returns the replica's statistics of competing rounds.
 func (s *Server) contentionStats() replica.ContentionStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.ContentionStats()
 }
 
-// undecidedCount returns how many registers hold a value that is not known to be chosen.
+// undecidedCount returns the number of registers whose value is not known to be chosen.
 func (s *Server) undecidedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.UndecidedCount()
 }
 
-// failureLog logs when writes to the disk begin to fail and when they succeed again, once each.
+// failureLog logs the first failed disk write of a series, and the first successful one after it.
 type failureLog struct {
 	log *zap.Logger
 
 	mu       sync.Mutex
-	failures int // consecutive
+	failures int // consecutive failed writes
 }
 
-// record takes the result of a write.
+// record logs the result of a write if it differs from that of the previous one.
 func (f *failureLog) record(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/control/server/drain.go
+++ b/internal/control/server/drain.go
@@ -15,17 +15,17 @@
 	"sagelever/internal/control/routing"
 )
 
-// drainTarget is what an order covers: a backend, a service in a zone, or a zone.
+// drainTarget is the target of a drain order: a backend, a service in a zone, or a zone.
 type drainTarget struct {
 	zone  string
 	drain drain.Drain
 }
 
-// name is how operators name the target.
+// name returns the name that operators use for the target.
 func (t drainTarget) name() string { return t.drain.TargetName(t.zone) }
 
 // handleDrainBegin takes backends out of service. It rejects an order that would leave too little capacity, unless the
-// order says to force it.
+// order has Force set.
 func (s *Server) handleDrainBegin(w http.ResponseWriter, r *http.Request) error {
 	data, err := readBody(w, r, maxDrainBytes)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return writeValue(w, http.StatusOK, response)
 }
 
-// beginDrain begins a drain unless it is active or was begun within the resend window: then the order is a repetition.
+// beginDrain begins a drain. If the drain is active or was begun within the resend window, the order is a repetition
+// and has no effect.
 func (s *Server) beginDrain(ctx context.Context, order *drain.BeginRequest) (drain.Response, error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -64,7 +65,7 @@
 	target, err := s.findDrainTarget(order.Target, backends)
 	if err != nil {
 		if drain.AddedRecently(values, order.Target, s.now(), s.resendWindow()) {
-			return drain.Response{Target: order.Target}, nil // the backend has ended since, and its drain with it
+			return drain.Response{Target: order.Target}, nil // the backend has ended since then, which also ended its drain
 		}
 		return drain.Response{}, err
 	}
@@ -82,7 +83,7 @@
 	return response, nil
 }
 
-// findDrainTarget resolves the name of a target. It returns a *notFoundError if nothing of that name is known.
+// findDrainTarget resolves the name of a target. It returns a *notFoundError if the name is unknown.
 func (s *Server) findDrainTarget(name string, backends map[string]*replication.Backend) (drainTarget, error) {
 	zone, parsed, err := drain.ParseTarget(name, s.settings.Zones, func(id string) string {
 		if backend := backends[id]; backend != nil {
@@ -100,7 +101,7 @@
 	return drainTarget{zone: zone, drain: parsed}, nil
 }
 
-// checkCapacity returns the shortfalls of capacity that a drain would cause or, if there are none, the backends that it
+// checkCapacity returns the capacity shortfalls that a drain would cause or, if there are none, the backends that it
 // would take out of service.
 func (s *Server) checkCapacity(
 	ctx context.Context, target drainTarget, values map[string]quorum.Value, backends map[string]*replication.Backend,
@@ -125,7 +126,8 @@
 	return response
 }
 
-// proposeDrain adds a drain to the drains of its zone. It returns errTooManyDrains if there is no room for it.
+// proposeDrain adds a drain to the drains of its zone. It returns errTooManyDrains if the zone has the maximum number
+// of drains.
 func (s *Server) proposeDrain(ctx context.Context, target drainTarget, values map[string]quorum.Value) error {
 	key := drain.ListKey(target.zone)
 	now := s.now()
@@ -147,7 +149,7 @@
 	})
 }
 
-// endedBackends returns which of the drained backends have ended, by ID.
+// endedBackends returns, by backend ID, whether the drained backends have ended.
 func (s *Server) endedBackends(drains []drain.Drain) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +160,7 @@
 	return ended
 }
 
-// handleDrainEnd withdraws a drain. It rejects an order on one that is not active, unless the order is a repetition.
+// handleDrainEnd withdraws a drain. It rejects the order if the drain is not active, unless the order is a repetition.
 func (s *Server) handleDrainEnd(w http.ResponseWriter, r *http.Request) error {
 	name, err := readTarget(r)
 	if err != nil {
@@ -175,7 +177,7 @@
 	return writeValue(w, http.StatusOK, drain.Response{Target: name})
 }
 
-// endDrain withdraws a drain; nothing happens if it was withdrawn within the resend window.
+// endDrain withdraws a drain. It does nothing if the drain was withdrawn within the resend window.
 func (s *Server) endDrain(ctx context.Context, name string) error {
 	values, err := s.readPrefix(ctx, drain.ListKey(""))
 	if err != nil {
@@ -196,7 +198,7 @@
 	})
 }
 
-// handleDrainsRead responds with the progress of the active drains: of all, or of the named one.
+// handleDrainsRead responds with the progress of all active drains, or of the one that targetParam names.
 func (s *Server) handleDrainsRead(w http.ResponseWriter, r *http.Request) error {
 	if err := s.requireQuorum(); err != nil {
 		return err
@@ -221,7 +223,7 @@
 	return writeValue(w, http.StatusOK, list)
 }
 
-// measureProgress surveys the proxies for what drains wait for.
+// measureProgress surveys the proxies and returns the progress of the active drains.
 func (s *Server) measureProgress(
 	ctx context.Context, active []drain.ActiveDrain, values map[string]quorum.Value,
 ) []drain.Progress {
@@ -231,14 +233,14 @@
 	return drain.MeasureProgress(active, capacities, reports, survey.unresponsive, s.now())
 }
 
-// backends returns the backends that are known and have not ended, by ID.
+// backends returns the known backends that have not ended, by ID.
 func (s *Server) backends() map[string]*replication.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.Backends()
 }
 
-// capacities returns the capacity of each backend by the given registers.
+// capacities computes the capacity of each backend from the given registers.
 func (s *Server) capacities(
 	values map[string]quorum.Value, backends map[string]*replication.Backend,
 ) []drain.BackendCapacity {
--- a/internal/control/server/driver.go
+++ b/internal/control/server/driver.go
@@ -12,10 +12,10 @@
 	"sagelever/internal/rpc"
 )
 
-// peerCallTimeout bounds a request of the replica to another controller.
+// peerCallTimeout bounds a request from the replica to another controller.
 const peerCallTimeout = 4 * time.Second
 
-// step calls a method of the replica under the lock and carries out what it brings.
+// step runs action, which calls the replica, while it holds s.mu, and then processes the replica's output.
 func (s *Server) step(action func(now time.Time)) {
 	s.mu.Lock()
 	action(s.now())
@@ -24,9 +24,9 @@
 	s.logEntries(entries)
 }
 
-// applyOutput carries out what the replica has produced since the last call, except for the log entries, which it
-// returns. The lock must be held: the store has to receive the saves in the order in which the replica has produced
-// them.
+// applyOutput processes the output that the replica has produced since the last call, except for the log entries, which
+// it returns. The caller must hold s.mu, as the store must receive the saves in the order in which the replica has
+// produced them.
 func (s *Server) applyOutput() []replica.LogEntry {
 	output := s.replica.TakeOutput()
 	s.startSaves(output.Saves)
@@ -44,8 +44,8 @@
 	return output.LogEntries
 }
 
-// startSaves writes registers, the least proposal number and the identity. The replica answers nobody on the strength
-// of them before HandleSaved has told it that they are on the disk.
+// startSaves writes registers, the minimum proposal number and the identity. The replica sends no response that depends
+// on them until a call of HandleSaved reports that they are durable.
 func (s *Server) startSaves(saves []replica.Save) {
 	for _, save := range saves {
 		write := s.store.PutAsync(encodeSave(save))
@@ -57,20 +57,20 @@
 	}
 }
 
-// sendRequests sends requests to other controllers. A request to several of them is encoded once.
+// sendRequests sends requests to other controllers. A request to several controllers is encoded once.
 func (s *Server) sendRequests(requests []replica.OutgoingRequest) {
 	bodies := map[*message.PeerRequest][]byte{}
 	for _, outgoing := range requests {
 		body := bodies[outgoing.Request]
 		if body == nil {
-			body, _ = easyjson.Marshal(outgoing.Request) // strings and integers only: it cannot fail
+			body, _ = easyjson.Marshal(outgoing.Request) // can't fail, as it contains only strings and integers
 			bodies[outgoing.Request] = body
 		}
 		go s.sendRequest(outgoing, body)
 	}
 }
 
-// sendRequest sends one request and hands the replica the response; nil if there is none.
+// sendRequest sends one request and passes the response to the replica, or nil if the request fails.
 func (s *Server) sendRequest(outgoing replica.OutgoingRequest, body []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
@@ -81,7 +81,8 @@
 	s.step(func(now time.Time) { s.replica.HandleResponse(now, outgoing.ID, response) })
 }
 
-// deliverResponses hands responses to the calls of other controllers that wait for them. The channels are buffered.
+// deliverResponses passes responses to the pending calls of other controllers. It does not block, as the channels are
+// buffered.
 func (s *Server) deliverResponses(responses []replica.OutgoingResponse) {
 	for _, response := range responses {
 		waiting := s.pendingCalls[response.CallID]
@@ -93,7 +94,8 @@
 	}
 }
 
-// deliverCompletions hands results to the proposals and reads that wait for them. The channels are buffered.
+// deliverCompletions passes results to the pending proposals and reads. It does not block, as the channels are
+// buffered.
 func (s *Server) deliverCompletions(completions []replica.Completion) {
 	for _, completion := range completions {
 		waiting := s.pendingTasks[completion.OperationID]
@@ -105,8 +107,8 @@
 	}
 }
 
-// pullNow makes the next pulls from members that are known to be up again start at once. A controller that is not known
-// as a member is asked who the members are.
+// pullNow starts the next pulls from the given members immediately, as they are known to be up again. A controller
+// without a pull loop is probed for the list of members.
 func (s *Server) pullNow(members []message.Member) {
 	for _, member := range members {
 		if cancel := s.cancelPulls[member.Addr]; cancel != nil {
@@ -117,8 +119,8 @@
 	}
 }
 
-// notifyAfter wakes the pulls that wait for updates after a delay, unless they are woken earlier. The lock must be
-// held.
+// notifyAfter wakes the pulls that wait for updates after a delay, unless an earlier wake-up is scheduled. The caller
+// must hold s.mu.
 func (s *Server) notifyAfter(delay time.Duration) {
 	at := s.now().Add(delay)
 	if !s.wakeAt.IsZero() && !at.Before(s.wakeAt) {
@@ -129,7 +131,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.wakeAt.IsZero() || s.now().Before(s.wakeAt) {
-			return // a more urgent update has woken them already
+			return // a more urgent update has already woken the pulls
 		}
 		s.wakeAt = time.Time{}
 		close(s.updated)
@@ -137,7 +139,7 @@
 	})
 }
 
-// scheduleTick calls the replica's Tick at a time, unless an earlier call is scheduled. The lock must be held.
+// scheduleTick schedules a call of the replica's Tick, unless an earlier call is scheduled. The caller must hold s.mu.
 func (s *Server) scheduleTick(due time.Time) {
 	if due.IsZero() || !s.nextTick.IsZero() && !due.Before(s.nextTick) {
 		return
@@ -151,7 +153,7 @@
 	})
 }
 
-// logEntries logs the replica's changes of state.
+// logEntries writes the replica's log entries to the server's log.
 func (s *Server) logEntries(entries []replica.LogEntry) {
 	for _, entry := range entries {
 		fields := make([]zap.Field, 0, len(entry.Fields))
--- a/internal/control/server/errors.go
+++ b/internal/control/server/errors.go
@@ -9,7 +9,7 @@
 	"sagelever/internal/control/drain"
 )
 
-// Reasons why an operation has no definite result. The caller may repeat it, at this controller or at another.
+// Errors of operations without a definite result. The caller may retry at this controller or at another one.
 var (
 	errInProgress        = errors.New("the operation is still in progress: ask again")
 	errTooManyOperations = errors.New("too many operations are in progress at this controller")
@@ -17,7 +17,7 @@
 	errNoProxies         = errors.New("no proxy is ready")
 )
 
-// errTooManyDrains rejects a drain in a zone that has as many as are allowed.
+// errTooManyDrains rejects a drain in a zone that has the maximum number of drains.
 var errTooManyDrains = errors.New("this zone has too many drains")
 
 // errNoSuchDrain rejects an operation on a drain that is not active.
@@ -35,22 +35,22 @@
 
 func (e *tooLargeError) Unwrap() error { return e.err }
 
-// insufficientCapacityError rejects a drain that would leave too little capacity. The response tells where.
+// insufficientCapacityError rejects a drain that would leave too little capacity. The response lists the shortfalls.
 type insufficientCapacityError struct{ response drain.Response }
 
 func (e *insufficientCapacityError) Error() string {
 	return "the drain would leave too little capacity"
 }
 
-// coordinatorError is the rejection of a change by the controller that it was handed over to.
+// coordinatorError reports that the controller to which a change was handed over has rejected it.
 type coordinatorError struct {
-	status  int // of HTTP
+	status  int // HTTP status code
 	message string
 }
 
 func (e *coordinatorError) Error() string { return e.message }
 
-// encodingError is a response that could not be encoded.
+// encodingError reports that a response could not be encoded.
 type encodingError struct{ err error }
 
 func (e *encodingError) Error() string { return e.err.Error() }
@@ -60,12 +60,12 @@
 // invalidRequest rejects a request whose content is invalid.
 func invalidRequest(err error) error { return &config.InvalidError{Err: err} }
 
-// invalidParam rejects a request, naming the parameter or field that is invalid.
+// invalidParam rejects a request with a text that names the invalid parameter or field.
 func invalidParam(text string) error { return invalidRequest(errors.New(text)) }
 
-// statusOf maps an error to the status of the response. A 4xx is definite: the operation is rejected and the caller
-// need not repeat it. Everything that is not known to be rejected gets 503, so that the caller asks again, here or at
-// another controller.
+// statusOf maps an error to the HTTP status of the response. A 4xx is definite: the operation is rejected and the
+// caller need not retry it. An error that is not known to be a rejection maps to 503, so that the caller retries, here
+// or at another controller.
 func statusOf(err error) int {
 	if rejection, ok := errors.Into[*coordinatorError](err); ok {
 		return rejection.status
--- a/internal/control/server/errors_test.go
+++ b/internal/control/server/errors_test.go
@@ -12,7 +12,8 @@
 	"sagelever/internal/control/replica"
 )
 
-// Only what is known to be rejected gets a 4xx; everything else gets 503 and a Retry-After, also when it is wrapped.
+// Only errors that are known to be rejections map to a 4xx. Other errors map to 503 with a Retry-After header, except
+// for encoding errors. Wrapped errors map to the same status.
 func TestStatusOf(t *testing.T) {
 	t.Parallel()
 	shortage := &insufficientCapacityError{drain.Response{Target: "z"}}
@@ -48,7 +49,7 @@
 	}
 }
 
-// A drain that is rejected for lack of capacity is answered with the figures.
+// The response to a drain that is rejected for lack of capacity contains the details.
 func TestWriteShortfalls(t *testing.T) {
 	t.Parallel()
 	recorder := httptest.NewRecorder()
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -10,13 +10,13 @@
 	"sagelever/internal/control/replication"
 )
 
-// heartbeatResponse answers a heartbeat of a backend that had better send the next one to another controller.
+// heartbeatResponse asks a backend to send its next heartbeat to another controller.
 type heartbeatResponse struct {
 	NextAddress string `json:"nextBeatTo"` // the control address of the controller nearest to the backend
 }
 
-// handleHeartbeat records a backend's heartbeat. One that says that the backend drains is acknowledged only once enough
-// members hold that: the backend may then rely on it that no proxy sends it new requests.
+// handleHeartbeat records a backend's heartbeat. A heartbeat of a draining backend is acknowledged only once enough
+// members hold that state: after the acknowledgement the backend may rely on receiving no new requests from proxies.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) error {
 	id, err := readTarget(r)
 	if err != nil {
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// handleSignOff removes a backend that ends. It is acknowledged, with an empty body, once enough members hold that.
+// handleSignOff removes a backend that shuts down. The request is acknowledged, with an empty body, once enough members
+// hold the removal.
 func (s *Server) handleSignOff(_ http.ResponseWriter, r *http.Request) error {
 	id, err := readTarget(r)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return s.awaitBackend(r.Context(), id)
 }
 
-// awaitBackend waits until enough members hold the state of a backend for it to be acknowledged.
+// awaitBackend waits until the state of a backend is replicated to enough members to be acknowledged.
 func (s *Server) awaitBackend(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/control/server/lookup.go
+++ b/internal/control/server/lookup.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxLookupTTL and minLookupTTL bound how long clients may use the result of a lookup, whatever the settings say.
-	// For that long, some of them still use a proxy that is lost.
+	// maxLookupTTL and minLookupTTL bound how long clients may use the result of a lookup, regardless of the settings.
+	// For up to that time, clients still use a proxy that has failed.
 	maxLookupTTL = 3 * time.Second
 	minLookupTTL = time.Second
 
@@ -19,7 +19,7 @@
 	maxLookupAddresses = 64
 )
 
-// lookupHandler serves clients that look for a proxy.
+// lookupHandler returns the handler for clients that look up proxies.
 func (s *Server) lookupHandler() http.Handler {
 	router := mux.NewRouter()
 	router.Path("/api/lookup").Methods(http.MethodGet).Handler(apiFunc(s.handleLookup))
@@ -40,12 +40,13 @@
 	return nil
 }
 
-// lookupTTL is how long clients may use the result of a lookup.
+// lookupTTL returns how long clients may use the result of a lookup.
 func (s *Server) lookupTTL() time.Duration {
 	return min(maxLookupTTL, max(s.settings.RuleLimits.MaxTTL, minLookupTTL))
 }
 
-// formatLookup encodes a response by hand, as lookups are frequent: addresses and durations need no escaping.
+// formatLookup encodes a response without a JSON encoder, as lookups are frequent. Addresses and durations need no
+// escaping.
 func formatLookup(addresses []string, ttl time.Duration) []byte {
 	var response bytes.Buffer
 	response.WriteString(`{"addresses":["`)
--- a/internal/control/server/lookup_test.go
+++ b/internal/control/server/lookup_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// A lookup is answered with the addresses and for how long they may be used.
+// The response to a lookup contains the addresses and how long they may be used.
 func TestFormatLookup(t *testing.T) {
 	t.Parallel()
 	want := []string{"10.0.0.1:80", "[fd00::1]:80"}
@@ -27,7 +27,7 @@
 	}
 }
 
-// Without a proxy, a lookup is answered 503, so that the client asks another controller.
+// If there is no proxy, the response to a lookup is 503, so that the client tries another controller.
 func TestLookupWithoutProxies(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
--- a/internal/control/server/operations.go
+++ b/internal/control/server/operations.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	// maxOperations bounds the operations in progress at once.
+	// maxOperations bounds the number of operations in progress.
 	maxOperations = 64
 
-	// maxOperationBytes bounds the bytes of their requests, so that a few large ones don't use up the memory.
+	// maxOperationBytes bounds the total size of the requests of operations in progress, so that a few large requests
+	// don't exhaust the memory.
 	maxOperationBytes = 2 * maxConfigBytes
 
-	// operationTimeout bounds an operation, which may take longer than its callers wait: they repeat it for about as
-	// long.
+	// operationTimeout bounds an operation. It is longer than a caller waits for one response, and about as long as
+	// callers repeat their request.
 	operationTimeout = 5 * time.Second
 )
 
-// operationFunc carries out an operation. It returns the version that the changed register has with it, where somebody
-// uses that.
+// operationFunc executes an operation. It returns the resulting version of the changed register, or 0 if no caller
+// needs the version.
 type operationFunc func(ctx context.Context) (version uint64, err error)
 
-// operationGroup runs operations, each once however often it is requested while it is in progress, so that repetitions
-// of an order don't compete with it. An operation goes on after its callers have given up; they get its result by
-// requesting it again before it ends. The zero value is ready to use.
+// operationGroup runs operations. An operation runs once, however often it is requested while it is in progress, so
+// that repetitions of an order don't compete with one another. An operation continues after its callers have given up;
+// they get its result by requesting it again before it ends. The zero value is ready to use.
 type operationGroup struct {
 	mu    sync.Mutex
 	byKey map[string]*operation
 	bytes int // of the requests of all operations in progress
 }
 
-// operation is one in progress. version and err may be read once done is closed.
+// operation is an operation in progress. version and err may be read once done is closed.
 type operation struct {
 	done    chan struct{}
-	size    int // bytes of its request
+	size    int // of the request, in bytes
 	version uint64
 	err     error
 }
@@ -53,15 +54,15 @@
 	return string(call) + " " + strings.Join(arguments, "\x00")
 }
 
-// run is join for an operation without a version.
+// run is like join, for an operation without a version.
 func (g *operationGroup) run(ctx context.Context, key string, size int, do func(ctx context.Context) error) error {
 	_, err := g.join(ctx, key, size, func(ctx context.Context) (uint64, error) { return 0, do(ctx) })
 	return err
 }
 
-// join waits for the operation with a key and returns its result. It starts the operation unless it is in progress;
-// then its do is not called. size is the number of bytes that the operation holds on to. join returns errInProgress if
-// ctx ends first, and errTooManyOperations if the operation can't be started.
+// join waits for the operation with a key and returns its result. If the operation is not in progress, join starts it
+// by calling do. size is the size of the request in bytes, which the operation keeps in memory. join returns
+// errInProgress if ctx ends first, and errTooManyOperations if the operation can't be started.
 func (g *operationGroup) join(ctx context.Context, key string, size int, do operationFunc) (version uint64, err error) {
 	current, err := g.joinOrStart(key, size, do)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// joinOrStart returns the operation with a key, which it starts unless it is in progress.
+// joinOrStart returns the operation with a key. It starts the operation if it is not in progress.
 func (g *operationGroup) joinOrStart(key string, size int, do operationFunc) (*operation, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,7 +96,7 @@
 	return started, nil
 }
 
-// execute carries out an operation, with a time limit of its own.
+// execute runs an operation with a timeout that is independent of the callers.
 func (g *operationGroup) execute(current *operation, key string, do operationFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
@@ -111,43 +112,43 @@
 	g.bytes -= ended.size
 }
 
-// size is the number of operations in progress.
+// size returns the number of operations in progress.
 func (g *operationGroup) size() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.byKey)
 }
 
-// resendWindow is how long an order without a version may be a repetition of an earlier one.
+// resendWindow returns how long after an order without a version the same order counts as a repetition.
 func (s *Server) resendWindow() time.Duration {
 	return dedup.ResendWindow(s.settings.RuleLimits.ConfirmTimeout)
 }
 
-// retryBackoff is the pause between two attempts of an operation.
+// retryBackoff determines the pause between two attempts of an operation.
 var retryBackoff = backoff.Policy{Initial: 100 * time.Millisecond, Max: 400 * time.Millisecond}
 
-// retryPolicy says how an operation is repeated while too few members respond.
+// retryPolicy determines how an operation is retried while too few members respond.
 type retryPolicy struct {
-	// attemptTimeout bounds an attempt, so that what it reads first is not outdated when it proposes.
+	// attemptTimeout bounds an attempt, so that the values that it reads are not outdated when it proposes.
 	attemptTimeout time.Duration
-	// leastAttempt returns the time that an attempt takes at least. None begins that could not end in time.
-	leastAttempt func() time.Duration
-	random       func() float64
+	// minAttemptTime returns the minimum duration of an attempt. No attempt starts if less time is left.
+	minAttemptTime func() time.Duration
+	random         func() float64
 }
 
-// newRetryPolicy returns the policy of the operations of this controller.
+// newRetryPolicy returns the retry policy for this controller's operations.
 func (s *Server) newRetryPolicy(attemptTimeout time.Duration) retryPolicy {
-	return retryPolicy{attemptTimeout: attemptTimeout, leastAttempt: s.roundTime, random: rand.Float64}
+	return retryPolicy{attemptTimeout: attemptTimeout, minAttemptTime: s.roundTime, random: rand.Float64}
 }
 
-// roundTime returns the time that a round takes, as last measured.
+// roundTime returns the last measured duration of a round.
 func (s *Server) roundTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.RoundTime()
 }
 
-// run calls do, and again after a pause while too few members respond and there is time for another attempt.
+// run calls do, and retries it after a pause while too few members respond and enough time is left for another attempt.
 func (p retryPolicy) run(ctx context.Context, do func(ctx context.Context) error) error {
 	for attempts := 1; ; attempts++ {
 		err := attempt(ctx, p.attemptTimeout, do)
@@ -156,7 +157,7 @@
 		}
 		pause := retryBackoff.Delay(attempts, p.random())
 		deadline, ok := ctx.Deadline()
-		if ok && time.Until(deadline) < pause+p.leastAttempt() {
+		if ok && time.Until(deadline) < pause+p.minAttemptTime() {
 			return err
 		}
 		select {
@@ -167,7 +168,7 @@
 	}
 }
 
-// attempt calls do with a time limit.
+// attempt calls do with a timeout.
 func attempt(ctx context.Context, timeout time.Duration, do func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/control/server/peer_handler.go
+++ b/internal/control/server/peer_handler.go
@@ -10,10 +10,10 @@
 	"sagelever/internal/rpc"
 )
 
-// maxPullWait bounds how long a pull may wait for updates, whatever the caller asks for.
+// maxPullWait bounds how long a pull may wait for updates, regardless of what the caller requests.
 const maxPullWait = 10 * time.Second
 
-// peerHandler serves the other controllers and the proxies.
+// peerHandler returns the handler for requests from other controllers and proxies.
 func (s *Server) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	handle := func(path string, handler http.HandlerFunc) {
@@ -36,7 +36,7 @@
 	return mux
 }
 
-// replicaHandler lets the replica handle the requests of other replicas to a path.
+// replicaHandler returns a handler that passes the requests to a path to the replica.
 func (s *Server) replicaHandler(path string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		request := &message.PeerRequest{}
@@ -53,8 +53,8 @@
 	}
 }
 
-// handlePull responds with the updates that the caller lacks: at once if there are some, else when there are, or with
-// none when the caller's wait is over.
+// handlePull responds with the updates that the caller lacks. If there are none, it waits for updates, and responds
+// without any when the wait that the caller has requested is over.
 func (s *Server) handlePull(w http.ResponseWriter, r *http.Request) {
 	request := &message.PullRequest{}
 	if !rpc.ReadRequest(w, r, request) {
@@ -67,14 +67,14 @@
 	s.step(func(now time.Time) { pending = s.replica.HandlePull(now, request) })
 	response := s.awaitUpdates(r.Context(), pending, deadline.C)
 	if response == nil {
-		return // the caller is gone
+		return // the caller has closed the connection
 	}
 	s.counters.pulls.Add(1)
 	s.countSent(request.From.Zone, rpc.WriteResponse(w, response))
 }
 
-// awaitUpdates returns the response to a pull once there are updates, and at the deadline at the latest. It returns nil
-// if ctx ends first.
+// awaitUpdates returns the response to a pull when there are updates, or at the deadline. It returns nil if ctx ends
+// first.
 func (s *Server) awaitUpdates(
 	ctx context.Context, pending *replica.PendingPull, deadline <-chan time.Time,
 ) *message.PullResponse {
@@ -97,7 +97,8 @@
 	}
 }
 
-// handleTally takes a proxy's tallies of the releases in progress. They come as items of a PullResponse.
+// handleTally records a proxy's tallies of the releases in progress. The request carries them as items of a
+// PullResponse.
 func (s *Server) handleTally(w http.ResponseWriter, r *http.Request) {
 	tallies := &message.PullResponse{}
 	if !rpc.ReadRequest(w, r, tallies) {
@@ -107,7 +108,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// handleInFlightReport takes a proxy's report for an in-flight survey.
+// handleInFlightReport records a proxy's report for an in-flight survey.
 func (s *Server) handleInFlightReport(w http.ResponseWriter, r *http.Request) {
 	report := &message.InFlightReport{}
 	if !rpc.ReadRequest(w, r, report) {
--- a/internal/control/server/persistence.go
+++ b/internal/control/server/persistence.go
@@ -12,26 +12,26 @@
 	"sagelever/internal/control/storage"
 )
 
-// maxSaveInterval is how often the progress is written even where nothing has changed: after a restart its time tells
-// how old the restored items are.
+// maxSaveInterval is the interval at which the progress is written if nothing has changed. After a restart, the time in
+// the progress record shows how old the restored items are.
 const maxSaveInterval = 5 * time.Second
 
-// saveState is what the store holds of the items and disk generations, which the server writes without waiting for a
-// sync. (Registers, the least proposal number and the identity are written by startSaves, before the replica
-// acknowledges anything.)
-type saveState struct {
-	sequence    uint64            // the replica's items are in the store up to this sequence number
+// savedState tracks which items and disk generations are in the store. The server writes them without a sync.
+// (Registers, the minimum proposal number and the identity are written by startSaves, before the replica acknowledges
+// anything.)
+type savedState struct {
+	sequence    uint64            // sequence number up to which the replica's items are in the store
 	savedAt     time.Time         // when the progress was last written
 	generations map[string]string // disk generations of other replicas as stored, by node
 	pending     map[string]string // records to write next, by key; an empty value deletes the record
 }
 
-func newSaveState() saveState {
-	return saveState{generations: map[string]string{}, pending: map[string]string{}}
+func newSavedState() savedState {
+	return savedState{generations: map[string]string{}, pending: map[string]string{}}
 }
 
 // saveItems writes the items that have changed since the last call, and the progress up to which all items are stored.
-// It doesn't wait for the disk.
+// It does not wait for the disk.
 func (s *Server) saveItems() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	go s.confirmItems(write, records)
 }
 
-// addGenerations adds the disk generations that differ from the stored ones.
+// addGenerations adds records for the disk generations that differ from the stored ones.
 func (s *Server) addGenerations(records map[string]string) {
 	for node, generation := range s.replica.DiskGenerations() {
 		text := formatGeneration(generation)
@@ -68,7 +68,7 @@
 	}
 }
 
-// confirmItems waits for the end of a write of records.
+// confirmItems waits until a write of records has ended, and calls writeFailed if it has failed.
 func (s *Server) confirmItems(write storage.WriteFuture, records map[string]string) {
 	if write.Wait() == nil {
 		return
@@ -78,9 +78,10 @@
 	s.saved.writeFailed(records)
 }
 
-// writeFailed has everything written again after a failed write of records, as nobody knows what is stored: all items,
-// all generations, and the deletions among the records. An item that has come back since replaces its deletion.
-func (s *saveState) writeFailed(records map[string]string) {
+// writeFailed causes everything to be written again after a failed write of records, as the content of the store is
+// then unknown: all items, all generations, and the deletions among the records. If an item has been added again since,
+// its pending record replaces the deletion.
+func (s *savedState) writeFailed(records map[string]string) {
 	s.sequence = 0
 	s.generations = map[string]string{}
 	for key, text := range records {
@@ -90,10 +91,11 @@
 	}
 }
 
-// loadState reads what the replica goes on with after a restart, and notes in saved what need not be written again and
-// which legacy records are to be deleted. It returns an error if a register, the least proposal number or the identity
-// is malformed; of the other records, malformed ones are left out, as other members have the items too.
-func loadState(store *storage.Store, saved *saveState) (replica.PersistedState, error) {
+// loadState reads the state from which the replica resumes after a restart. It records in saved which generations need
+// not be written again and which legacy records are to be deleted. It returns an error if a register, the minimum
+// proposal number or the identity is malformed. Other malformed records are skipped, as other members have the items
+// too.
+func loadState(store *storage.Store, saved *savedState) (replica.PersistedState, error) {
 	state := replica.PersistedState{}
 	if err := loadRegisters(store, &state); err != nil {
 		return state, err
@@ -115,15 +117,15 @@
 		}
 		state.Entries = append(state.Entries, entry)
 	}
-	text, ok := store.Load(floorKey)[""]
+	text, ok := store.Load(minProposalKey)[""]
 	if !ok {
 		return nil
 	}
-	floor := &message.PeerRequest{}
-	if err := easyjson.Unmarshal([]byte(text), floor); err != nil {
+	minProposal := &message.PeerRequest{}
+	if err := easyjson.Unmarshal([]byte(text), minProposal); err != nil {
 		return err
 	}
-	state.MinProposal = floor.Proposal
+	state.MinProposal = minProposal.Proposal
 	return nil
 }
 
@@ -132,11 +134,11 @@
 	if ok {
 		return json.Unmarshal([]byte(text), &state.Identity)
 	}
-	_, state.LegacyDisk = store.Load(legacyBirthKey)[""]
+	_, state.LegacyDisk = store.Load(legacyInitializedKey)[""]
 	return nil
 }
 
-func loadGenerations(store *storage.Store, state *replica.PersistedState, saved *saveState) {
+func loadGenerations(store *storage.Store, state *replica.PersistedState, saved *savedState) {
 	state.Generations = map[string]message.DiskGeneration{}
 	for node, text := range store.Load(generationPrefix) {
 		if generation, ok := parseGeneration(text); ok {
@@ -146,7 +148,7 @@
 	}
 }
 
-func loadItems(store *storage.Store, state *replica.PersistedState, saved *saveState) {
+func loadItems(store *storage.Store, state *replica.PersistedState, saved *savedState) {
 	for key, text := range store.Load(itemPrefix) {
 		if item, ok := parseItem(key, text); ok {
 			state.Items = append(state.Items, item)
--- a/internal/control/server/pull.go
+++ b/internal/control/server/pull.go
@@ -14,39 +14,41 @@
 )
 
 const (
-	// discoverInterval is how often the members are compared with those that are pulled from: rarely, as only a
-	// membership that the other members have changed without this one is left to find out.
+	// discoverInterval is the interval at which the pull loops are updated to the current members. It is long because
+	// it only delays the discovery of a membership that the other members have changed without this one.
 	discoverInterval = 8 * tickInterval
 
-	// urgentDiscoverInterval is the same while this member is cut off from the majority.
+	// urgentDiscoverInterval replaces discoverInterval while this member does not reach a majority.
 	urgentDiscoverInterval = tickInterval
 
-	// pullRetryInterval is the pause after a failed pull, and after one that was answered at once without updates.
+	// pullRetryInterval is the pause after a failed pull, and after more than maxEmptyPulls immediate responses without
+	// updates in a row.
 	pullRetryInterval = tickInterval
 
-	// pullGrace is how long a response to a pull may take beyond the wait that was asked for.
+	// pullGrace is how much longer than the requested wait a response to a pull may take.
 	pullGrace = time.Second
 
-	// deferPollInterval is how often a pull loop checks whether it may begin.
+	// deferPollInterval is the interval at which a pull loop checks whether it may start.
 	deferPollInterval = 10 * time.Millisecond
 
-	// replicationPollInterval is how often it is checked whether an item has reached enough members.
+	// replicationPollInterval is the interval at which awaitReplication checks whether enough members hold an item.
 	replicationPollInterval = 15 * time.Millisecond
 
-	// maxEmptyPulls is how many pulls in a row may be answered at once and without updates before the loop pauses.
+	// maxEmptyPulls is the number of consecutive pulls that may be answered immediately and without updates before the
+	// loop pauses.
 	maxEmptyPulls = 1
 )
 
-// discoverMembers keeps a pull loop running for each other member until ctx ends. It also asks the seed addresses who
-// the members are, as long as this controller is cut off from the majority or knows no other member.
+// discoverMembers keeps a pull loop running for each other member until ctx ends. While this controller does not reach
+// a majority or knows no other member, it also asks the seed addresses for the list of members.
 func (s *Server) discoverMembers(ctx context.Context) {
 	var loops sync.WaitGroup
 	defer loops.Wait()
-	cancels := map[string]context.CancelFunc{} // of the pull loops, by address
+	cancels := map[string]context.CancelFunc{} // cancel the pull loops, by address
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		members := s.replica.OtherMembers()
-		contacts := s.contacts
+		seedAddresses := s.seedAddresses
 		connected := s.replica.HasQuorum(s.now())
 		s.mu.Unlock()
 		s.updatePullLoops(ctx, &loops, cancels, members)
@@ -55,7 +57,7 @@
 			interval = urgentDiscoverInterval
 		}
 		if !connected || len(members) == 0 {
-			s.probeContacts(ctx, contacts)
+			s.probeSeeds(ctx, seedAddresses)
 		}
 		select {
 		case <-time.After(interval):
@@ -64,7 +66,7 @@
 	}
 }
 
-// updatePullLoops starts the loops of new members and cancels those of former ones.
+// updatePullLoops starts the pull loops of new members and cancels those of former members.
 func (s *Server) updatePullLoops(
 	ctx context.Context, loops *sync.WaitGroup, cancels map[string]context.CancelFunc, members []message.Member,
 ) {
@@ -86,8 +88,8 @@
 	}
 }
 
-// pullLoop pulls updates from a member until ctx ends. Each pull waits at the member until there are updates. The loop
-// pauses after a failure, and when the member goes on answering at once without updates.
+// pullLoop pulls updates from a member until ctx ends. The member holds each pull until there are updates. The loop
+// pauses after a failure, and when the member repeatedly responds immediately without updates.
 func (s *Server) pullLoop(ctx context.Context, member message.Member) {
 	poll(ctx, deferPollInterval, func() bool { return !s.deferPull(member) })
 	emptyPulls := 0
@@ -106,21 +108,21 @@
 		if err != nil || emptyPulls > maxEmptyPulls {
 			select {
 			case <-time.After(pullRetryInterval):
-			case <-pullCtx.Done(): // pullNow has found out that the member is up
+			case <-pullCtx.Done(): // by pullNow, as the member is known to be up
 			}
 		}
 		cancel()
 	}
 }
 
-// deferPull reports whether the first pull from a member is to wait.
+// deferPull reports whether the first pull from a member has to be delayed.
 func (s *Server) deferPull(member message.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.DeferPull(s.now(), member)
 }
 
-// pullOnce sends one pull and hands the response to the replica. It returns the number of items received.
+// pullOnce sends one pull and passes the response to the replica. It returns the number of items received.
 func (s *Server) pullOnce(ctx context.Context, source message.Member) (items int, err error) {
 	s.mu.Lock()
 	request := s.replica.NewPullRequest(s.now(), source)
@@ -139,21 +141,21 @@
 	return len(response.Items), nil
 }
 
-// probeContacts asks the controllers at some control addresses, except this one, who the members are.
-func (s *Server) probeContacts(ctx context.Context, contacts []string) {
-	for _, address := range s.peerAddresses(contacts) {
+// probeSeeds asks the controllers at the given control addresses, except this one, for the list of members.
+func (s *Server) probeSeeds(ctx context.Context, seedAddresses []string) {
+	for _, address := range s.peerAddresses(seedAddresses) {
 		if address != s.self.Addr {
 			go s.probe(ctx, address)
 		}
 	}
 }
 
-// probe pulls once from a controller of which only the peer address is known. Its response names the members.
+// probe pulls once from a controller of which only the peer address is known. The response lists the members.
 func (s *Server) probe(ctx context.Context, address string) {
-	_, _ = s.pullOnce(ctx, message.Member{Addr: address}) // discoverMembers tries again after a failure
+	_, _ = s.pullOnce(ctx, message.Member{Addr: address}) // discoverMembers retries after a failure
 }
 
-// awaitReplication waits until enough members hold an item, as this replica holds it, for it to be acknowledged. It
+// awaitReplication waits until enough members hold this replica's version of an item for it to be acknowledged. It
 // returns errNotReplicated if ctx ends first.
 func (s *Server) awaitReplication(ctx context.Context, key string) error {
 	started := s.now()
@@ -168,11 +170,11 @@
 	return nil
 }
 
-// awaitPropagation gives the other members a moment to learn of a register that takes backends out of service, so that
-// no proxy still sends to them when the operator is answered. The register is durable already: the operation succeeds
-// whether they have learned of it or not.
+// awaitPropagation waits up to replica.RemovalReplicationWait until the other members have received a register that
+// takes backends out of service, so that no proxy still sends requests to the backends when the operator gets the
+// response. As the register is already durable, the operation succeeds even if the members have not received it.
 func (s *Server) awaitPropagation(ctx context.Context, register string) {
 	ctx, cancel := context.WithTimeout(ctx, replica.RemovalReplicationWait)
 	defer cancel()
-	_ = s.awaitReplication(ctx, replication.RegisterKeyPrefix+register) // see above: late members change nothing
+	_ = s.awaitReplication(ctx, replication.RegisterKeyPrefix+register) // a timeout does not affect the operation
 }
--- a/internal/control/server/records.go
+++ b/internal/control/server/records.go
@@ -14,11 +14,11 @@
 	"sagelever/internal/control/replication"
 )
 
-// Keys of the records in the store. A crash may cut off the end of a write that was not synced, whose records stand in
-// the order of their keys. progressKey sorts last, so that a stored progress never claims an item that was cut off.
+// Keys of the records in the store. A crash may truncate an unsynced write, whose records are ordered by key.
+// progressKey sorts last, so that a stored progress never covers an item that was truncated.
 const (
 	entryPrefix      = "e/"       // registers, by key: quorum.Entry as JSON
-	floorKey         = "floor"    // the least proposal number: message.PeerRequest as JSON
+	minProposalKey   = "floor"    // the minimum proposal number: message.PeerRequest as JSON
 	identityKey      = "identity" // replica.Identity as JSON
 	generationPrefix = "g/"       // disk generations of other replicas, by node: "DISK-ID NUMBER"
 	itemPrefix       = "i/"       // replicated items, by key: "VERSION ORIGIN NUMBER BODY", numbers in hexadecimal
@@ -27,27 +27,27 @@
 
 // Keys that only earlier versions wrote.
 const (
-	legacyBirthKey      = "born" // written with the first record: the disk has not been lost since
-	legacyBackendPrefix = "a/"   // ready backends, by ID: "VERSION BODY", the version in hexadecimal
-	legacyLeasePrefix   = "l/"   // proxies that held a lease
+	legacyInitializedKey = "born" // written with the first record; exists as long as the disk is not lost
+	legacyBackendPrefix  = "a/"   // ready backends, by ID: "VERSION BODY", the version in hexadecimal
+	legacyLeasePrefix    = "l/"   // proxies that held a lease
 )
 
-// itemFields is the number of fields of an item's record; the last may contain spaces.
-const itemFields = 4
+// itemFieldCount is the number of fields in an item's record. The last field may contain spaces.
+const itemFieldCount = 4
 
 // encodeSave returns the records of a save, by key.
 func encodeSave(save replica.Save) map[string]string {
 	records := make(map[string]string, len(save.Entries)+2)
 	for _, entry := range save.Entries {
-		data, _ := easyjson.Marshal(entry) // strings and integers only: it cannot fail
+		data, _ := easyjson.Marshal(entry) // can't fail, as it contains only strings and integers
 		records[entryPrefix+entry.Key] = string(data)
 	}
 	if save.MinProposal != nil {
-		data, _ := easyjson.Marshal(&message.PeerRequest{Proposal: *save.MinProposal}) // strings and integers only
-		records[floorKey] = string(data)
+		data, _ := easyjson.Marshal(&message.PeerRequest{Proposal: *save.MinProposal}) // can't fail either
+		records[minProposalKey] = string(data)
 	}
 	if save.Identity != nil {
-		data, _ := json.Marshal(save.Identity) // strings and integers only: it cannot fail
+		data, _ := json.Marshal(save.Identity) // can't fail, as it contains only strings and integers
 		records[identityKey] = string(data)
 	}
 	return records
@@ -64,29 +64,29 @@
 
 // parseItem is the inverse of formatItem. ok is false for a malformed record.
 func parseItem(key, text string) (item replica.PersistedItem, ok bool) {
-	fields := strings.SplitN(text, " ", itemFields)
-	if len(fields) < itemFields {
+	fields := strings.SplitN(text, " ", itemFieldCount)
+	if len(fields) < itemFieldCount {
 		return item, false
 	}
 	version, err := strconv.ParseUint(fields[0], 16, 64)
 	if err != nil {
 		return item, false
 	}
-	number, err := strconv.ParseUint(fields[2], 16, 64)
+	sequence, err := strconv.ParseUint(fields[2], 16, 64)
 	if err != nil {
 		return item, false
 	}
 	return replica.PersistedItem{
 		Item:     replication.Item{Key: key, Version: version, Body: fields[3]},
 		Origin:   fields[1],
-		Sequence: number,
+		Sequence: sequence,
 	}, true
 }
 
-// parseLegacyBackend reads a record under legacyBackendPrefix. ok is false for a malformed one.
+// parseLegacyBackend parses a record under legacyBackendPrefix. ok is false for a malformed record.
 func parseLegacyBackend(key, text string) (item replica.PersistedItem, ok bool) {
-	number, body, _ := strings.Cut(text, " ")
-	version, err := strconv.ParseUint(number, 16, 64)
+	digits, body, _ := strings.Cut(text, " ")
+	version, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
 		return item, false
 	}
@@ -111,14 +111,14 @@
 	return strings.Join(fields, " ")
 }
 
-// parseProgress is the inverse of formatProgress. It leaves out malformed entries; at is zero for an empty record.
+// parseProgress is the inverse of formatProgress. It skips malformed entries. at is zero for an empty record.
 func parseProgress(text string) (progress replication.Vector, at time.Time) {
 	progress = replication.Vector{}
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
 		return progress, at
 	}
-	milliseconds, _ := strconv.ParseInt(fields[0], 10, 64) // malformed: the epoch, older than any use of it
+	milliseconds, _ := strconv.ParseInt(fields[0], 10, 64) // a malformed time becomes the Unix epoch, too old for any use
 	for _, field := range fields[1:] {
 		origin, digits, _ := strings.Cut(field, "=")
 		if number, err := strconv.ParseUint(digits, 16, 64); err == nil {
--- a/internal/control/server/records_test.go
+++ b/internal/control/server/records_test.go
@@ -10,7 +10,7 @@
 	"sagelever/internal/control/replication"
 )
 
-// What is formatted is parsed again as it was.
+// Parsing a formatted record returns the original value.
 func TestRecordsRoundTrip(t *testing.T) {
 	t.Parallel()
 	for _, item := range []replica.PersistedItem{
@@ -36,7 +36,7 @@
 	}
 }
 
-// Malformed records are told from valid ones, and an empty progress is one without a time.
+// Malformed records are detected, and an empty progress record has no time.
 func TestMalformedRecords(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{"", "1 o", "1 o 2", "x o 2 body", "1 o x body"} {
--- a/internal/control/server/release.go
+++ b/internal/control/server/release.go
@@ -13,14 +13,14 @@
 	"sagelever/internal/settings"
 )
 
-// releaseStatus answers calls.ReleaseRead.
+// releaseStatus is the response to calls.ReleaseRead.
 type releaseStatus struct {
 	Phase  release.Phase `json:"phase"`
-	Target string        `json:"target"` // the version that is released
+	Target string        `json:"target"` // the version to be released
 }
 
 // handleReleaseBegin starts the release of a version of a service. A repetition of the order within the resend window
-// is acknowledged and starts nothing.
+// is acknowledged and has no effect.
 func (s *Server) handleReleaseBegin(w http.ResponseWriter, r *http.Request) error {
 	data, err := readBody(w, r, maxBodyBytes)
 	if err != nil {
@@ -37,7 +37,7 @@
 	if err := s.requireQuorum(); err != nil {
 		return err
 	}
-	received := s.now() // the resend window starts here, however long the proposal takes
+	received := s.now() // the resend window starts on arrival, however long the proposal takes
 	change := release.StartOnce(order.Target, duration, received, s.resendWindow())
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// handleReleaseRead responds with the phase of a service's release. A phase that is reported has been chosen: no later
-// response contradicts it.
+// handleReleaseRead responds with the phase of a service's release. The reported phase has been chosen by a quorum, so
+// no later response contradicts it.
 func (s *Server) handleReleaseRead(w http.ResponseWriter, r *http.Request) error {
 	service, err := readTarget(r)
 	if err != nil {
--- a/internal/control/server/resources.go
+++ b/internal/control/server/resources.go
@@ -11,11 +11,12 @@
 	"sagelever/internal/settings"
 )
 
-// maxResourceShare is the share of a limit of the settings up to which orders are taken. Beyond it the platform may be
-// about to end the process: what is left is for the other members, the proxies and the backends.
+// maxResourceShare is the share of a configured resource limit up to which orders are accepted. Beyond it, the platform
+// may be about to kill the process: the remainder is reserved for the other members, the proxies and the backends.
 const maxResourceShare = 0.75
 
-// memoryMetric is the memory that the runtime has from the system and has not returned.
+// Metrics of the Go runtime. Their difference is the memory that the runtime has obtained from the operating system and
+// has not returned.
 const (
 	memoryMetric         = "/memory/classes/total:bytes"
 	releasedMemoryMetric = "/memory/classes/heap/released:bytes"
@@ -23,27 +24,27 @@
 
 var errOverloaded = errors.New("this controller is near the limits of its machine: ask another one, or later")
 
-// resourceUse is what a process uses of its machine.
-type resourceUse struct {
-	connections int64 // that it has accepted
+// resourceUsage is the use of machine resources by a process.
+type resourceUsage struct {
+	connections int64 // open, accepted ones
 	memoryBytes uint64
 }
 
-// exceeds reports whether it is more than maxResourceShare of the limits. A limit of 0 is none.
-func (u resourceUse) exceeds(limits settings.ResourceLimits) bool {
+// exceeds reports whether the use of a resource is above maxResourceShare of its limit. A limit of 0 means no limit.
+func (u resourceUsage) exceeds(limits settings.ResourceLimits) bool {
 	maxConnections := maxResourceShare * float64(limits.OpenFiles)
 	maxMemory := maxResourceShare * float64(uint64(limits.MemoryMB)<<20)
 	return maxConnections > 0 && float64(u.connections) > maxConnections ||
 		maxMemory > 0 && float64(u.memoryBytes) > maxMemory
 }
 
-// resourceMonitor keeps what this process uses. The zero value is ready to use.
+// resourceMonitor tracks the resource use of this process. The zero value is ready to use.
 type resourceMonitor struct {
 	connections atomic.Int64
-	memoryBytes atomic.Uint64 // when it was sampled last
+	memoryBytes atomic.Uint64 // as of the last sample
 }
 
-// trackConnection is an http.Server's ConnState.
+// trackConnection counts open connections. It is a ConnState hook of http.Server.
 func (m *resourceMonitor) trackConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -54,21 +55,21 @@
 	}
 }
 
-// sampleMemory measures the memory in use.
+// sampleMemory updates the memory in use.
 func (m *resourceMonitor) sampleMemory() {
 	samples := []metrics.Sample{{Name: memoryMetric}, {Name: releasedMemoryMetric}}
 	metrics.Read(samples)
 	m.memoryBytes.Store(samples[0].Value.Uint64() - samples[1].Value.Uint64())
 }
 
-func (m *resourceMonitor) use() resourceUse {
-	return resourceUse{connections: m.connections.Load(), memoryBytes: m.memoryBytes.Load()}
+func (m *resourceMonitor) usage() resourceUsage {
+	return resourceUsage{connections: m.connections.Load(), memoryBytes: m.memoryBytes.Load()}
 }
 
-// admitOrder wraps the handler of an order: it is refused while the process is near the limits of its machine.
+// admitOrder wraps the handler of an order to reject orders while the process is near its resource limits.
 func (s *Server) admitOrder(handler apiFunc) apiFunc {
 	return func(w http.ResponseWriter, r *http.Request) error {
-		if s.resources.use().exceeds(s.settings.Resources) {
+		if s.resources.usage().exceeds(s.settings.Resources) {
 			return errOverloaded
 		}
 		return handler(w, r)
--- a/internal/control/server/run.go
+++ b/internal/control/server/run.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// tickInterval is how often the replica does its periodic work.
+	// tickInterval is the interval of the replica's periodic work.
 	tickInterval = 250 * time.Millisecond
 
-	// reportInterval is how often the counters are logged.
+	// reportInterval is the interval at which the counters are logged.
 	reportInterval = 10 * time.Second
 
-	// shutdownTimeout bounds how long requests in progress may take after the server has stopped listening.
+	// shutdownTimeout bounds how long requests in progress may take after the servers have stopped listening.
 	shutdownTimeout = time.Second
 
-	// handoverTimeout bounds how long a member that shuts down waits for its successor to replace it: well within the
-	// time that the platform leaves a process after SIGTERM.
+	// handoverTimeout bounds how long a member that shuts down waits for its successor to replace it. It is well below
+	// the time that the platform grants a process after SIGTERM.
 	handoverTimeout = 2 * time.Second
 
-	// handoverPollInterval is how often a member that shuts down checks whether its successor has replaced it.
+	// handoverPollInterval is the interval at which a member that shuts down checks whether its successor has replaced
+	// it.
 	handoverPollInterval = 20 * time.Millisecond
 
 	// listenUserTimeout is TCP_USER_TIMEOUT of accepted connections.
@@ -38,9 +39,9 @@
 	idleTimeout       = 30 * time.Second
 )
 
-// Run serves until ctx ends. Then it announces that this member leaves, goes on serving while a successor takes its
-// place, and closes the store. It returns once the listeners and the loops that it has started have ended; operations
-// and requests to other controllers that are still in progress end by their own time limits.
+// Run serves until ctx ends. It then announces that this member is leaving, continues to serve while a successor
+// replaces it, and closes the store. Run returns once the listeners and loops that it has started have ended.
+// Operations and requests to other controllers that are still in progress end by their own timeouts.
 func (s *Server) Run(ctx context.Context) error {
 	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelWork()
@@ -49,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	s.step(func(time.Time) {}) // carries out what the replica has produced while it was restored
+	s.step(func(time.Time) {}) // processes the output that the replica produced while it was restored
 	background.Go(func() { s.discoverMembers(workCtx) })
 	background.Go(func() { s.maintain(workCtx) })
 	s.log.Info("controller started", zap.String("node", s.settings.Node))
@@ -63,7 +64,7 @@
 	return s.store.Close()
 }
 
-// listen starts an HTTP server on each configured address. The goroutines that serve belong to background.
+// listen starts an HTTP server on each configured address. It adds the serving goroutines to background.
 func (s *Server) listen(background *sync.WaitGroup) ([]*http.Server, error) {
 	endpoints := []struct {
 		address string
@@ -81,7 +82,7 @@
 		listener, err := listenUserTimeout.Listen(endpoint.address)
 		if err != nil {
 			for _, server := range servers {
-				_ = server.Close() // the error of Listen is the one to report
+				_ = server.Close() // the error of Listen is reported instead
 			}
 			return nil, errors.Wrap(err, "controller")
 		}
@@ -110,7 +111,7 @@
 	}
 }
 
-// shutdown stops the servers, giving the requests in progress shutdownTimeout in all.
+// shutdown stops the servers. All requests in progress together have shutdownTimeout to complete.
 func shutdown(ctx context.Context, servers []*http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
@@ -140,7 +141,7 @@
 	}
 }
 
-// awaitHandover waits until the successor that is ready to replace this member, if there is one, has done so.
+// awaitHandover waits until the successor has replaced this member, if one is ready to do so.
 func (s *Server) awaitHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, min(handoverTimeout, s.settings.RuleLimits.ShutdownGrace/2))
 	defer cancel()
@@ -151,7 +152,8 @@
 	})
 }
 
-// poll calls condition, at once and then after each interval, until it holds or ctx ends. It reports whether it held.
+// poll calls condition, immediately and then after each interval, until it returns true or ctx ends. It reports whether
+// condition has returned true.
 func poll(ctx context.Context, interval time.Duration, condition func() bool) bool {
 	for !condition() {
 		select {
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -1,14 +1,15 @@
-// Package server runs a controller: it gives a replica of the control group its sockets, its disk and its clock.
+// Package server runs a controller: it connects a replica of the control group to the network, the disk and the clock.
 //
-// Package replica decides what the controller does. It is a state machine without I/O: the server hands it requests,
-// the time and the results of disk writes (step), and carries out what it returns (applyOutput). One mutex, Server.mu,
-// guards the replica and whatever has to change together with it; nothing waits for the network or the disk under it.
+// Package replica implements the decisions of the controller as a state machine without I/O: the server passes it
+// requests, the time and the results of disk writes (step), and processes its output (applyOutput). One mutex,
+// Server.mu, guards the replica and all state that must change together with it. No code waits for the network or the
+// disk while it holds this mutex.
 //
 // A controller listens on up to three addresses:
 //
 //   - peer: the other controllers and the proxies (peerHandler),
 //   - control: backends and operators (apiHandler),
-//   - directory: clients that look for a proxy (lookupHandler).
+//   - directory: clients that look up proxies (lookupHandler).
 package server
 
 import (
@@ -35,7 +36,7 @@
 // Options configure a controller.
 type Options struct {
 	Settings       *settings.Settings
-	MembersPerZone int // controllers in each zone, as the deploy file says
+	MembersPerZone int // number of controllers in each zone, from the deploy file
 	Log            *zap.Logger
 	Now            func() time.Time // the wall clock; time.Now if nil
 	Dial           rpc.DialFunc     // opens connections to other controllers; nil for plain TCP
@@ -51,17 +52,17 @@
 	peerClient *http.Client
 	self       message.Member
 
-	mu           sync.Mutex // guards the fields up to the next blank line
-	replica      *replica.Replica
-	lastCallID   uint64
-	pendingCalls map[uint64]chan replica.OutgoingResponse // calls of other controllers, by call ID
-	pendingTasks map[uint64]chan replica.Completion       // of this controller, by operation ID
-	cancelPulls  map[string]context.CancelFunc            // cancels the pull in progress from a member, by address
-	nextTick     time.Time                                // when the next scheduled Tick is due; or zero
-	updated      chan struct{}                            // closed, and replaced, to wake waiting pulls
-	wakeAt       time.Time                                // when updated will be closed; or zero
-	saved        saveState
-	contacts     []string // control addresses of some controllers, to find the others by
+	mu            sync.Mutex // guards the fields up to the next blank line
+	replica       *replica.Replica
+	lastCallID    uint64
+	pendingCalls  map[uint64]chan replica.OutgoingResponse // calls of other controllers, by call ID
+	pendingTasks  map[uint64]chan replica.Completion       // of this controller, by operation ID
+	cancelPulls   map[string]context.CancelFunc            // cancels the pull in progress from a member, by address
+	nextTick      time.Time                                // when the next scheduled Tick is due; zero if none is
+	updated       chan struct{}                            // closed and replaced to wake waiting pulls
+	wakeAt        time.Time                                // when updated will be closed; zero if not scheduled
+	saved         savedState
+	seedAddresses []string // control addresses of controllers that are asked for the list of members
 
 	diskFailures failureLog
 	counters     counters
@@ -72,8 +73,8 @@
 	configReads  sharedRead
 }
 
-// New opens the controller's data directory and restores the replica from it. An empty directory counts as a lost disk,
-// unless the settings say that the whole system starts for the first time.
+// New opens the controller's data directory and restores the replica from it. An empty directory is treated as a lost
+// disk, unless the settings specify that the whole system starts for the first time.
 func New(options Options) (*Server, error) {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -96,7 +97,7 @@
 	return server, nil
 }
 
-// dataDir is the configured data directory, or a new temporary one where none is configured.
+// dataDir returns the configured data directory, or a new temporary directory if none is configured.
 func dataDir(cfg *settings.Settings) (string, error) {
 	if cfg.DataDir != "" {
 		return cfg.DataDir, nil
@@ -104,7 +105,7 @@
 	return os.MkdirTemp("", "controller")
 }
 
-// newServer returns a server that lacks only its replica.
+// newServer returns a server that is complete except for its replica.
 func newServer(options Options, store *storage.Store) *Server {
 	cfg := options.Settings
 	return &Server{
@@ -119,18 +120,18 @@
 			Zone: cfg.Zone,
 			Addr: net.JoinHostPort(cfg.IP, cfg.PeerPort()),
 		},
-		pendingCalls: map[uint64]chan replica.OutgoingResponse{},
-		pendingTasks: map[uint64]chan replica.Completion{},
-		cancelPulls:  map[string]context.CancelFunc{},
-		updated:      make(chan struct{}),
-		saved:        newSaveState(),
-		contacts:     cfg.SeedAddresses,
-		diskFailures: failureLog{log: options.Log},
-		pathCounters: map[string]*pathCounters{},
+		pendingCalls:  map[uint64]chan replica.OutgoingResponse{},
+		pendingTasks:  map[uint64]chan replica.Completion{},
+		cancelPulls:   map[string]context.CancelFunc{},
+		updated:       make(chan struct{}),
+		saved:         newSavedState(),
+		seedAddresses: cfg.SeedAddresses,
+		diskFailures:  failureLog{log: options.Log},
+		pathCounters:  map[string]*pathCounters{},
 	}
 }
 
-// feasibleTarget lowers the number of failures to tolerate to what a group of that size can: a minority.
+// feasibleTarget limits the number of failures to tolerate to a minority of the group.
 func feasibleTarget(target membership.Target, log *zap.Logger) membership.Target {
 	tolerable := (target.Size() - 1) / 2
 	if target.MaxFailures <= tolerable {
@@ -172,15 +173,15 @@
 		zap.Int("maxFailures", s.target.MaxFailures))
 }
 
-// Reload takes over the seed addresses of changed settings; all other settings take effect at the next start.
+// Reload applies the seed addresses of changed settings. All other settings take effect at the next start.
 func (s *Server) Reload(cfg *settings.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.contacts = cfg.SeedAddresses
+	s.seedAddresses = cfg.SeedAddresses
 }
 
-// peerAddresses converts control addresses to peer addresses. All machines of a system use the same ports. Addresses
-// that are malformed are left out.
+// peerAddresses converts control addresses to peer addresses. All machines of a system use the same ports. Malformed
+// addresses are skipped.
 func (s *Server) peerAddresses(controlAddresses []string) []string {
 	var addresses []string
 	for _, address := range controlAddresses {
@@ -193,8 +194,8 @@
 	return addresses
 }
 
-// controlAddress is where a member takes the calls of backends and operators: all machines of a system use the same
-// ports. It is empty where the member or this controller has no such address.
+// controlAddress returns the address at which a member serves backends and operators. All machines of a system use the
+// same ports. The address is empty if the member's address is malformed or this controller has no control address.
 func (s *Server) controlAddress(member message.Member) string {
 	_, port, err := net.SplitHostPort(s.settings.ListenAddresses["control"])
 	if err != nil {
@@ -207,8 +208,8 @@
 	return net.JoinHostPort(host, port)
 }
 
-// controlGroupTarget returns the size of the control group and the failures that it must survive, given the number of
-// controllers that the deploy file places in each zone.
+// controlGroupTarget returns the size of the control group and the number of failures that it must survive, given the
+// number of controllers that the deploy file places in each zone.
 func controlGroupTarget(cfg *settings.Settings, membersPerZone int) membership.Target {
 	return membership.Target{
 		MembersPerZone: membersPerZone,
--- a/internal/control/server/shared_read.go
+++ b/internal/control/server/shared_read.go
@@ -9,16 +9,16 @@
 	"sagelever/internal/control/replica"
 )
 
-// sharedRead lets those that ask for the same at the same time share one quorum read. A caller never gets the result of
-// a read that began before it asked, as that may miss what was acknowledged in between: while a read is in progress all
-// new callers wait for the next one. The zero value is ready to use.
+// sharedRead lets concurrent callers share one quorum read of the same registers. A caller never gets the result of a
+// read that began before the call, as that read may miss values that were acknowledged in between: all callers that
+// arrive during a read share the next one. The zero value is ready to use.
 type sharedRead struct {
 	mu      sync.Mutex
 	running bool
-	next    *readCall // begins when the running one ends; nil if nobody waits for it
+	next    *readCall // begins when the running read ends; nil if no caller waits
 }
 
-// readCall is one read. values, which its callers must not change, and err may be read once done is closed.
+// readCall is one read. values and err may be read once done is closed. Callers must not modify values.
 type readCall struct {
 	done   chan struct{}
 	values map[string]quorum.Value
@@ -28,7 +28,7 @@
 // readFunc reads registers.
 type readFunc func(ctx context.Context) (map[string]quorum.Value, error)
 
-// do returns the result of a read that begins after it was called. It returns replica.ErrTooFewResponses if ctx ends
+// do returns the result of a read that begins after the call of do. It returns replica.ErrTooFewResponses if ctx ends
 // first.
 func (s *sharedRead) do(ctx context.Context, read readFunc) (map[string]quorum.Value, error) {
 	call := s.join(read)
@@ -40,7 +40,7 @@
 	}
 }
 
-// join returns the read that begins next, which it starts if none is in progress.
+// join returns the next read. It starts the read if none is in progress.
 func (s *sharedRead) join(read readFunc) *readCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,8 @@
 	return call
 }
 
-// run executes a read, and then those that were asked for meanwhile, with a time limit of their own.
+// run executes a read, and then each read that was requested in the meantime, with a timeout that is independent of the
+// callers.
 func (s *sharedRead) run(call *readCall, read readFunc) {
 	for call != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -67,7 +68,7 @@
 	}
 }
 
-// takeNext returns the read that callers wait for; nil, and the group rests, if there is none.
+// takeNext returns the next read, or nil if no caller waits. It sets running accordingly.
 func (s *sharedRead) takeNext() *readCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,7 @@
 	return call
 }
 
-// readConfiguration reads all items of the configuration, together with whoever asks for them at the same time.
+// readConfiguration reads all items of the configuration. Concurrent callers share a read.
 func (s *Server) readConfiguration(ctx context.Context) (map[string]quorum.Value, error) {
 	return s.configReads.do(ctx, func(ctx context.Context) (map[string]quorum.Value, error) {
 		return s.readPrefix(ctx, config.KeyPrefix)
--- a/internal/control/server/survey.go
+++ b/internal/control/server/survey.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// surveyTimeout bounds how long proxies may take to report what they have in flight: a request in the zone, two
-	// between regions.
+	// surveyTimeout bounds how long proxies may take to report their requests in flight. It allows for one request
+	// within the zone and two between regions.
 	surveyTimeout = 500 * time.Millisecond
 
-	// surveyAllTimeout bounds a survey by all members: a member that hangs doesn't hold up the operator.
+	// surveyAllTimeout bounds a survey by all members, so that a member that hangs does not delay the response to the
+	// operator.
 	surveyAllTimeout = surveyTimeout + callTimeout/2
 
-	// surveyPollInterval is how often a survey checks whether all proxies have reported.
+	// surveyPollInterval is the interval at which a survey checks whether all proxies have reported.
 	surveyPollInterval = 10 * time.Millisecond
 )
 
-// inFlight is what the proxies of the whole system have reported.
-type inFlight struct {
+// systemSurvey contains the reports of the proxies of all members.
+type systemSurvey struct {
 	message.InFlightSurvey
 	unresponsive []string // proxies that may have requests in flight and have not reported
 }
 
-// surveyLocal asks the proxies that hold a lease from this controller for what they have in flight. It returns when all
-// have reported, and after surveyTimeout at the latest.
+// surveyLocal asks the proxies that hold a lease from this controller for their requests in flight. It returns when all
+// have reported, or after surveyTimeout.
 func (s *Server) surveyLocal(ctx context.Context) message.InFlightSurvey {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
@@ -44,8 +45,8 @@
 	return survey
 }
 
-// surveyAll has every member survey its proxies. Members that don't respond in time are left out.
-func (s *Server) surveyAll(ctx context.Context) inFlight {
+// surveyAll asks every member to survey its proxies. Members that don't respond in time are skipped.
+func (s *Server) surveyAll(ctx context.Context) systemSurvey {
 	ctx, cancel := context.WithTimeout(ctx, surveyAllTimeout)
 	defer cancel()
 	s.mu.Lock()
@@ -64,7 +65,7 @@
 	surveys <- s.surveyLocal(ctx)
 	requests.Wait()
 	close(surveys)
-	all := inFlight{}
+	all := systemSurvey{}
 	for survey := range surveys {
 		all.Reports = append(all.Reports, survey.Reports...)
 	}
@@ -72,7 +73,7 @@
 	return all
 }
 
-// missingProxies returns the proxies that may have requests in flight and have no report.
+// missingProxies returns the proxies that may have requests in flight and have not reported.
 func (s *Server) missingProxies(reports []message.InFlightReport) []string {
 	s.mu.Lock()
 	proxies := s.replica.RecentProxies(s.now())
--- a/internal/control/server/target_test.go
+++ b/internal/control/server/target_test.go
@@ -7,8 +7,8 @@
 	"sagelever/internal/settings"
 )
 
-// The control group has the members that the deploy file places in the zones of the settings, and survives the largest
-// loss that the settings name.
+// The control group consists of the members that the deploy file places in the zones of the settings, and survives the
+// largest loss that the settings specify.
 func TestControlGroupTarget(t *testing.T) {
 	cfg := &settings.Settings{
 		Zones:          map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"},
--- a/internal/control/server/tasks.go
+++ b/internal/control/server/tasks.go
@@ -9,11 +9,11 @@
 	"sagelever/internal/control/replica"
 )
 
-// callTimeout bounds an operation on behalf of a caller: callers give up on a controller after a second.
+// callTimeout bounds an operation on behalf of a caller. Callers give up on a controller after a second.
 const callTimeout = 900 * time.Millisecond
 
-// handleRequest lets the replica handle another controller's request and waits for the response. The response is sent
-// only once what it promises is on the disk.
+// handleRequest passes another controller's request to the replica and waits for the response. The replica responds
+// only once the state that the response promises is durable.
 func (s *Server) handleRequest(
 	ctx context.Context, path string, request *message.PeerRequest,
 ) (*message.PeerResponse, error) {
@@ -31,9 +31,9 @@
 	}
 }
 
-// runTask starts a task of the replica, a proposal or a read that needs other members, and waits for its result. start
-// returns the task's ID; until is when the replica may give up. It returns replica.ErrTooFewResponses if ctx ends
-// first.
+// runTask starts a task of the replica, which is a proposal or a read that needs other members, and waits for its
+// result. start starts the task, which the replica may abandon at the time until, and returns the task's ID. runTask
+// returns replica.ErrTooFewResponses if ctx ends first.
 func (s *Server) runTask(
 	ctx context.Context, start func(now, until time.Time) uint64,
 ) (map[string]quorum.Value, error) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// propose changes registers, each by itself, and returns their values as chosen.
+// propose changes registers independently of one another and returns the chosen values.
 func (s *Server) propose(
 	ctx context.Context, changes map[string]quorum.UpdateFunc,
 ) (map[string]quorum.Value, error) {
@@ -65,17 +65,16 @@
 	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.Write(now, until, changes) })
 }
 
-// proposeTogether changes several registers by one decision that depends on all of them, and returns their values as
-// chosen.
-func (s *Server) proposeTogether(
+// proposeAtomic changes several registers by one decision that depends on all of them, and returns the chosen values.
+func (s *Server) proposeAtomic(
 	ctx context.Context, keys []string, decide quorum.DecideFunc,
 ) (map[string]quorum.Value, error) {
 	s.counters.proposals.Add(1)
 	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.WriteAtomic(now, until, keys, decide) })
 }
 
-// proposeOrHandOver is proposeTogether for changes that may be handed over: it returns a *replica.ContendedError if
-// another controller had better propose them.
+// proposeOrHandOver is like proposeAtomic, for a change that may be handed over: it returns a *replica.ContendedError
+// if another controller should propose the change.
 func (s *Server) proposeOrHandOver(
 	ctx context.Context, keys []string, decide quorum.DecideFunc,
 ) (map[string]quorum.Value, error) {
@@ -85,18 +84,18 @@
 	})
 }
 
-// readPrefix reads the registers whose keys start with prefix. The values are at least as new as any that was
+// readPrefix reads the registers whose keys start with prefix. The values are at least as new as any value that was
 // acknowledged before the call.
 func (s *Server) readPrefix(ctx context.Context, prefix string) (map[string]quorum.Value, error) {
 	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.Read(now, until, prefix) })
 }
 
-// readKeys reads some registers, with the guarantee of readPrefix.
+// readKeys reads the given registers, with the same guarantee as readPrefix.
 func (s *Server) readKeys(ctx context.Context, keys []string) (map[string]quorum.Value, error) {
 	return s.runTask(ctx, func(now, until time.Time) uint64 { return s.replica.ReadKeys(now, until, keys) })
 }
 
-// localValues reads some registers from this replica alone: other members may have chosen newer values.
+// localValues reads the given registers from this replica only. Other members may have chosen newer values.
 func (s *Server) localValues(keys []string) map[string]quorum.Value {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +106,8 @@
 	return values
 }
 
-// requireQuorum returns replica.ErrNoQuorum where this member is cut off from the majority. It can then neither confirm
-// nor reject anything, as the other members may have decided otherwise.
+// requireQuorum returns replica.ErrNoQuorum if this member does not reach a majority. It can then neither confirm nor
+// reject an operation, as the other members may have decided otherwise.
 func (s *Server) requireQuorum() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
