--- a/internal/control/storage/filesystem.go
+++ b/internal/control/storage/filesystem.go
@@ -9,13 +9,13 @@
 // FileSystem is the directory in which a store keeps its files. The store uses Dir; tests substitute an implementation
 // that injects errors and power failures.
 type FileSystem interface {
-	// ReadFile returns the whole content of a file. The error of a missing file is os.ErrNotExist by errors.Is.
+	// ReadFile returns the content of a file. If the file is missing, the error matches os.ErrNotExist by errors.Is.
 	ReadFile(name string) ([]byte, error)
 	// OpenAppend opens a file for writing at its end, and creates it if it is missing.
 	OpenAppend(name string) (File, error)
 	// Create creates an empty file, or truncates an existing one, and opens it for writing at its end.
 	Create(name string) (File, error)
-	// Rename renames a file and replaces an existing one atomically.
+	// Rename renames a file. It atomically replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
@@ -26,9 +26,9 @@
 // File is a file that is open for writing at its end.
 type File interface {
 	io.WriteCloser
-	// Truncate cuts the file to a size in bytes.
+	// Truncate shortens the file to a size in bytes.
 	Truncate(size int64) error
-	// Sync makes all earlier writes durable. After an error it is unknown which of them are.
+	// Sync makes all earlier writes durable. After an error it is unknown which of them are durable.
 	Sync() error
 }
 
--- a/internal/control/storage/record.go
+++ b/internal/control/storage/record.go
@@ -5,29 +5,29 @@
 	"hash/crc32"
 )
 
-// checksumLen is the length of the checksum in front of every stored value: CRC-32 (IEEE) in eight hexadecimal digits.
+// checksumLen is the length of the checksum that precedes each stored value: CRC-32 (IEEE) in eight hexadecimal digits.
 const checksumLen = 8
 
-// recordOverhead is about how many bytes a "set" command takes beside its key and value.
+// recordOverhead is the approximate number of bytes that a "set" command takes in addition to its key and value.
 const recordOverhead = 27
 
-// The commands of the file format, which is that of buntdb's own append-only files.
+// Commands of the file format, which is the format of buntdb's own append-only files.
 const (
 	setCommand    = "set"
 	deleteCommand = "del"
 )
 
-// addChecksum returns a value with a checksum over its key and itself in front.
+// addChecksum returns a value preceded by a checksum over its key and the value.
 func addChecksum(key, value string) string {
 	return fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(key+"\n"+value))) + value
 }
 
-// verifyChecksum returns the value without its checksum, and whether the checksum is right.
-func verifyChecksum(key, sealed string) (value string, ok bool) {
-	if len(sealed) < checksumLen || addChecksum(key, sealed[checksumLen:])[:checksumLen] != sealed[:checksumLen] {
+// verifyChecksum returns the value of a stored string without its checksum, and whether the checksum is correct.
+func verifyChecksum(key, stored string) (value string, ok bool) {
+	if len(stored) < checksumLen || addChecksum(key, stored[checksumLen:])[:checksumLen] != stored[:checksumLen] {
 		return "", false
 	}
-	return sealed[checksumLen:], true
+	return stored[checksumLen:], true
 }
 
 // appendSetCommand appends the command that sets a key, with the value's checksum.
@@ -49,7 +49,8 @@
 	return dst
 }
 
-// estimatedRecordSize returns about how many bytes a key and its value with checksum take in a compacted file.
-func estimatedRecordSize(key, sealed string) int64 {
-	return int64(len(key) + len(sealed) + recordOverhead)
+// estimatedRecordSize returns the approximate number of bytes that a key and its value with checksum take in a
+// compacted file.
+func estimatedRecordSize(key, stored string) int64 {
+	return int64(len(key) + len(stored) + recordOverhead)
 }
--- a/internal/control/storage/recovery.go
+++ b/internal/control/storage/recovery.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// maxCommandParts is how many parts a command of the file may have; one with more is taken for damage.
+// maxCommandParts is the maximum number of parts of a command. A command with more parts is treated as damaged.
 const maxCommandParts = 8
 
-// syncedRecordStart is how each record begins: with the command that sets syncedKey.
+// syncedRecordStart is the start of each record: the beginning of the command that sets syncedKey.
 const syncedRecordStart = "*3\r\n$3\r\nset\r\n$6\r\n" + syncedKey
 
-// validPrefix returns the length of the longest prefix of data that consists of complete commands with right
+// validPrefix returns the length of the longest prefix of data that consists of complete commands with correct
 // checksums.
 //
-// Writes after the last sync may be missing or torn after a power failure, so an invalid tail alone is no damage. The
-// file is intact unless a valid record behind the prefix says that bytes beyond the prefix had been synced: then data
-// is lost that may have been acknowledged.
+// After a power failure, writes since the last sync may be missing or torn, so an invalid tail alone is not damage. The
+// file is not intact if a valid record after the prefix states that bytes beyond the prefix had been synced, because
+// then data is lost that may have been acknowledged.
 func validPrefix(data []byte) (validLen int, intact bool) {
 	validLen = parseCommands(data, func(int) {})
 	intact = true
@@ -36,8 +36,8 @@
 	return validLen, intact
 }
 
-// parseCommands reads valid commands from the start of data up to the first invalid one, and returns how many bytes
-// they take. It calls onSyncedOffset with each value of syncedKey.
+// parseCommands parses valid commands from the start of data up to the first invalid command, and returns their total
+// size in bytes. It calls onSyncedOffset with each value of syncedKey.
 func parseCommands(data []byte, onSyncedOffset func(synced int)) (validLen int) {
 	reader := commandReader{input: bufio.NewReader(bytes.NewReader(data)), maxLen: len(data)}
 	for {
@@ -52,10 +52,10 @@
 	}
 }
 
-// command is one parsed command of the file.
+// command is a parsed command of the file.
 type command struct {
 	parts []string // name, key and, for "set", the value with its checksum
-	size  int      // in bytes of the file
+	size  int      // in the file, in bytes
 }
 
 func (c command) isSet() bool {
@@ -66,7 +66,7 @@
 	return strings.EqualFold(c.parts[0], deleteCommand) && len(c.parts) == 2
 }
 
-// valid reports whether the command is known and its checksum, if it has one, is right.
+// valid reports whether the command is known and its checksum, if it has one, is correct.
 func (c command) valid() bool {
 	if !c.isSet() {
 		return c.isDelete()
@@ -75,7 +75,7 @@
 	return ok
 }
 
-// syncedOffset returns the synced size of the file that a valid command states, if it states one.
+// syncedOffset returns the synced size of the file if a valid command sets syncedKey.
 func (c command) syncedOffset() (offset int, ok bool) {
 	if !c.isSet() || c.parts[1] != syncedKey {
 		return 0, false
@@ -87,10 +87,10 @@
 // commandReader reads commands one after another.
 type commandReader struct {
 	input  *bufio.Reader
-	maxLen int // no length in the input may exceed it, so that damage never makes the reader allocate more
+	maxLen int // limit on lengths in the input, so that damage can't cause larger allocations
 }
 
-// next reads a command. It returns false at the end of the input and at a malformed command.
+// next reads a command. It returns false at the end of the input or at a malformed command.
 func (r *commandReader) next() (command, bool) {
 	count, size, ok := r.readLength('*')
 	if !ok || count < 1 || count > maxCommandParts {
@@ -108,7 +108,7 @@
 	return next, true
 }
 
-// readPart reads a bulk string. Its size includes the header and the line ends.
+// readPart reads a bulk string. size includes the header and the line ends.
 func (r *commandReader) readPart() (part string, size int, ok bool) {
 	partLen, headerSize, ok := r.readLength('$')
 	if !ok {
@@ -124,7 +124,8 @@
 	return string(payload[:partLen]), headerSize + partLen + 2, true
 }
 
-// readLength reads a header line: the prefix, a decimal number and a line end. Its size is that of the line.
+// readLength reads a header line, which consists of the prefix, a decimal number and a line end. size is the size of
+// the line.
 func (r *commandReader) readLength(prefix byte) (length, size int, ok bool) {
 	line, err := r.input.ReadString('\n')
 	if err != nil || len(line) < 4 || line[0] != prefix || line[len(line)-2] != '\r' {
--- a/internal/control/storage/writer.go
+++ b/internal/control/storage/writer.go
@@ -10,7 +10,7 @@
 	"github.com/tidwall/buntdb"
 )
 
-// batch collects the writes that go to the disk together, in one record.
+// batch collects the writes that are written to the disk together, in one record.
 type batch struct {
 	values  map[string]string // an empty value deletes its key
 	durable bool              // the record is synced before the batch is done
@@ -20,10 +20,10 @@
 
 func newBatch() *batch { return &batch{values: map[string]string{}, done: make(chan struct{})} }
 
-// WriteFuture is the future result of a queued write. The zero value is that of a write of nothing, which succeeds.
+// WriteFuture is the future result of a queued write. The zero value is the result of an empty write, which succeeds.
 type WriteFuture struct{ batch *batch }
 
-// Wait blocks until the write is done and returns its error. After an error the values may be durable or not.
+// Wait blocks until the write is done and returns its error. After an error the values may or may not be durable.
 func (w WriteFuture) Wait() error {
 	if w.batch == nil {
 		return nil
@@ -32,7 +32,7 @@
 	return w.batch.err
 }
 
-// enqueue adds values to the pending batch and starts writeLoop unless it is running.
+// enqueue adds values to the pending batch and starts writeLoop if it is not running.
 func (s *Store) enqueue(values map[string]string, durable bool) *batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return s.pending
 }
 
-// writeLoop writes batches until none is pending. All writes that are queued while the disk is busy share one sync.
+// writeLoop writes batches until none is pending. All writes that are queued during a write share one sync.
 func (s *Store) writeLoop() {
 	for {
 		next := s.takeBatch()
@@ -63,16 +63,17 @@
 		if err := s.writeBatch(next); err != nil {
 			next.err = errors.Wrap(err, "storage")
 		}
-		close(next.done) // before a compaction, which takes longer than the write that was waited for
+		close(next.done) // before a compaction, which takes longer than the write
 		if next.err == nil && s.fileSize > s.compactThreshold() {
 			if err := s.compact(); err != nil {
-				s.needsRewrite = true // the old file goes on; the next write tries again
+				s.needsRewrite = true // the current file remains in use; the next write retries the compaction
 			}
 		}
 	}
 }
 
-// takeBatch takes the pending batch. If it is empty, takeBatch marks the writer as ended and returns nil.
+// takeBatch returns the pending batch and replaces it. If the batch is empty, takeBatch marks writeLoop as ended and
+// returns nil.
 func (s *Store) takeBatch() *batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +87,8 @@
 	return taken
 }
 
-// writeBatch writes a batch to the file, syncs it if it is durable, and applies it to the tables in memory.
+// writeBatch writes a batch to the file, syncs the file if the batch is durable, and applies the batch to the in-memory
+// database.
 func (s *Store) writeBatch(b *batch) error {
 	if s.needsRewrite {
 		if err := s.compact(); err != nil {
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// encodeRecord encodes a batch in the order of its keys: a torn tail holds a prefix of it.
+// encodeRecord encodes a batch in the order of its keys, so that a torn tail contains a prefix of the batch.
 func (s *Store) encodeRecord(b *batch) []byte {
 	record := appendSetCommand(nil, syncedKey, strconv.FormatInt(s.syncedSize, 10))
 	for _, key := range slices.Sorted(maps.Keys(b.values)) {
@@ -123,7 +125,7 @@
 	return record
 }
 
-// appendRecord writes a record at the end of the file, and cuts off what a failed write has left.
+// appendRecord writes a record at the end of the file. If the write fails, it truncates a partially written record.
 func (s *Store) appendRecord(record []byte) error {
 	written, err := s.file.Write(record)
 	if err == nil && written < len(record) {
@@ -140,9 +142,9 @@
 	return err
 }
 
-// applyBatch applies a written batch to the tables in memory.
+// applyBatch applies a written batch to the in-memory database.
 func (s *Store) applyBatch(b *batch) {
-	// An update in memory fails only after the database was closed, which the store never does.
+	// An update in memory fails only if the database is closed, and the store never closes it.
 	_ = s.db.Update(func(tx *buntdb.Tx) error {
 		for key, value := range b.values {
 			if value == "" {
@@ -155,28 +157,28 @@
 	})
 }
 
-// applyDelete deletes a key, which need not exist.
+// applyDelete deletes a key, which may be missing.
 func (s *Store) applyDelete(tx *buntdb.Tx, key string) {
 	if old, err := tx.Delete(key); err == nil {
 		s.liveSize -= estimatedRecordSize(key, old)
 	}
 }
 
-func (s *Store) applySet(tx *buntdb.Tx, key, sealed string) {
-	old, replaced, _ := tx.Set(key, sealed, nil) // its errors are of transactions that are closed or read-only
+func (s *Store) applySet(tx *buntdb.Tx, key, stored string) {
+	old, replaced, _ := tx.Set(key, stored, nil) // fails only in a closed or read-only transaction
 	if replaced {
 		s.liveSize -= estimatedRecordSize(key, old)
 	}
-	s.liveSize += estimatedRecordSize(key, sealed)
+	s.liveSize += estimatedRecordSize(key, stored)
 }
 
-// compactThreshold returns the size in bytes from which the file is compacted.
+// compactThreshold returns the size in bytes above which the file is compacted.
 func (s *Store) compactThreshold() int64 { return max(s.minCompactSize, maxGrowthFactor*s.liveSize) }
 
-// compact replaces the state file by one that holds the live values alone: it writes and syncs a new file, renames it,
-// and syncs the directory before anything is appended.
+// compact replaces the state file by one that contains only the live values. It writes and syncs a new file, renames
+// it, and syncs the directory before any record is appended.
 //
-// Invariant: a crash at any moment leaves either the old or the new file, and both hold every acknowledged write.
+// Invariant: a crash at any time leaves either the old or the new file, and both contain every acknowledged write.
 func (s *Store) compact() error {
 	newFile, err := s.fs.Create(compactFile)
 	if err != nil {
@@ -195,8 +197,8 @@
 	s.fileSize = size
 	s.syncedSize = size
 	s.liveSize = size
-	// The new file is in use from here on, but its name is durable only after the directory was synced. If that fails,
-	// the callers leave needsRewrite set, and the next write compacts again before it is acknowledged.
+	// The new file is in use from here on, but its name is durable only after the directory is synced. If the sync
+	// fails, the callers leave needsRewrite set, and the next write compacts again before it is acknowledged.
 	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
@@ -217,7 +219,7 @@
 	return counter.written, nil
 }
 
-// countingWriter counts the bytes that are written to a file, and makes a short write an error.
+// countingWriter counts the bytes that are written to a file, and returns an error for a short write.
 type countingWriter struct {
 	file    File
 	written int64
