--- a/httpagent/agent.go
+++ b/httpagent/agent.go
@@ -1,7 +1,7 @@
-// Package httpagent is the agent on sockets. It speaks HTTP with clients and backends, follows discovery and the
-// platform, exchanges datagrams with other agents, and lets package policy decide, by way of an engine. Each file has
-// one job. Several agents may run in one process: a program reads a Station with ReadStation and calls New and Run.
-// There is no global state and no signal handling.
+// Package httpagent runs the agent over the network. It serves HTTP clients, forwards their requests to backends,
+// watches discovery and the platform, and exchanges datagrams with other agents; package policy makes the decisions,
+// driven by an engine. A program reads a Station with ReadStation and calls New and Run. The package has no global
+// state and handles no signals, so several agents may run in one process.
 package httpagent
 
 import (
@@ -20,7 +20,7 @@
 	"sagelever/match"
 )
 
-// Agent is one agent on sockets.
+// Agent is a load-balancing agent that serves and sends HTTP over the network.
 type Agent struct {
 	station    *Station
 	deployment match.Deployment
@@ -28,46 +28,48 @@
 	engine     *engine.Engine
 	backends   *backendClients
 	control    *http.Transport // to discovery and the platform
-	peers      *peerSocket     // nil if the station names no address for it
-	lifetime   context.Context // ends when the agent does; set by Run
+	peers      *peerSocket     // nil if the station configures no peer address
+	lifetime   context.Context // canceled when Run returns; set by Run
 	counters   outcomeCounters
 
-	ready    atomic.Bool   // what it knew at the start has reached the policy
-	stopping atomic.Bool   // it has been told to stop
-	stopped  chan struct{} // closed when it has been told to stop
+	ready    atomic.Bool   // the initial state has been delivered to the policy
+	stopping atomic.Bool   // shutdown has begun
+	stopped  chan struct{} // closed when shutdown begins
 
 	// Clients.
 	clientConns      clientConns
 	openTransactions atomic.Int64
-	bodyBytes        atomic.Int64 // of clients' bodies in memory
+	bodyBytes        atomic.Int64 // request bodies held in memory
 	maxBodyBytes     int64
-	badRequestLog    rateLimitedLog              // on requests that never become a transaction
-	rules            atomic.Pointer[match.Judge] // nil if the operator has none
+	badRequestLog    rateLimitedLog              // requests rejected before they become a transaction
+	rules            atomic.Pointer[match.Judge] // the operator's rules, nil if there are none
 	ruleErrorLog     rateLimitedLog
 
 	// Discovery and the platform.
 	endpoints      controlEndpoints
-	updating       sync.Mutex    // held while a list is applied
-	listVersion    atomic.Int64  // of the last list applied
-	watchWanted    atomic.Bool   // the policy wants changes, where they come only on request
+	updating       sync.Mutex    // held while a backend list is applied
+	listVersion    atomic.Int64  // version of the last list applied
+	watchWanted    atomic.Bool   // the policy has requested a watch (used if changes are not pushed)
 	watchRequested chan struct{} // signals that watchWanted was set
 
 	// Other protocols on the same agent.
 	mounts     map[string]http.Handler // by path
 	onBackends func([]BackendEndpoint)
-	announced  map[api.BackendID]api.Backend // announced as available
-	upgraded   sync.WaitGroup                // connections that have been taken over
+	announced  map[api.BackendID]api.Backend // last announced as available
+	upgraded   sync.WaitGroup                // connections taken over by mounted protocols
 }
 
 const (
-	reservedDescriptors = 40      // for discovery, the platform, other agents and the log
-	unlimitedSockets    = 1 << 20 // where the station names no limit
-	defaultMemory       = 512 << 20
-	// clients' bodies may have an eighth of the memory, as headers and responses take several times that
+	reservedDescriptors = 40 // for discovery, the platform, other agents and the log
+	minSockets          = 4 * reservedDescriptors
+	unlimitedSockets    = 1 << 20   // used if the station sets no limit
+	defaultMemory       = 512 << 20 // bytes, used if the station sets no limit
+
+	// bodyMemoryShare limits request bodies to 1/8 of the memory, as headers and responses take several times that.
 	bodyMemoryShare = 8
 )
 
-// New makes an agent from a station that has been checked.
+// New returns an agent for a station that has passed Check.
 func New(station *Station) *Agent {
 	log := station.Log
 	if log == nil {
@@ -77,7 +79,7 @@
 	if memory == 0 {
 		memory = defaultMemory
 	}
-	// Half of the descriptors are for clients, half for backends.
+	// Client and backend connections get half of the descriptors each.
 	maxConns := socketLimit(station, log)/2 - reservedDescriptors/2
 	dialTimeout := setting(station, "link.dial", time.Second)
 	idleTimeout := setting(station, "link.idle", time.Minute)
@@ -104,20 +106,20 @@
 	return a
 }
 
-// socketLimit is how many descriptors the agent may use.
+// socketLimit returns the number of descriptors that the agent may use.
 func socketLimit(station *Station, log *slog.Logger) int64 {
 	sockets := int64(station.Limits.Sockets)
 	switch {
 	case sockets == 0:
 		return unlimitedSockets
-	case sockets < 4*reservedDescriptors:
+	case sockets < minSockets:
 		log.Warn("few_descriptors", "sockets", sockets)
-		return 4 * reservedDescriptors
+		return minSockets
 	}
 	return sockets
 }
 
-// Run serves until the context ends, and then until all accepted transactions are answered. It is called once.
+// Run serves until ctx is canceled, then finishes all accepted transactions and returns. It must be called only once.
 func (a *Agent) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", a.station.Listen)
 	if err != nil {
@@ -152,7 +154,7 @@
 	return a.serve(ctx, listener)
 }
 
-// loadInitialState hands the policy what the station knew of backends and the rollout.
+// loadInitialState delivers the station's backend list and rollout state to the policy.
 func (a *Agent) loadInitialState() error {
 	if present(a.station.Known) {
 		known, err := parseBackendList(a.station.Known, a.engine.StartTime())
@@ -175,8 +177,8 @@
 	return nil
 }
 
-// execute carries out an action that belongs to no transaction. The engine's goroutine calls it, so it returns at once;
-// what takes time ends with the agent's lifetime or by a time-out.
+// execute performs an action that belongs to no transaction. It runs on the engine's goroutine and must not block; the
+// goroutines that it starts are bounded by the agent's lifetime or a timeout.
 func (a *Agent) execute(action api.Action) {
 	switch action := action.(type) {
 	case api.CheckHealth:
--- a/httpagent/backends.go
+++ b/httpagent/backends.go
@@ -15,25 +15,26 @@
 
 var errNoDescriptors = errors.New("no descriptor is left for a connection")
 
-// backendClients holds a client for each backend, and what bounds them together.
+// backendClients holds one client per backend, and the limits that they share.
 type backendClients struct {
 	mu          sync.Mutex
 	byID        map[api.BackendID]*backendClient
 	dialTimeout time.Duration
-	idleTimeout time.Duration // after which backends close a connection
+	idleTimeout time.Duration // after which backends close an idle connection
 	connOptions *upstream.Options
 
 	maxConns    int64
-	openConns   atomic.Int64 // connections that are up or coming up
-	dials       atomic.Int64 // since they were last logged
-	failedDials atomic.Int64 // since they were last logged
+	openConns   atomic.Int64 // established or being dialed
+	dials       atomic.Int64 // since the counters were last logged
+	failedDials atomic.Int64 // since the counters were last logged
 
-	maxResponseSize  int64        // bytes of one response
-	maxResponseBytes int64        // bytes of all responses in memory
-	responseBytes    atomic.Int64 // of responses that are being read or not yet passed on
+	maxResponseSize  int64        // limit for one response, in bytes
+	maxResponseBytes int64        // limit for all responses in memory, in bytes
+	responseBytes    atomic.Int64 // reserved by responses being read or not yet released
 }
 
-// backendClient is the client of one backend. Its transport is its own, so that its connections can be closed alone.
+// backendClient is the client of one backend. It has its own transport, so that its connections can be closed without
+// affecting other backends.
 type backendClient struct {
 	address   string
 	build     api.Build
@@ -43,16 +44,17 @@
 }
 
 const (
-	// readSettleTime is some times what a network within one site takes from one machine to the next.
+	// readSettleTime is how long a connection must stay quiet after a response before it is reused: several times the
+	// latency between two machines of one site.
 	readSettleTime = time.Millisecond
 
-	// Responses of some hundred kilobytes come, though the protocol knows none above 64, and so do ones that announce
-	// gigabytes: one response may have this part of the memory, and all together that one.
+	// One response may take 1/32 of the memory, all responses together 1/4. Backends send responses of several hundred
+	// kilobytes although the protocol allows 64, and some declare gigabytes.
 	responseMemoryShare     = 32
 	allResponsesMemoryShare = 4
 
-	maxIdleConnsPerBackend  = 1 << 16 // as many as are open
-	transportReadBufferSize = 1 << 10 // small, as upstream.Conn reads ahead itself
+	maxIdleConnsPerBackend  = 1 << 16 // effectively no limit: every open connection may be idle
+	transportReadBufferSize = 1 << 10 // small, because upstream.Conn does its own read-ahead
 )
 
 func newBackendClients(dialTimeout, idleTimeout time.Duration, maxConns, memory int64) *backendClients {
@@ -72,8 +74,9 @@
 	return clients
 }
 
-// update takes up the addresses of a list. A backend with a new address, another build or another start is a new one
-// and gets new connections: what the old one may still write answers none of its requests.
+// update adds, replaces and removes clients according to a list. A backend whose address, build or start time has
+// changed gets a new client with new connections, so that late bytes of the previous process cannot answer its
+// requests.
 func (c *backendClients) update(list *backendList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,12 +106,13 @@
 	}
 }
 
-// serves reports whether the client is that of an entry.
+// serves reports whether the client connects to the same process as the entry.
 func (c *backendClient) serves(entry api.Backend, address string) bool {
 	return c.address == address && c.build == entry.Build && c.startedAt == entry.Started
 }
 
-// remove forgets a client; connections in use close when they are idle. The lock is held.
+// remove deletes a client and closes its idle connections; those in use are closed when they become idle. The caller
+// must hold mu.
 func (c *backendClients) remove(id api.BackendID) {
 	if old := c.byID[id]; old != nil {
 		old.transport.CloseIdleConnections()
@@ -124,21 +128,21 @@
 	}
 }
 
-// get returns the client of a backend, nil if the backend is not listed.
+// get returns the client of a backend, or nil if the backend is not listed.
 func (c *backendClients) get(id api.BackendID) *backendClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.byID[id]
 }
 
-// newTransport makes the transport of one backend. It gives an idle connection up an eighth before the backend would
-// close it, so that no request meets the close.
+// newTransport returns the transport of one backend. It closes idle connections after 7/8 of the backend's idle
+// timeout, so that no request is sent on a connection that the backend is closing.
 func (c *backendClients) newTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: c.dialTimeout, KeepAlive: -1}
 	return &http.Transport{
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    maxIdleConnsPerBackend,
-		MaxResponseHeaderBytes: 2 * upstream.MaxHeaderBytes, // upstream.Conn has bounded them
+		MaxResponseHeaderBytes: 2 * upstream.MaxHeaderBytes, // not reached: upstream.Conn enforces a lower limit
 		ReadBufferSize:         transportReadBufferSize,
 		IdleConnTimeout:        c.idleTimeout - c.idleTimeout/8,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -147,7 +151,8 @@
 	}
 }
 
-// dial opens a connection if the limit on them allows it, for which it closes idle ones of other backends.
+// dial opens a connection. At the connection limit it first closes idle connections of all backends, and returns
+// errNoDescriptors if that does not free one.
 func (c *backendClients) dial(ctx context.Context, dialer *net.Dialer, network, address string) (net.Conn, error) {
 	if c.openConns.Add(1) > c.maxConns {
 		c.closeIdle()
--- a/httpagent/clientconns.go
+++ b/httpagent/clientconns.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// clientConns are the connections of clients. Clients that ask once and stay, or say nothing, must leave room for those
-// that have something to ask. Above the soft limit, a new connection closes those that have been without a transaction
-// for minIdleAge: their clients open others when they need one. At the hard limit it closes even one that has just
-// come, and is closed itself if all connections are in use.
+// clientConns tracks and limits client connections, so that idle and silent clients cannot exhaust the descriptors. At
+// or above the soft limit, a new connection closes those that have had no transaction for minIdleAge; their clients can
+// reconnect. At the hard limit, a new connection closes the one that has been idle for longest, however briefly, and is
+// itself closed if all others are in use.
 type clientConns struct {
 	mu        sync.Mutex
 	softLimit int
@@ -20,18 +20,18 @@
 	conns     map[net.Conn]*clientConnState
 }
 
-// minIdleAge is how long a connection is without a transaction until its client counts as having nothing to ask: one
-// that has just come, or has just been answered, asks sooner.
+// minIdleAge is the time without a transaction after which a connection may be closed above the soft limit. Active
+// clients send their next request sooner after connecting or after a response.
 const minIdleAge = 250 * time.Millisecond
 
-// clientConnState is what is known of one connection.
+// clientConnState is the state of one client connection.
 type clientConnState struct {
 	state http.ConnState
-	since time.Time
-	inUse bool // it carries a transaction, or is no HTTP connection any more
+	since time.Time // of the last state change
+	inUse bool      // it carries a transaction, or has been hijacked
 }
 
-// connStateChanged follows the state of a connection; it is http.Server's ConnState.
+// connStateChanged records a state change of a connection. It implements http.Server.ConnState.
 func (c *clientConns) connStateChanged(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 			*entry = clientConnState{state: state, since: time.Now()}
 		}
 	case http.StateHijacked:
-		if entry := c.conns[conn]; entry != nil { // it has a descriptor until whoever took it over closes it
+		if entry := c.conns[conn]; entry != nil { // occupies a descriptor until its new owner calls remove
 			*entry = clientConnState{state: state, since: time.Now(), inUse: true}
 		}
 	default:
@@ -59,15 +59,15 @@
 	}
 }
 
-// remove forgets a connection that was taken over and is closed.
+// remove stops tracking a hijacked connection that has been closed.
 func (c *clientConns) remove(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.conns, conn)
 }
 
-// closeIdle closes all idle connections above the soft limit, so that a burst of clients leaves nothing behind. The
-// lock is held.
+// closeIdle closes idle connections until fewer than the soft limit are open, so that the connections of a burst don't
+// stay open. The caller must hold mu.
 func (c *clientConns) closeIdle() {
 	for len(c.conns) >= c.softLimit {
 		if !c.closeIdlest(minIdleAge) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// closeIdlest closes the connection that has been without a transaction for longest, if that is minAge or more, and
-// reports whether there was one. The lock is held.
+// closeIdlest closes the connection that has been idle for longest, if it has been idle for at least minAge, and
+// reports whether it closed one. The caller must hold mu.
 func (c *clientConns) closeIdlest(minAge time.Duration) bool {
 	var idlest net.Conn
 	for conn, entry := range c.conns {
@@ -93,21 +93,22 @@
 	return true
 }
 
-// clientConnKey is the key of a connection in the context of its requests.
+// clientConnKey is the context key under which requests carry their connection.
 type clientConnKey struct{}
 
-// connContext puts a connection into the context of its requests; it is http.Server's ConnContext.
+// connContext adds a connection to the context of its requests. It implements http.Server.ConnContext.
 func (c *clientConns) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// claim notes that a request is to become a transaction, until its connection is idle again. It refuses if the
-// connection was closed while the request was being read: the client has seen a close without an answer and asks again,
-// here or elsewhere, under the same id, and both requests would be forwarded.
+// claim marks the connection of a request as in use until it is idle again, and reports whether the request may become
+// a transaction. It returns false if the connection was closed while the request was being read: the client sees a
+// close without a response and repeats the request under the same ID, here or at another agent, and both would be
+// forwarded.
 func (c *clientConns) claim(r *http.Request) bool {
 	conn, _ := r.Context().Value(clientConnKey{}).(net.Conn)
 	if conn == nil {
-		return true // the server is an embedder's, which does not track connections
+		return true // an embedding server that does not track connections
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,20 +121,20 @@
 	return true
 }
 
-// closeTrackingConn is a client's connection that knows whether it is closed: when it shuts down, net/http closes idle
-// ones by itself, also one from which a request has just been read.
+// closeTrackingConn is a client connection that records whether it has been closed. On shutdown, net/http closes idle
+// connections itself, including one from which a request has just been read.
 type closeTrackingConn struct {
 	net.Conn
 	closed atomic.Bool
 }
 
-// Close notes that the connection is closed and closes it.
+// Close records the close and closes the connection.
 func (c *closeTrackingConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-// closeTrackingListener is a listener whose connections are closeTrackingConns.
+// closeTrackingListener wraps accepted connections in closeTrackingConn.
 type closeTrackingListener struct{ net.Listener }
 
 // Accept waits for the next connection.
@@ -145,7 +146,7 @@
 	return &closeTrackingConn{Conn: conn}, nil
 }
 
-// closeUnused closes connections that have never carried a request; http.Server closes the idle ones itself.
+// closeUnused closes connections that have never carried a request. http.Server closes the idle ones on shutdown.
 func (c *clientConns) closeUnused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/httpagent/counters.go
+++ b/httpagent/counters.go
@@ -9,18 +9,19 @@
 	"sagelever/internal/agent/transaction"
 )
 
-// outcomeCounters counts how transactions and attempts ended, for a line in the log every countersLogInterval. Added up
-// over a fleet, these lines tell what no agent shows alone; tools/account does it.
+// outcomeCounters counts the outcomes of transactions and attempts for the log line written every countersLogInterval.
+// tools/account adds these lines up over a fleet.
 type outcomeCounters struct {
 	results  [transaction.ClientGone + 1]atomic.Int64
-	reasons  [api.ReasonCount]atomic.Int64 // of transactions that were deferred or failed
+	reasons  [api.ReasonCount]atomic.Int64 // why transactions were deferred or failed
 	attempts [api.InvalidRequest + 1]atomic.Int64
 }
 
-// countersLogInterval is rare enough that the log costs little, and often enough for the time line of an incident.
+// countersLogInterval keeps the cost of logging low while being short enough to reconstruct the timeline of an
+// incident.
 const countersLogInterval = 5 * time.Second
 
-// attemptNames are the names of outcomes in the log, which docs/oncall.md describes.
+// attemptNames maps api.Outcome to its name in the log; docs/oncall.md documents the names.
 var attemptNames = [api.InvalidRequest + 1]string{
 	"ok", "fault", "rejected", "timed_out", "unreachable", "cut", "called_off", "not_sent", "spoilt", "unfit",
 }
@@ -34,8 +35,7 @@
 
 func (c *outcomeCounters) countAttempt(outcome api.Outcome) { c.attempts[outcome].Add(1) }
 
-// takeFields returns what has been counted since the last call as fields of a line in the log, without those that are
-// 0.
+// takeFields returns the counts since the previous call as log fields and resets them. Zero counts are omitted.
 func (c *outcomeCounters) takeFields(backends *backendClients) (fields []any) {
 	put := func(name string, counter *atomic.Int64) {
 		if n := counter.Swap(0); n > 0 {
@@ -56,7 +56,7 @@
 	return fields
 }
 
-// logCounters logs what was counted, where anything was, until the context ends.
+// logCounters periodically logs the counters that changed, until ctx is canceled.
 func (a *Agent) logCounters(ctx context.Context) {
 	for sleep(ctx, countersLogInterval) {
 		if fields := a.counters.takeFields(a.backends); fields != nil {
--- a/httpagent/endpoints.go
+++ b/httpagent/endpoints.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// controlEndpoints are the present addresses of discovery and the platform; both may change while the agent runs.
+// controlEndpoints holds the current addresses of discovery and the platform. Reload changes them at run time.
 type controlEndpoints struct {
 	mu                          sync.Mutex
 	current                     endpointAddresses
-	watchChanged, streamChanged chan struct{} // signal that an address has changed
+	watchChanged, streamChanged chan struct{} // signaled when an address has changed
 }
 
 type endpointAddresses struct{ discovery, platform string }
@@ -20,9 +20,9 @@
 func (e *controlEndpoints) discovery() string { return e.load().discovery }
 func (e *controlEndpoints) platform() string  { return e.load().platform }
 
-// Reload takes up the addresses of discovery and the platform from a station that has been checked. The watch and the
-// stream are opened at the new addresses at once, beside the old ones until they have received something; votes go to
-// the new address from now on. All else in the station takes effect at the next start.
+// Reload applies the addresses of discovery and the platform from a station that has passed Check. The watch and the
+// stream are opened at the new addresses immediately; the old ones are closed once the new ones have received
+// something. Votes go to the new address. All other changes to the station require a restart.
 func (a *Agent) Reload(station *Station) {
 	a.endpoints.mu.Lock()
 	a.endpoints.current = endpointAddresses{station.Discovery, station.Platform.Address}
--- a/httpagent/exchange.go
+++ b/httpagent/exchange.go
@@ -17,7 +17,7 @@
 
 var errMalformedResponse = upstream.ErrMalformedResponse
 
-// backendResponse is what a backend has answered, read whole. Whoever has it releases it.
+// backendResponse is a response that has been read completely. Its owner must call release.
 type backendResponse struct {
 	status  int
 	header  http.Header
@@ -25,7 +25,7 @@
 	release func()
 }
 
-// outcomeOf tells how an attempt ended. Only what is certain counts as never run.
+// outcomeOf returns the outcome of an attempt. An attempt counts as never run only if that is certain.
 func outcomeOf(response *backendResponse, err error) api.Outcome {
 	if err == nil {
 		return responseOutcome(response)
@@ -34,7 +34,7 @@
 	canceled := errors.Is(err, transaction.ErrCanceled)
 	switch {
 	case neverRan && (canceled || errors.Is(err, errNoDescriptors)):
-		return api.NotSent // the agent's doing, not the backend's
+		return api.NotSent // caused by the agent, not by the backend
 	case neverRan:
 		return api.Unreachable
 	case errors.Is(err, errMalformedResponse):
@@ -47,7 +47,8 @@
 	return api.ConnectionLost
 }
 
-// responseOutcome tells how an attempt ended that was answered. A backend that says Not-Started has not run it.
+// responseOutcome returns the outcome of an attempt that got a response. A backend that sets Not-Started has not run
+// the request.
 func responseOutcome(response *backendResponse) api.Outcome {
 	unavailable := response.status == http.StatusServiceUnavailable || response.status == http.StatusGatewayTimeout
 	switch {
@@ -61,14 +62,14 @@
 	return api.ErrorResponse
 }
 
-// inTransitGrace is how long a response that is on its way may take to arrive once an attempt is given up: several
-// times what a network within one site takes.
+// inTransitGrace is how long a canceled attempt waits for a response that is already in transit: several times the
+// latency within one site.
 const inTransitGrace = 10 * time.Millisecond
 
-// do sends one request to a backend and reads the response whole. The attempt is given up when ctx ends, whose cause
-// says why. That ends only the sending: a response that was written before is still read, as the backend did carry the
-// request out. A kept connection that turns out to be useless before anything is written on it is replaced by the next
-// one, as nothing has been sent then.
+// do sends one request to a backend and reads the whole response. If ctx ends, the attempt is canceled with the cause
+// of ctx. Cancellation ends only the sending: a response that the backend has already written is still read, as the
+// backend has run the request. If a reused connection turns out to be closed before anything is written on it, do
+// retries on another connection.
 func (c *backendClient) do(ctx context.Context, req *http.Request, body []byte) (*backendResponse, error) {
 	for {
 		upstream.SetNonReplayableBody(req, body)
@@ -79,14 +80,15 @@
 	}
 }
 
-// doOnce sends a request on one connection. stale says that it was a kept one on which nothing could be written.
+// doOnce sends a request on one connection. stale reports that the connection was a reused one that failed before
+// anything was written.
 func (c *backendClient) doOnce(ctx context.Context, req *http.Request) (response *backendResponse, stale bool,
 	err error) {
 	// The request's own context outlives ctx, so that a response in transit can be read.
 	requestCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	x := &exchange{ctx: ctx, use: upstream.Exchange{WriteGate: transaction.WriteGuardFrom(ctx).Do}}
-	stop := context.AfterFunc(ctx, func() { x.giveUp(cancel) })
+	stop := context.AfterFunc(ctx, func() { x.abort(cancel) })
 	defer stop()
 	resp, err := c.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(requestCtx, x.trace())))
 	if err != nil {
@@ -104,27 +106,27 @@
 	return response, false, nil
 }
 
-// exchange is one request on one connection, with what the transport tells of it.
+// exchange tracks one request on one connection by way of httptrace.
 type exchange struct {
 	ctx                 context.Context // of the attempt
 	use                 upstream.Exchange
 	conn                atomic.Pointer[upstream.Conn]
-	reused              atomic.Bool // the connection was a kept one
-	writeFailed         atomic.Bool // the last byte was not written, for certain
-	canceledBeforeWrite atomic.Bool // it was given up before anything was written
+	reused              atomic.Bool // the connection has carried a request before
+	writeFailed         atomic.Bool // the request was certainly not written completely
+	canceledBeforeWrite atomic.Bool // the attempt was canceled before anything was written
 }
 
 func (x *exchange) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn:      x.gotConn,
 		WroteRequest: func(info httptrace.WroteRequestInfo) { x.writeFailed.Store(info.Err != nil) },
-		// Interim responses are let pass; upstream.Conn bounds them.
+		// Accepts any number of interim responses; upstream.Conn limits them.
 		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil },
 	}
 }
 
-// gotConn takes up the connection. If the attempt was given up by then, the connection is closed here, as giveUp may
-// run only after the write.
+// gotConn records the connection. If the attempt has already been canceled, gotConn closes the connection, as cancel
+// may run only after the write.
 func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	conn := info.Conn.(*upstream.Conn)
 	x.reused.Store(info.Reused)
@@ -136,9 +138,9 @@
 	}
 }
 
-// giveUp ends the sending, and the reading after inTransitGrace. A connection that has just delivered the whole
-// response carries the next request and is left alone.
-func (x *exchange) giveUp(cancel context.CancelFunc) {
+// abort ends the sending immediately, and the reading after inTransitGrace. A connection that has delivered the whole
+// response may already carry another request and is left open.
+func (x *exchange) abort(cancel context.CancelFunc) {
 	conn := x.conn.Load()
 	if conn != nil && !conn.AssignedTo(&x.use) {
 		return
@@ -150,12 +152,13 @@
 	time.AfterFunc(inTransitGrace, cancel)
 }
 
-// connIsStale reports whether the request failed as a kept connection was of no use, and may go to another.
+// connIsStale reports whether the request failed because a reused connection was closed, and may be sent on another
+// one.
 func (x *exchange) connIsStale() bool {
 	return x.conn.Load() != nil && !x.use.WriteStarted() && x.reused.Load() && x.ctx.Err() == nil
 }
 
-// stage tells how far a request had come that has no response.
+// stage returns how far a request without a response had got.
 func (x *exchange) stage() transaction.AttemptStage {
 	switch {
 	case x.conn.Load() == nil:
@@ -166,10 +169,10 @@
 	return transaction.Written
 }
 
-// failure is the error of an attempt without a usable response.
+// failure returns the error of an attempt without a usable response.
 func (x *exchange) failure(stage transaction.AttemptStage, err error) error {
 	switch {
-	case x.use.ResponseStarted(): // what came is no response, or never ended, or broke off
+	case x.use.ResponseStarted(): // the response is invalid or incomplete
 		err = errMalformedResponse
 	case x.ctx.Err() != nil:
 		err = context.Cause(x.ctx)
@@ -177,8 +180,8 @@
 	return &transaction.AttemptError{Stage: stage, Cause: err}
 }
 
-// closeIfHalfClosed closes the connection of an attempt that was given up but answered: giveUp has closed its writing
-// half, so it must not be used again.
+// closeIfHalfClosed closes the connection of a canceled attempt that still got a response: abort has closed the
+// writing half, so the connection must not be reused.
 func (x *exchange) closeIfHalfClosed() {
 	if conn := x.conn.Load(); x.ctx.Err() != nil && conn.AssignedTo(&x.use) {
 		closeConn(conn)
@@ -186,10 +189,10 @@
 }
 
 func closeConn(conn *upstream.Conn) {
-	_ = conn.Close() // it is not used any more, and nobody waits for it
+	_ = conn.Close() // the connection is discarded, so the error does not matter
 }
 
-// readResponse reads a response whole, if all of them together leave room for it.
+// readResponse reads a whole response if the memory limit for all responses allows it.
 func (c *backendClient) readResponse(resp *http.Response) (*backendResponse, error) {
 	reserved := resp.ContentLength
 	if reserved < 0 {
@@ -208,7 +211,7 @@
 	return &backendResponse{resp.StatusCode, resp.Header, body, release}, nil
 }
 
-// readBounded reads a body whose length is known, or one that ends by itself within a limit.
+// readBounded reads a body. If its length is not known, the body may have at most limit bytes.
 func readBounded(resp *http.Response, limit int64) ([]byte, error) {
 	if resp.ContentLength >= 0 {
 		body := make([]byte, resp.ContentLength)
--- a/httpagent/frontend.go
+++ b/httpagent/frontend.go
@@ -10,17 +10,17 @@
 	"sagelever/match"
 )
 
-// This file has what another protocol on the same agent needs, such as package ws: requests by path, the list of
-// backends, the engine, and the account of connections.
+// This file is the interface for other protocols on the same agent, such as package ws: routing by path, backend
+// updates, the engine, and connection tracking.
 
-// BackendEndpoint is where a backend is.
+// BackendEndpoint is the address and availability of a backend.
 type BackendEndpoint struct {
 	ID        api.BackendID
 	Address   string
-	Available bool // it may get attempts
+	Available bool // it may receive attempts
 }
 
-// Mount hands the requests for a path to a handler. It is called before Run.
+// Mount registers a handler for a path. It must be called before Run.
 func (a *Agent) Mount(path string, h http.Handler) {
 	if a.mounts == nil {
 		a.mounts = map[string]http.Handler{}
@@ -28,12 +28,13 @@
 	a.mounts[path] = h
 }
 
-// OnBackends has f called with each change of the list, before the policy hears of it. It is called before Run; f
-// returns at once.
+// OnBackends registers f to be called with each change to the backend list, before the policy receives it. It must be
+// called before Run, and f must not block.
 func (a *Agent) OnBackends(f func([]BackendEndpoint)) { a.onBackends = f }
 
-// announceBackends announces the entries of a list, and those that a snapshot has left out as gone. A backend that has
-// restarted, or has another build under an old id, is another one and is announced as gone first.
+// announceBackends reports the entries of a list to the OnBackends callback. Backends that are missing from a snapshot
+// are reported as gone. A backend that has restarted or has a different build under the same ID is reported as gone
+// first, then as new.
 func (a *Agent) announceBackends(list *backendList) {
 	if a.onBackends == nil {
 		return
@@ -63,10 +64,10 @@
 	a.onBackends(changes)
 }
 
-// Engine is the agent's engine.
+// Engine returns the agent's engine.
 func (a *Agent) Engine() *engine.Engine { return a.engine }
 
-// Judge is the operator's rules, nil if there are none.
+// Judge returns the operator's rules, or nil if there are none.
 func (a *Agent) Judge() match.Judge {
 	if rules := a.rules.Load(); rules != nil {
 		return *rules
@@ -74,21 +75,21 @@
 	return nil
 }
 
-// Deployment is what the operator's rules have to fit.
+// Deployment returns the deployment that the operator's rules are compiled against.
 func (a *Agent) Deployment() match.Deployment { return a.deployment }
 
-// Timeouts returns how long a workload's clients wait, and the longest that any client may.
+// Timeouts returns the default timeout of a workload's clients, and the longest timeout of any client.
 func (a *Agent) Timeouts(workload string) (timeout, maximum time.Duration) {
 	return setting(a.station, "workload."+workload+".abandon", time.Second), a.longestTimeout()
 }
 
-// AnswerGrace is how late the rules let a final answer be.
+// AnswerGrace returns how long after its deadline a transaction may still be answered.
 func (a *Agent) AnswerGrace() time.Duration {
 	return setting(a.station, "answer.slack", time.Duration(0))
 }
 
-// TrackUpgraded counts the connection of a request, which has been taken over, until it is released: among the clients'
-// connections, and among what Run waits for in the end.
+// TrackUpgraded registers the hijacked connection of a request. Until release is called, the connection counts towards
+// the client connection limits, and Run waits for it on shutdown.
 func (a *Agent) TrackUpgraded(r *http.Request) (release func()) {
 	conn, _ := r.Context().Value(clientConnKey{}).(net.Conn)
 	a.upgraded.Add(1)
@@ -98,5 +99,5 @@
 	}
 }
 
-// Stopping is closed when the agent has been told to stop.
+// Stopping returns a channel that is closed when shutdown begins.
 func (a *Agent) Stopping() <-chan struct{} { return a.stopped }
--- a/httpagent/healthcheck.go
+++ b/httpagent/healthcheck.go
@@ -16,7 +16,7 @@
 	loadPath = "/_load"
 )
 
-// checkHealth checks a backend's health and tells the policy.
+// checkHealth sends a health check to a backend and delivers the result to the policy.
 func (a *Agent) checkHealth(ctx context.Context, id api.BackendID) {
 	path := pingPath
 	if fields := setting(a.station, "load.fields", []string(nil)); len(fields) > 0 {
--- a/httpagent/parse.go
+++ b/httpagent/parse.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	maxBodySize = 64 << 10 // bytes of a client's body
+	maxBodySize = 64 << 10 // bytes of a request body
 
-	// bodyReadTimeout is how long a body may take once its headers are there: with headerReadTimeout it stays below the 3
-	// s within which whoever sends half a request has to be answered.
+	// bodyReadTimeout limits reading the body after the headers. Together with headerReadTimeout it stays below 3 s,
+	// within which an incomplete request has to be answered.
 	bodyReadTimeout = 800 * time.Millisecond
 
-	// maxHeaderNumber is beyond any figure that a client has reason to name, and still fits a time.Duration.
+	// maxHeaderNumber is larger than any meaningful value, and still fits a time.Duration in any unit that is used.
 	maxHeaderNumber = 1e10
 )
 
-// clientRequest is a transaction as a client has written it: the request, which is forwarded unchanged, and what the
-// policy needs to know of it.
+// clientRequest is a transaction as received from a client: the request, which is forwarded unchanged, and its
+// properties for the policy.
 type clientRequest struct {
 	api.TransactionAccepted
 	request  *http.Request
 	body     []byte
-	deadline time.Time // when the client gives up
+	deadline time.Time // when the client stops waiting
 }
 
-// requestError says that a request does not become a transaction, and by which status it is answered.
+// requestError is the reason why a request is rejected, with the status of the response.
 type requestError struct {
 	status  int
 	message string
@@ -40,7 +40,7 @@
 
 func (e requestError) Error() string { return e.message }
 
-// parseRequest reads from a request what the policy needs. Its error is a requestError.
+// parseRequest validates a request and extracts its properties for the policy. Its error is always a requestError.
 func (a *Agent) parseRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	if err := checkFraming(r); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return request, nil
 }
 
-// assignWorkload finds the workload by the path and the operator's rules, and checks that the request fits it.
+// assignWorkload determines the workload from the path and the operator's rules, and checks that the request fits it.
 func (a *Agent) assignWorkload(request *clientRequest) error {
 	r := request.request
 	byPath := pathWorkload(r)
@@ -84,29 +84,30 @@
 	}
 	if workload == byPath {
 		err = checkMethod(r, effect)
-	} else { // the rules let no workload pass that is more repeatable than what was sent
+	} else { // the rules never assign a workload that is more repeatable than the request
 		err = checkMethodOfRule(r)
 	}
 	request.Workload = api.Workload(workload)
 	return err
 }
 
-// pathWorkload is the first segment of a path as it was written: a backend need not read an escaped slash as one.
+// pathWorkload returns the first segment of the escaped path, as a backend may not treat an escaped slash as a
+// separator.
 func pathWorkload(r *http.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	return name
 }
 
-// effectOf is the effect of a workload, "" if the deployment does not know it.
+// effectOf returns the effect of a workload, or "" if the deployment does not define the workload.
 func (a *Agent) effectOf(workload string) string {
 	return setting(a.station, "workload."+workload+".effect", "")
 }
 
-// parseHeaders reads from the headers what the policy needs.
+// parseHeaders extracts the properties for the policy from the headers.
 func (a *Agent) parseHeaders(request *clientRequest) error {
 	header := request.request.Header
 	for _, name := range []string{"Request-Id", "Request-Timeout", "Idempotency-Key", "Work-Hint"} {
-		if len(header[name]) > 1 { // a backend might read the other one
+		if len(header[name]) > 1 { // a backend might use a different value than the agent
 			return requestError{http.StatusBadRequest, name + " comes twice"}
 		}
 	}
@@ -115,7 +116,7 @@
 		if err != nil {
 			return requestError{http.StatusBadRequest, err.Error()}
 		}
-		request.Timeout = max(min(timeout, a.longestTimeout()), 1) // nothing is kept in memory for longer
+		request.Timeout = max(min(timeout, a.longestTimeout()), 1) // bounds how long the transaction is kept in memory
 	}
 	if hint := header.Get("Work-Hint"); hint != "" {
 		var ok bool
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// parseRequestInfo reads name=value pairs that are separated by commas. Customers that the deployment does not name are
-// ignored, so that what is kept for each customer stays bounded.
+// parseRequestInfo parses comma-separated name=value pairs. Customers that the deployment does not list are ignored, so
+// that per-customer state stays bounded.
 func (a *Agent) parseRequestInfo(request *clientRequest, text string) {
 	for _, pair := range strings.Split(text, ",") {
 		switch name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name {
@@ -147,7 +148,7 @@
 	}
 }
 
-// checkMethod rejects a request that is not written as those of its workload are.
+// checkMethod rejects a request whose method, body or headers don't fit the effect of its workload.
 func checkMethod(r *http.Request, effect string) error {
 	method := http.MethodPost
 	if effect == "pure" {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// checkMethodOfRule rejects a method that no workload uses.
+// checkMethodOfRule rejects a method that no workload uses, for a request whose workload was assigned by a rule.
 func checkMethodOfRule(r *http.Request) error {
 	if r.Method == http.MethodPost || r.Method == http.MethodGet && r.ContentLength == 0 {
 		return nil
@@ -173,9 +174,9 @@
 	return requestError{http.StatusMethodNotAllowed, "GET without a body or POST is wanted"}
 }
 
-// checkFraming rejects a request that does not say plainly where it ends: net/http drops a Content-Length beside a
-// Transfer-Encoding and reads on behind the chunks, where another request may be hidden (request smuggling, RFC 9112
-// section 11.2). No client needs chunks, nor HTTP/1.0.
+// checkFraming rejects a request whose length is ambiguous: net/http ignores Content-Length if there is a
+// Transfer-Encoding and continues reading after the chunks, where another request may be hidden (request smuggling, RFC
+// 9112 section 11.2). No client needs chunks or HTTP/1.0.
 func checkFraming(r *http.Request) error {
 	switch {
 	case r.TransferEncoding != nil || !r.ProtoAtLeast(1, 1):
@@ -186,8 +187,8 @@
 	return nil
 }
 
-// readBody reads as many bytes as the request declares, if all bodies together leave room for them. The read deadline
-// is lifted afterwards: if it passed during the transaction, the client would seem to have left.
+// readBody reads the declared number of bytes if the memory limit for all bodies allows it. It clears the read deadline
+// afterwards: if the deadline passed during the transaction, net/http would report that the client has disconnected.
 func (a *Agent) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -206,7 +207,7 @@
 	return body, nil
 }
 
-// parseWorkHint reads a number of microseconds.
+// parseWorkHint parses a number of microseconds.
 func parseWorkHint(text string) (time.Duration, bool) {
 	micros, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(micros >= 0 && micros < maxHeaderNumber) {
@@ -215,7 +216,7 @@
 	return time.Duration(micros * float64(time.Microsecond)), true
 }
 
-// parseTimeout reads a number and its unit: m for milliseconds, u for microseconds.
+// parseTimeout parses a number followed by its unit: m for milliseconds, u for microseconds.
 func parseTimeout(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(text, "m")
--- a/httpagent/peers.go
+++ b/httpagent/peers.go
@@ -12,11 +12,11 @@
 
 const (
 	maxMessageSize   = 256 // bytes of a message between agents
-	peerQueueSize    = 64  // messages that wait to be sent
+	peerQueueSize    = 64  // messages queued for sending
 	receiveBufferLen = 2 * maxMessageSize
 )
 
-// peerSocket exchanges datagrams with the other agents. Like any datagram a message may be lost.
+// peerSocket exchanges datagrams with the other agents. Messages may be lost.
 type peerSocket struct {
 	socket   *net.UDPConn
 	numbers  map[netip.AddrPort]api.PeerNumber
@@ -50,7 +50,7 @@
 	return p, err
 }
 
-// enqueue queues a message to be sent. If the queue is full the message is dropped.
+// enqueue queues a message for sending, or drops it if the queue is full.
 func (p *peerSocket) enqueue(message api.SendMessage) {
 	select {
 	case p.outgoing <- message:
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendLoop sends what is queued until the context ends.
+// sendLoop sends queued messages until ctx is canceled.
 func (p *peerSocket) sendLoop(ctx context.Context) {
 	for {
 		select {
@@ -72,8 +72,8 @@
 	}
 }
 
-// receivers are the addresses that a message goes to. Without an address for all, a message to all goes to one after
-// the other.
+// receivers returns the addresses that a message is sent to: the address for all peers if the station has one,
+// otherwise each peer's address for a message to all.
 func (p *peerSocket) receivers(message api.SendMessage) []netip.AddrPort {
 	to := int(message.To)
 	switch {
@@ -89,7 +89,7 @@
 
 // close ends receiveLoop.
 func (p *peerSocket) close() {
-	_ = p.socket.Close() // nothing is to be sent any more
+	_ = p.socket.Close() // nothing is sent any more, so the error does not matter
 }
 
 func (p *peerSocket) write(data []byte, to netip.AddrPort) {
@@ -102,7 +102,8 @@
 	}
 }
 
-// receiveLoop delivers messages until the socket is closed. One that is too long, or from nobody known, is dropped.
+// receiveLoop delivers messages until the socket is closed. Messages that are too long or from an unknown sender are
+// dropped.
 func (p *peerSocket) receiveLoop(deliver func(api.Event)) {
 	buffer := make([]byte, receiveBufferLen)
 	for {
--- a/httpagent/ratelimit.go
+++ b/httpagent/ratelimit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// rateLimitedLog logs one line a second of a kind and counts the others, so that a flood of what causes it costs
-// little.
+// rateLimitedLog logs at most one line a second and counts the others, so that a flood of faults does not flood the
+// log.
 type rateLimitedLog struct {
 	logger     *slog.Logger
 	mu         sync.Mutex
 	lastLine   time.Time
-	suppressed int // lines since the last one that was logged
+	suppressed int // lines dropped since the last one that was logged
 }
 
 func (r *rateLimitedLog) warn(event string, fields ...any) {
--- a/httpagent/requests.go
+++ b/httpagent/requests.go
@@ -13,11 +13,11 @@
 	"sagelever/internal/agent/transaction"
 )
 
-// healthPath is where the agent answers a health check of its own.
+// healthPath is the path of the agent's own health check.
 const healthPath = "/_health"
 
-// ServeHTTP answers the agent's health check, hands the paths of other protocols to their handlers, and takes
-// everything else for a transaction.
+// ServeHTTP answers the agent's health check, passes mounted paths to their handlers, and treats every other request as
+// a transaction.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if a.stopping.Load() {
 		w.Header().Set("Connection", "close")
@@ -35,7 +35,7 @@
 	a.serveTransaction(w, r)
 }
 
-// serveTransaction runs a request as a transaction and writes its one final answer.
+// serveTransaction runs a request as a transaction and writes its final answer.
 func (a *Agent) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	request, err := a.parseRequest(w, r)
 	var invalid requestError
@@ -45,7 +45,7 @@
 	}
 	defer a.bodyBytes.Add(-int64(len(request.body)))
 	if !a.clientConns.claim(r) {
-		panic(http.ErrAbortHandler) // the connection is closed: nothing was sent, and nothing is answered
+		panic(http.ErrAbortHandler) // the connection was closed and the client will retry: no attempt, no response
 	}
 	a.openTransactions.Add(1)
 	defer a.openTransactions.Add(-1)
@@ -62,8 +62,8 @@
 	}
 }
 
-// reject answers a request that never becomes a transaction. Where a body, or what passes for one, may be left on the
-// connection, it is not read: net/http would wait for it before it answers.
+// reject answers a request that does not become a transaction. If the connection may have unread body bytes, it is
+// closed after the response without reading them, as net/http would otherwise wait for them before it responds.
 func (a *Agent) reject(w http.ResponseWriter, r *http.Request, cause requestError) {
 	a.badRequestLog.warn("bad_request", "status", cause.status, "why", cause.message)
 	if r.ContentLength != 0 || checkFraming(r) != nil {
@@ -73,13 +73,17 @@
 	http.Error(w, cause.message, cause.status)
 }
 
-// setReadDeadline bounds reading from a client. It fails only for a ResponseWriter of an embedder's that knows no
-// deadlines, which then has to bound it itself.
+// setReadDeadline sets the deadline for reading from a client. It fails only if an embedding program passes a
+// ResponseWriter without deadlines; that program must then limit reads itself.
 func setReadDeadline(w http.ResponseWriter, deadline time.Time) {
 	_ = http.NewResponseController(w).SetReadDeadline(deadline)
 }
 
-// respond writes a final answer.
+// fullWaitFraction is the fraction of its timeout, 1/10, below which a client counts as having waited until its
+// deadline.
+const fullWaitFraction = 10
+
+// respond writes the final answer of a transaction.
 func (a *Agent) respond(w http.ResponseWriter, request *clientRequest, result transaction.Result) {
 	a.counters.countResult(result)
 	switch result.State {
@@ -100,19 +104,20 @@
 	case transaction.Failed:
 		w.WriteHeader(http.StatusInternalServerError)
 	case transaction.ClientGone:
-		// A client that waited until its time was up and got nothing shows that its request came late to the agent.
-		if left := time.Until(request.deadline); left < request.Timeout/10 {
+		// A client that waited for its whole timeout without an answer indicates that its request reached the agent
+		// late.
+		if left := time.Until(request.deadline); left < request.Timeout/fullWaitFraction {
 			a.log.Warn("client_gave_up", "transaction", request.ID, "left", left, "of", request.Timeout)
 		}
-		panic(http.ErrAbortHandler) // nothing may look like an answer
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 }
 
-// hopByHop are the headers that belong to one connection, or that the agent sets itself.
+// hopByHop lists the headers that apply to one connection only, or that the agent sets itself.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect", "Content-Length", "Request-Timeout"}
 
-// runAttempt carries out one attempt. A panic in it ends only that attempt.
+// runAttempt runs one attempt. A panic ends only this attempt.
 func (a *Agent) runAttempt(
 	ctx context.Context, request *clientRequest, action api.StartAttempt,
 ) (result transaction.AttemptResult) {
@@ -137,8 +142,8 @@
 	return result
 }
 
-// sendAttempt forwards a client's request to a backend and reads the response. The request passes as the client wrote
-// it, except for hop-by-hop headers and the time that is left.
+// sendAttempt forwards a client's request to a backend and reads the response. The request is forwarded unchanged
+// except for hop-by-hop headers and the remaining time.
 func (a *Agent) sendAttempt(
 	ctx context.Context, request *clientRequest, action api.StartAttempt,
 ) (*backendResponse, error) {
@@ -162,10 +167,10 @@
 		req.Header.Del(name)
 	}
 	if req.Header["User-Agent"] == nil {
-		req.Header["User-Agent"] = []string{""} // else net/http sets one
+		req.Header["User-Agent"] = []string{""} // otherwise net/http adds its own
 	}
 	req.Header.Set("Request-Timeout", fmt.Sprintf("%du", max(remaining.Microseconds(), 1)))
 	return target.do(ctx, req, request.body)
 }
 
-var errBackendGone = errors.New("the backend has left the list")
+var errBackendGone = errors.New("backend is not listed any more")
--- a/httpagent/rules.go
+++ b/httpagent/rules.go
@@ -11,14 +11,14 @@
 	"sagelever/match"
 )
 
-// ruleSubject is an HTTP request as the operator's rules see it.
+// ruleSubject exposes an HTTP request to the operator's rules.
 type ruleSubject struct {
 	*http.Request
 	hint   time.Duration
-	effect string // of the workload that the path names, "" if it names none
+	effect string // of the workload named by the path, "" if there is none
 }
 
-// Text is the method, the path as it was written, or the client's address.
+// Text returns the method ("method"), the escaped path ("path") or the client's address ("peer").
 func (r ruleSubject) Text(name string) string {
 	switch name {
 	case "method":
@@ -32,19 +32,19 @@
 	return ""
 }
 
-// Segments are the segments of the path as it was written.
+// Segments returns the segments of the escaped path.
 func (r ruleSubject) Segments() []string {
 	return strings.Split(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 }
 
-// Table is the headers, the query or the cookies.
+// Table returns the headers, the query or the cookies.
 func (r ruleSubject) Table(name string) match.Table {
 	switch name {
 	case "header":
 		return match.Table{Of: r.Header, Fold: true}
 	case "query":
 		values, err := url.ParseQuery(r.URL.RawQuery)
-		if err != nil { // a backend might read it otherwise
+		if err != nil { // a backend might parse it differently
 			return match.Table{}
 		}
 		return match.Table{Of: values}
@@ -58,18 +58,18 @@
 	return match.Table{}
 }
 
-// Size is the length of the body in bytes.
+// Size returns the length of the body in bytes.
 func (r ruleSubject) Size() int64 { return r.ContentLength }
 
-// Hint is the client's estimate of the work, 0 if it gave none.
+// Hint returns the client's estimate of the work, or 0 if there is none.
 func (r ruleSubject) Hint() time.Duration { return r.hint }
 
-// Sent is how repeatable the request is as it was sent.
+// Sent returns how repeatable the request is as the client sent it.
 func (r ruleSubject) Sent() match.Repeatable {
 	return match.SentAs(r.Method, r.ContentLength != 0, r.Header.Get("Idempotency-Key") != "", r.effect)
 }
 
-// Deployment is what the operator's rules for this station have to fit.
+// Deployment returns the deployment that the operator's rules for this station are compiled against.
 func (s *Station) Deployment() match.Deployment {
 	d := match.Deployment{Effects: map[string]string{}, Customers: setting(s, "customers", []string(nil))}
 	for _, w := range setting(s, "workloads", []string(nil)) {
@@ -78,13 +78,13 @@
 	return d
 }
 
-// Subject is a request as the operator's rules see it.
+// Subject returns a request as an input of the operator's rules.
 func (s *Station) Subject(r *http.Request) match.Subject {
 	hint, _ := parseWorkHint(r.Header.Get("Work-Hint"))
 	return ruleSubject{r, hint, setting(s, "workload."+pathWorkload(r)+".effect", "")}
 }
 
-// SetRules takes up other rules, nil for none. Transactions that were accepted before go on as they were judged.
+// SetRules replaces the operator's rules; nil removes them. Transactions that have been accepted are not affected.
 func (a *Agent) SetRules(rules match.Judge) {
 	a.setRules(rules)
 	a.log.Info("rules", "on", rules != nil)
@@ -98,8 +98,8 @@
 	}
 }
 
-// applyRules lets the operator's rules judge a request, whose path names a workload with an effect. It returns the
-// workload that they decide on, else that of the path.
+// applyRules evaluates the operator's rules for a request and applies their decisions to it. It returns the workload
+// that the rules choose, or byPath if they choose none; effect is the effect of byPath.
 func (a *Agent) applyRules(r *http.Request, request *clientRequest, byPath, effect string) (workload string,
 	err error) {
 	rules := a.rules.Load()
--- a/httpagent/server.go
+++ b/httpagent/server.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// drainDelay is how long clients may still come once the agent has been told to stop: whoever sends them here needs
-	// some tenths of a second to learn of it.
+	// drainDelay is how long new connections are accepted after shutdown begins: whatever routes clients here needs
+	// some tenths of a second to notice the shutdown.
 	drainDelay = 700 * time.Millisecond
 
-	// headerReadTimeout ends a client that says nothing, or never ends its headers: no client that has something to ask
-	// takes as long.
+	// headerReadTimeout disconnects clients that send nothing or never complete their headers. Regular clients are much
+	// faster.
 	headerReadTimeout = 2 * time.Second
 
-	// clientIdleTimeout ends a connection between two requests, as some clients ask once and keep it for good.
+	// clientIdleTimeout closes a connection that is idle between requests, as some clients send one request and never
+	// close the connection.
 	clientIdleTimeout = 2 * time.Second
 
-	// maxHeaderSize is some times what the protocol's headers need; net/http allows for as much again.
+	// maxHeaderSize is several times the size of the protocol's headers; net/http adds another 4 KiB to it.
 	maxHeaderSize = 4 << 10
 )
 
-// serve answers clients until the context ends, goes on for drainDelay with answers that close their connections, and
-// then waits until what is open is finished.
+// serve serves clients until ctx is canceled. It then closes each connection with its next response, stops accepting
+// after drainDelay, and waits until all open requests are finished.
 func (a *Agent) serve(ctx context.Context, listener net.Listener) error {
 	server := a.newServer()
 	failed := make(chan error, 1)
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// waitUntilDrained shuts the server down and waits for its requests and for connections that other protocols have taken
-// over, for as long as the longest transaction may take.
+// waitUntilDrained shuts the server down and waits for its requests and for connections taken over by other protocols,
+// at most as long as the longest transaction may take.
 func (a *Agent) waitUntilDrained(server *http.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), a.longestTimeout())
 	defer cancel()
@@ -66,9 +67,10 @@
 	}
 }
 
-// newServer bounds net/http's server against clients that send what is no request. It sets no ReadTimeout: that counts
-// from the last response or the connection's start, and a client would seem to have left where it ran out during a
-// transaction. net/http's own answer to OPTIONS * would pass for one of the agent's.
+// newServer returns the HTTP server with limits against misbehaving clients. It sets no ReadTimeout: this timeout
+// starts at the last response or the start of the connection, and if it expired during a transaction the client would
+// appear to have disconnected. The general OPTIONS handler is disabled, as net/http's response to OPTIONS * would look
+// like an answer of the agent.
 func (a *Agent) newServer() *http.Server {
 	return &http.Server{
 		Handler:                      a,
@@ -83,7 +85,7 @@
 	}
 }
 
-// serverErrorLog takes the lines that net/http logs.
+// serverErrorLog receives the lines that net/http logs.
 type serverErrorLog struct{ log *rateLimitedLog }
 
 // Write logs one line.
@@ -92,8 +94,8 @@
 	return len(line), nil
 }
 
-// longestTimeout is the longest that any transaction can take: the longest time-out of a workload, and a second at
-// least.
+// longestTimeout returns the longest time that a transaction can take: the longest timeout of all workloads, but at
+// least 1 s.
 func (a *Agent) longestTimeout() time.Duration {
 	longest := time.Second
 	for _, workload := range setting(a.station, "workloads", []string(nil)) {
--- a/httpagent/station.go
+++ b/httpagent/station.go
@@ -14,8 +14,8 @@
 	"sagelever/match"
 )
 
-// Station is what one agent is told when it starts: its name, the addresses of everybody, and what it may use. It is
-// read by ReadStation, or filled in and checked by Check.
+// Station is the configuration of one agent: its name, the addresses of its peers and services, its limits and the
+// deployment's settings. ReadStation reads it from a file; a program that fills it in itself must call Check.
 type Station struct {
 	Name      string   `json:"name"`
 	Listen    string   `json:"listen"`
@@ -37,17 +37,17 @@
 	deploymentSettings map[string]any
 }
 
-// Limits are what the process may use; 0 is no limit.
+// Limits are the resource limits of the process; 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// hexSeed is a seed that is written as hexadecimal digits.
+// hexSeed is a random seed, encoded in JSON as a string of hexadecimal digits.
 type hexSeed uint64
 
-// UnmarshalJSON reads a string of hexadecimal digits.
+// UnmarshalJSON decodes a string of hexadecimal digits.
 func (s *hexSeed) UnmarshalJSON(text []byte) error {
 	var digits string
 	if err := json.Unmarshal(text, &digits); err != nil {
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// ReadStation reads and checks a configuration file. The environment variables GW_NAME, GW_LISTEN and GW_DISCOVERY fill
-// in the name, the listening address and discovery's where the file leaves them out.
+// ReadStation reads and checks a configuration file. If the file does not set the name, the listening address or the
+// address of discovery, they are taken from the environment variables GW_NAME, GW_LISTEN and GW_DISCOVERY.
 func ReadStation(file string) (*Station, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// Check tells what is wrong with a station, and reads its settings. It is to be called before New.
+// Check validates a station and parses its settings. It must be called before New.
 func (s *Station) Check() error {
 	if err := s.checkAddresses(); err != nil {
 		return err
@@ -144,10 +144,10 @@
 	return nil
 }
 
-// present reports whether a part of the configuration is there.
+// present reports whether an optional part of the configuration is set.
 func present(part json.RawMessage) bool { return len(part) > 0 && string(part) != "null" }
 
-// setting reads one of the deployment's settings, or gives the default where the deployment does not name it.
+// setting returns one of the deployment's settings, or otherwise if the deployment does not set it.
 func setting[T any](s *Station, name string, otherwise T) T {
 	if v, ok := s.deploymentSettings[name].(T); ok {
 		return v
--- a/httpagent/streams.go
+++ b/httpagent/streams.go
@@ -15,17 +15,17 @@
 
 const (
 	lineBufferSize = 16 << 10
-	maxLineSize    = 4 << 20 // more than the whole list of a large fleet
+	maxLineSize    = 4 << 20 // more than the full list of a large fleet
 
-	// reopenInterval is the least time between two openings of a stream that ends. One that has lasted longer is opened
-	// again at once, as what is sent meanwhile may be lost.
+	// reopenInterval is the minimum interval between two openings of a stream. A stream that ends after a longer time
+	// is reopened immediately, as events sent in between may be lost.
 	reopenInterval = 200 * time.Millisecond
 
-	// maxOpenStreams bounds the streams of one kind: the platform takes 32 connections of all kinds.
+	// maxOpenStreams limits the parallel streams of one kind: the platform accepts 32 connections in total.
 	maxOpenStreams = 4
 )
 
-// newPlainTransport is a transport that adds nothing of its own: no proxy, no compression, one request a connection.
+// newPlainTransport returns a transport without a proxy, compression or keep-alive.
 func newPlainTransport(dialTimeout time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
@@ -34,7 +34,8 @@
 	}
 }
 
-// httpGet requests a path. A status other than 200 is an error; the caller closes the response's body.
+// httpGet requests a path and returns the response, whose body the caller must close. A status other than 200 is an
+// error.
 func httpGet(ctx context.Context, transport *http.Transport, address, path string) (*http.Response, error) {
 	target, err := url.Parse("http://" + address + path)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return resp, nil
 }
 
-// readLines reads a response that stays open, line by line, until it ends, which is io.EOF, or handle returns an error.
+// readLines reads a streaming response line by line until handle returns an error or the response ends, for which it
+// returns io.EOF.
 func readLines(
 	ctx context.Context, transport *http.Transport, address, path string, handle func(line []byte) error,
 ) error {
@@ -74,8 +76,8 @@
 	return io.EOF
 }
 
-// handleLines handles each line and then calls received. Every line that can be read shows that the stream is alive, an
-// empty one too.
+// handleLines returns a function that handles a line and then calls received. Every valid line, including an empty one,
+// shows that the stream is alive.
 func handleLines(handle func(line []byte) error, received func()) func(line []byte) error {
 	return func(line []byte) error {
 		if err := handle(line); err != nil {
@@ -86,16 +88,16 @@
 	}
 }
 
-// openStream reads one stream until it ends or its context does, and calls received for everything that comes.
+// openStream reads one stream until it ends or ctx is canceled, and calls received for each line.
 type openStream func(ctx context.Context, received func()) error
 
-// maintainStream keeps a stream open until the context ends. One that ends is opened again. When the newest one has
-// been silent for the timeout, or restart says that the address has changed, another is opened beside it, as what is
-// sent while there is none may be lost; the older ones are closed once the newest has received something.
+// maintainStream keeps a stream open until ctx is canceled, and reopens it when it ends. If the newest stream is silent
+// for the timeout, or restart signals a change of address, another one is opened in parallel, as events sent while none
+// is open may be lost. The older ones are closed once the newest has received something.
 func maintainStream(
 	ctx context.Context, log *slog.Logger, name string, timeout time.Duration, restart <-chan struct{}, open openStream,
 ) {
-	var streams []context.CancelFunc // the newest last
+	var streams []context.CancelFunc // newest last
 	for ctx.Err() == nil {
 		streamCtx, cancel := context.WithCancel(ctx)
 		streams = append(streams, cancel)
@@ -135,7 +137,7 @@
 	}
 }
 
-// notify leaves a signal on a channel that has room for one. One that has not been received yet is enough.
+// notify sends a signal on a channel with a buffer of one. It does nothing if a signal is already pending.
 func notify(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -143,7 +145,7 @@
 	}
 }
 
-// sleep waits, and reports whether the context lasts.
+// sleep waits for d. It returns false if ctx is canceled first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/httpagent/votes.go
+++ b/httpagent/votes.go
@@ -14,10 +14,10 @@
 	"sagelever/internal/upstream"
 )
 
-// votePath is where the platform takes votes.
+// votePath is the path for votes at the platform.
 const votePath = "/api/opinions"
 
-// voteBody is a vote, as the platform reads it.
+// voteBody is the JSON encoding of a vote.
 type voteBody struct {
 	Image   api.Build `json:"image"`
 	Opinion string    `json:"opinion"`
@@ -31,7 +31,8 @@
 	api.VerdictRollBack: "back",
 }
 
-// voteRefusal is how the platform says that a vote did not count. Only a status together with its code says so.
+// voteRefusal is the status and error code of a response to a vote that did not count. A vote is known not to have
+// counted only if both match.
 type voteRefusal struct {
 	status int
 	code   string
@@ -44,8 +45,8 @@
 	{http.StatusBadRequest, "bad_request"}:          api.VoteFailed,
 }
 
-// submitVote sends a vote to the platform and tells the policy the result. A vote without a readable answer may have
-// counted.
+// submitVote sends a vote to the platform and delivers the result to the policy. A vote without a valid response may
+// have counted.
 func (a *Agent) submitVote(ctx context.Context, vote api.CastVote) {
 	update, err := a.postVote(ctx, vote)
 	if err != nil {
@@ -56,7 +57,7 @@
 	a.engine.Deliver(update)
 }
 
-// postVote sends a vote. The update is usable also if there is an error.
+// postVote sends a vote. The returned update is valid even if there is an error.
 func (a *Agent) postVote(ctx context.Context, vote api.CastVote) (api.RolloutUpdate, error) {
 	ctx, cancel := context.WithTimeout(ctx, setting(a.station, "vote.wait", time.Second))
 	defer cancel()
@@ -98,7 +99,7 @@
 	return req, nil
 }
 
-// parseVoteAnswer reads the platform's answer to a vote: the state of the rollout, or why the vote did not count.
+// parseVoteAnswer parses the platform's response to a vote: the state of the rollout, or why the vote did not count.
 func parseVoteAnswer(resp *http.Response, text []byte) (api.RolloutUpdate, error) {
 	if resp.StatusCode == http.StatusOK {
 		update, err := parseRollout(text)
