--- a/internal/agent/transaction/attempterror.go
+++ b/internal/agent/transaction/attempterror.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// AttemptStage is how far an attempt had come when it ended without a usable response.
+// AttemptStage is how far an attempt had got when it ended without a usable response.
 type AttemptStage int
 
 // Stages of an attempt.
 const (
-	NotConnected    AttemptStage = iota // no connection came up
-	NotWritten                          // there was a connection, and the end of the request was not written: it never ran
-	Written                             // it may have run
-	ResponseStarted                     // a response had begun
+	NotConnected    AttemptStage = iota // no connection was established
+	NotWritten                          // the request was not written completely, so it has not run
+	Written                             // the request may have run
+	ResponseStarted                     // part of a response was received
 )
 
 var attemptStageNames = [...]string{"unconnected", "unwritten", "written", "answering"}
 
 func (s AttemptStage) String() string { return attemptStageNames[s] }
 
-// AttemptError says why an attempt has no usable response, and how far it had come.
+// AttemptError is the error of an attempt without a usable response, with the stage that the attempt had reached.
 type AttemptError struct {
 	Stage AttemptStage
 	Cause error
--- a/internal/agent/transaction/loadreport.go
+++ b/internal/agent/transaction/loadreport.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxLoadValue is beyond any figure that a backend has reason to report.
+// maxLoadValue is larger than any plausible value in a load report.
 const maxLoadValue = 1e10
 
-// ParseLoadReport reads a load report: name=value parts, separated by commas. It returns nil if there is none, if a
-// part cannot be read, or if a value is negative or not plausible.
+// ParseLoadReport parses a load report, a comma-separated list of name=value pairs. It returns nil if the report is
+// empty or malformed, or if a value is negative or not below maxLoadValue.
 func ParseLoadReport(text string) map[string]float64 {
 	if text == "" {
 		return nil
--- a/internal/agent/transaction/transaction.go
+++ b/internal/agent/transaction/transaction.go
@@ -1,6 +1,6 @@
-// Package transaction runs one transaction, whichever protocol brought it: the transaction is handed to the policy, its
-// attempts are carried out, and its client gets one final answer. A Handler says how an attempt is sent and how an
-// answer is given; everything else is here, so that no protocol can treat the rules in its own way.
+// Package transaction runs one transaction of any protocol: it passes the transaction to the policy, runs the attempts
+// that the policy starts, and gives the client exactly one final answer. A protocol implements a Handler to send
+// attempts and to respond; all other rules are enforced here, alike for all protocols.
 package transaction
 
 import (
@@ -12,79 +12,81 @@
 	"sagelever/internal/agent/engine"
 )
 
-// Causes of the end of an attempt's context.
+// Causes with which an attempt's context is canceled.
 var (
 	ErrCanceled = errors.New("attempt canceled")
 	ErrTimedOut = errors.New("attempt timed out")
 )
 
-// Response is what a backend has answered, read whole.
+// Response is the complete response of a backend.
 type Response struct {
-	ContentType string // "" if the backend did not say
+	ContentType string // "" if the backend sent none
 	Body        []byte
-	Release     func() // gives back what the body holds; called once, when the body is not needed any more
+	Release     func() // releases the resources of the body; called once, when the body is no longer needed
 }
 
-// AttemptResult is how one attempt ended. Whoever takes it releases its response.
+// AttemptResult is the result of one attempt. Its owner must release the response.
 type AttemptResult struct {
 	Outcome  api.Outcome
-	Load     map[string]float64 // the backend's load report, nil if none came
-	Response *Response          // nil if none came
+	Load     map[string]float64 // the backend's load report, nil if there is none
+	Response *Response          // nil if there is none
 }
 
-// State is which final answer a transaction gets.
+// State is the kind of final answer that a transaction gets.
 type State int
 
 // The final answers.
 const (
 	Succeeded        State = iota
 	Deferred               // the client may safely repeat the transaction
-	Failed                 // nothing is promised
-	DeadlineExceeded       // the policy gave no answer before the client's time was up; nothing is promised
-	ClientGone             // the client left first, and must not be sent anything that looks like an answer
+	Failed                 // the transaction may or may not have run
+	DeadlineExceeded       // the policy gave no answer before the deadline; the transaction may or may not have run
+	ClientGone             // the client disconnected first, and must not be sent anything that looks like an answer
 )
 
 var stateNames = [...]string{"satisfied", "deferred", "broken_off", "overdue", "left"}
 
-// String is the name of a state in the log, which docs/oncall.md describes.
+// String returns the name of a state in the log; docs/oncall.md documents the names.
 func (s State) String() string { return stateNames[s] }
 
-// Result is the one final answer.
+// Result is the final answer of a transaction.
 type Result struct {
 	State      State
-	RetryAfter time.Duration // Deferred: when the client should return, 0 if that is not said
+	RetryAfter time.Duration // Deferred: when the client should retry, 0 if unspecified
 	Reason     api.Reason    // Deferred, Failed: the policy's reason
 	Response   *Response     // Succeeded
 }
 
-// Handler is what one protocol does for one transaction.
+// Handler implements one protocol for one transaction.
 type Handler struct {
-	// Send carries out an attempt. It returns soon after ctx ends, whose cause says why. It may be called for several
-	// attempts at once, also after the final answer was given.
+	// Send runs an attempt. It must return soon after ctx is canceled; the cause of ctx is ErrCanceled or ErrTimedOut.
+	// It may be called concurrently for several attempts, and also after the final answer.
 	Send func(ctx context.Context, action api.StartAttempt) AttemptResult
-	// Respond gives the client the final answer. It is called exactly once, unless Run returns an error.
+	// Respond sends the final answer to the client. It is called exactly once, unless Run returns an error.
 	Respond func(Result)
-	// ClientGone is closed when the client leaves.
+	// ClientGone is closed when the client disconnects.
 	ClientGone <-chan struct{}
-	// AnswerGrace is how late the rules let a final answer be.
+	// AnswerGrace is how long after its deadline a transaction may still be answered.
 	AnswerGrace time.Duration
 }
 
-// succeededAttempt is an attempt that has succeeded, for whoever gives the answer.
+// succeededAttempt is a successful attempt, passed from its goroutine to Run.
 type succeededAttempt struct {
 	api.AttemptEnded
 	response *Response
 }
 
-// runner runs one transaction. Its fields belong to the goroutine of Run, except for successes.
+// runner runs one transaction. Only the goroutine of Run may access its fields, except for handler, transaction and
+// successes.
 type runner struct {
 	transaction *engine.Transaction
 	handler     Handler
-	guards      []*WriteGuard // of all attempts so far
+	guards      []*WriteGuard // of all attempts started so far
 	successes   chan succeededAttempt
 }
 
-// Run runs a transaction from its acceptance to its one final answer. An error says that the engine did not take it.
+// Run runs a transaction from its acceptance to its final answer. It returns an error, and does not respond, if the
+// engine rejects the transaction.
 func Run(e *engine.Engine, accepted api.TransactionAccepted, handler Handler) error {
 	t, err := e.Begin(accepted)
 	if err != nil {
@@ -92,13 +94,14 @@
 	}
 	defer t.Close()
 	r := &runner{transaction: t, handler: handler, successes: make(chan succeededAttempt)}
-	// The policy answers before the client's time is up. This is for when it cannot: half of the grace after.
+	// Normally the policy answers before the client's deadline. This timer, at half of the grace period after the
+	// deadline, ends the transaction if it does not.
 	overdue := time.NewTimer(accepted.Timeout + handler.AnswerGrace/2)
 	defer overdue.Stop()
 	for {
 		select {
 		case <-t.Ready():
-			if r.carryOut(t.Actions()) {
+			if r.execute(t.Actions()) {
 				return nil
 			}
 		case success := <-r.successes:
@@ -117,8 +120,8 @@
 	}
 }
 
-// carryOut carries out the policy's actions, and reports whether one of them was the final answer.
-func (r *runner) carryOut(actions []api.Action) (answered bool) {
+// execute performs the policy's actions, and reports whether one of them was the final answer.
+func (r *runner) execute(actions []api.Action) (answered bool) {
 	for i, action := range actions {
 		switch a := action.(type) {
 		case api.StartAttempt:
@@ -137,9 +140,9 @@
 	return false
 }
 
-// respond returns the final answer. Nothing may be sent after that. The policy cancels what is in flight, but only once
-// it has heard of the answer, and an attempt that has just been ordered, or whose connection is just coming up, would
-// be sent in between. So all attempts are canceled here first, and what is being written at this moment is waited for.
+// respond gives the final answer, after which no request may be sent. The policy cancels open attempts only after it
+// has been notified of the answer, and an attempt that was just started or is still connecting could be sent in
+// between. So respond first cancels all attempts and waits for writes in progress.
 func (r *runner) respond(result Result) {
 	for _, guard := range r.guards {
 		guard.close()
@@ -147,8 +150,8 @@
 	r.handler.Respond(result)
 }
 
-// startAttempt sends an attempt by a goroutine of its own, which ends soon after its context does. The policy's order
-// to cancel ends that context, and so does the final answer.
+// startAttempt runs an attempt in its own goroutine. The attempt's context is canceled by the policy's CancelAttempt
+// and by the final answer.
 func (r *runner) startAttempt(action api.StartAttempt) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	guard := &WriteGuard{ctx: ctx, cancel: cancel}
@@ -161,7 +164,8 @@
 	}()
 }
 
-// runAttempt sends an attempt and reports how it ended. A success goes to Run, if that still waits for one.
+// runAttempt runs an attempt and reports its end to the engine. A successful attempt is passed to Run instead, unless
+// the transaction has already been closed.
 func (r *runner) runAttempt(ctx context.Context, number api.AttemptNumber, action api.StartAttempt) {
 	startedAt := time.Now()
 	result := r.handler.Send(ctx, action)
@@ -185,7 +189,7 @@
 	r.transaction.EndAttempt(ended)
 }
 
-// reportUnsent ends the attempts that were ordered behind the final answer: nothing is sent then.
+// reportUnsent reports the attempts among the actions after the final answer as not sent.
 func (r *runner) reportUnsent(actions []api.Action) {
 	for _, action := range actions {
 		if start, ok := action.(api.StartAttempt); ok {
--- a/internal/agent/transaction/writeguard.go
+++ b/internal/agent/transaction/writeguard.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// WriteGuard guards what is written for one attempt: once the attempt's transaction has its final answer, nothing is.
+// WriteGuard guards the writes of one attempt: none starts after the transaction has its final answer.
 type WriteGuard struct {
 	mu     sync.Mutex // held during a write
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 }
 
-// Do calls write, unless the attempt has been given up, and reports whether it did. Without a guard it always does.
+// Do calls write unless the attempt has been canceled, and reports whether it called it. A nil guard always calls it.
 func (g *WriteGuard) Do(write func()) bool {
 	if g == nil {
 		write()
@@ -27,7 +27,7 @@
 	return true
 }
 
-// close cancels the attempt and waits for a write that is under way, which the cancellation ends. None follows.
+// close cancels the attempt and waits for a write in progress, which the cancellation ends. No write follows.
 func (g *WriteGuard) close() {
 	g.cancel(ErrCanceled)
 	g.mu.Lock()
@@ -36,8 +36,8 @@
 
 type writeGuardKey struct{}
 
-// WriteGuardFrom is the guard of the attempt that a context was made for. For another context it is one that refuses
-// writes once the context has ended.
+// WriteGuardFrom returns the guard of the attempt that ctx belongs to. For any other context it returns a guard that
+// prevents writes after the context has ended.
 func WriteGuardFrom(ctx context.Context) *WriteGuard {
 	if guard, ok := ctx.Value(writeGuardKey{}).(*WriteGuard); ok {
 		return guard
