--- a/internal/agent/connpool/machine.go
+++ b/internal/agent/connpool/machine.go
@@ -11,26 +11,26 @@
 const (
 	dialing connState = iota
 	ready
-	pinged   // a response is overdue, and a ping was sent
-	draining // it takes no new request, and is closed when those that it has are answered
+	pinged   // a response is overdue, and a ping has been sent
+	draining // takes no new requests, and is closed when its open ones have ended
 	closed
 )
 
-// connEvent is what happens to a connection.
+// connEvent is an event of a connection.
 type connEvent int
 
 const (
 	opened          connEvent = iota
-	failed                    // it did not come up, or broke
-	received                  // anything came
-	responseOverdue           // it owes a response, and nothing has come for long
-	pingOverdue               // nor has the answer to the ping
-	retired                   // its backend drains or has left
-	drained                   // its last request is answered
-	idleExpired               // it has carried nothing for long, or room is wanted
+	failed                    // the dial failed, or the connection was lost
+	received                  // anything was received
+	responseOverdue           // a request is open, and nothing was received for Config.ResponseTimeout
+	pingOverdue               // nothing was received for Config.PingTimeout after the ping
+	retired                   // the backend is draining or gone
+	drained                   // the last open request has ended
+	idleExpired               // idle for Config.IdleTimeout, or closed to make room for another connection
 )
 
-// transition is one row of the table: in this state, this event leads to the next state and its effect.
+// transition is one row of the state table: in this state, this event leads to the next state and runs the effect.
 type transition struct {
 	state  connState
 	event  connEvent
@@ -38,10 +38,10 @@
 	effect func(*Pool, *conn) // nil if there is none
 }
 
-// transitions is the table of a connection's states. An event without a row for the present state changes nothing.
+// transitions is the state table of a connection. An event without a row for the current state is ignored.
 var transitions []transition
 
-func init() { // the effects refer to the table
+func init() { // not an initializer, as the effects refer to the table
 	transitions = []transition{
 		{dialing, opened, ready, (*Pool).connected},
 		{dialing, failed, closed, (*Pool).dialFailed},
@@ -60,7 +60,7 @@
 	}
 }
 
-// apply puts an event to a connection.
+// apply runs the transition of a connection for an event.
 func (p *Pool) apply(c *conn, event connEvent) {
 	for _, row := range transitions {
 		if row.state != c.state || row.event != event {
@@ -74,7 +74,7 @@
 	}
 }
 
-// connected starts the time of a connection that has come up.
+// connected resets the backoff of the backend and starts the timers of a new connection.
 func (p *Pool) connected(c *conn) {
 	c.backend.dialFailures = 0
 	c.backend.nextDialAt = 0
@@ -87,8 +87,8 @@
 	p.actions = append(p.actions, Action{Ping, c.id, c.backend.id})
 }
 
-// dialFailed makes the next dials wait, with a jitter: a backend that starts must not be met by the dials of all agents
-// at once.
+// dialFailed delays the next dial to the backend by an exponential backoff. The jitter keeps agents from dialing a
+// restarting backend at the same time.
 func (p *Pool) dialFailed(c *conn) {
 	const maxDoublings = 4
 	p.Stats.DialFailures++
@@ -99,13 +99,13 @@
 	p.remove(c)
 }
 
-// connLost lets the next dial go at once: a connection that worked says nothing against the backend.
+// connLost removes a connection without a backoff, as a lost connection does not show that the backend is unreachable.
 func (p *Pool) connLost(c *conn) {
 	p.Stats.Broken++
 	p.remove(c)
 }
 
-// closeIfDrained returns a draining connection the whole time-out for its next response, or closes it if it owes none.
+// closeIfDrained closes a draining connection that has no open requests, and otherwise restarts its timeout.
 func (p *Pool) closeIfDrained(c *conn) {
 	c.lastActivity = p.now
 	if c.inFlight == 0 {
@@ -118,7 +118,7 @@
 	p.remove(c)
 }
 
-// remove forgets a connection.
+// remove deletes a connection from the pool.
 func (p *Pool) remove(c *conn) {
 	isRemoved := func(x *conn) bool { return x == c }
 	c.state = closed
--- a/internal/agent/connpool/pool.go
+++ b/internal/agent/connpool/pool.go
@@ -1,9 +1,8 @@
-// Package connpool decides on the connections to backends that carry many requests at once: which one carries a
-// request, when another is opened, when one is pinged, and when one is given up. Which backend gets a request is
-// decided elsewhere.
+// Package connpool manages multiplexed connections to backends: it decides which connection carries a request, when to
+// open another one, and when to ping or close one. It does not choose the backend of a request.
 //
-// Like package policy it does no input or output and reads no clock: it is told what has happened, and when, and
-// returns what is to be done.
+// Like package policy, it does no input or output and reads no clock: callers report events with their times, and
+// perform the actions that the methods return.
 package connpool
 
 import (
@@ -14,44 +13,44 @@
 	"sagelever/internal/agent/api"
 )
 
-// ConnID names one connection; ids are never used again.
+// ConnID identifies one connection. IDs are never reused.
 type ConnID uint64
 
-// Action is something that the pool wants done with a connection.
+// Action is an operation on a connection that the caller must perform.
 type Action struct {
 	Kind    ActionKind
 	Conn    ConnID
 	Backend api.BackendID
 }
 
-// ActionKind is what an action does.
+// ActionKind is the kind of an action.
 type ActionKind int
 
 // Kinds of actions.
 const (
 	Dial  ActionKind = iota // open this connection, then call Opened or Failed
-	Ping                    // send a ping; Received is called for whatever comes
-	Close                   // close it; what it still carries has ended without a response
+	Ping                    // send a ping, then call Received for anything that is received
+	Close                   // close the connection; its open requests have ended without a response
 )
 
 var actionKindNames = [...]string{"dial", "ping", "close"}
 
 func (k ActionKind) String() string { return actionKindNames[k] }
 
-// Config is what the pool keeps to.
+// Config holds the limits and timeouts of a pool.
 type Config struct {
 	MaxPerBackend   int           // connections to one backend
 	MaxTotal        int           // connections to all backends
-	BusyThreshold   int           // requests on each connection from which another one is opened
-	ResponseTimeout time.Duration // without anything received, while a response is owed, until a ping is sent
-	PingTimeout     time.Duration // after the ping, until the connection is given up
-	IdleTimeout     time.Duration // without a request, until a connection is closed
-	Backoff         time.Duration // after a first dial that failed; doubles up to 16 times that
-	DialTimeout     time.Duration // kept by whoever dials, who then calls Failed
+	BusyThreshold   int           // open requests on every connection from which another one is opened
+	ResponseTimeout time.Duration // silence with an open request until a ping is sent
+	PingTimeout     time.Duration // silence after the ping until the connection is closed
+	IdleTimeout     time.Duration // time without a request until a connection is closed
+	Backoff         time.Duration // delay after the first failed dial; doubles up to 16 times the value
+	DialTimeout     time.Duration // enforced by the caller, which then calls Failed
 }
 
-// DefaultConfig is for backends within one site: two connections, so that one that breaks leaves another; 64 requests,
-// as many as a backend of some cores has in work and queue; half a second, which is several times what responses take.
+// DefaultConfig is for backends within one site: 2 connections, so that the loss of one leaves another; 64 requests, as
+// many as a backend with a few cores processes and queues; timeouts of 500 ms, several times the usual response time.
 var DefaultConfig = Config{
 	MaxPerBackend:   2,
 	MaxTotal:        1 << 16,
@@ -68,22 +67,22 @@
 	id           ConnID
 	backend      *backend
 	state        connState
-	inFlight     int           // requests without a response
-	lastActivity time.Duration // when anything was last received, or the first request was written
-	stateSince   time.Duration // when it was pinged, or became idle
+	inFlight     int           // open requests
+	lastActivity time.Duration // when anything was last received, or a request was added to an idle connection
+	stateSince   time.Duration // when the ping was sent, or the connection became idle
 }
 
-// backend is what the pool knows of one backend.
+// backend is the state of one backend.
 type backend struct {
 	id           api.BackendID
-	available    bool // it may get new requests
+	available    bool // it accepts new requests
 	conns        []*conn
-	dialFailures int // in a row
-	nextDialAt   time.Duration
+	dialFailures int           // consecutive
+	nextDialAt   time.Duration // earliest time of the next dial
 }
 
-// Pool is the state of all connections. It is not safe for use by several goroutines. The time that its methods take
-// never goes back.
+// Pool holds the state of all connections. It is not safe for concurrent use. The times passed to its methods must not
+// decrease.
 type Pool struct {
 	Stats Stats
 
@@ -92,23 +91,23 @@
 	random   *rand.Rand
 	backends map[api.BackendID]*backend
 	conns    map[ConnID]*conn
-	ordered  []*conn // by id, so that the same events lead to the same actions
+	ordered  []*conn // by ID, so that the order of actions is deterministic
 	lastID   ConnID
-	actions  []Action // to be returned
+	actions  []Action // to be returned by the current call
 }
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	Dialed       int
 	DialFailures int
 	Broken       int
 	PingTimeouts int
 	IdleClosed   int
-	LimitReached int // dials that MaxTotal did not allow
-	Open         int // connections now, as of the last Tick
+	LimitReached int // dials prevented by MaxTotal
+	Open         int // connections as of the last Tick
 }
 
-// New makes an empty pool. The seed spreads the dials of agents that would else be at the same time.
+// New returns an empty pool. The seed determines the jitter of dials and should differ between agents.
 func New(config Config, seed uint64) *Pool {
 	return &Pool{
 		config:   config,
@@ -118,14 +117,14 @@
 	}
 }
 
-// takeActions returns what is to be done.
+// takeActions returns the pending actions and clears them.
 func (p *Pool) takeActions() []Action {
 	actions := p.actions
 	p.actions = nil
 	return actions
 }
 
-// AddBackend says that a backend may get requests. One that was drained before starts anew.
+// AddBackend reports that a backend accepts requests. A backend that was drained gets new connections.
 func (p *Pool) AddBackend(now time.Duration, id api.BackendID) []Action {
 	p.now = now
 	if target := p.backends[id]; target == nil || !target.available {
@@ -134,8 +133,8 @@
 	return p.takeActions()
 }
 
-// DrainBackend says that a backend gets no new request: it drains, has left, or another one has its id. Connections
-// without requests are closed at once, the others when these are answered or overdue.
+// DrainBackend reports that a backend gets no new requests because it is draining, gone or replaced under its ID. Idle
+// connections are closed immediately, the others when their requests have ended or are overdue.
 func (p *Pool) DrainBackend(now time.Duration, id api.BackendID) []Action {
 	p.now = now
 	if target := p.backends[id]; target != nil {
@@ -148,17 +147,17 @@
 	return p.takeActions()
 }
 
-// Decision is what becomes of a request that wants a connection.
+// Decision is the result of Acquire.
 type Decision int
 
 // Decisions.
 const (
-	Use    Decision = iota // this connection, now
-	Wait                   // a connection is coming up: ask again when anything has changed
-	Reject                 // there is none, and none can be had now
+	Use    Decision = iota // use the returned connection
+	Wait                   // a connection is being dialed: call Acquire again after any change
+	Reject                 // there is no connection, and none can be opened now
 )
 
-// Acquire asks for a connection to a backend. With Use, the request counts as in flight until Release.
+// Acquire selects a connection to a backend for a request. After Use, the request counts as in flight until Release.
 func (p *Pool) Acquire(now time.Duration, id api.BackendID) (Decision, ConnID, []Action) {
 	p.now = now
 	target := p.backends[id]
@@ -183,8 +182,8 @@
 	return Reject, 0, p.takeActions()
 }
 
-// leastLoaded finds the connection with the fewest requests, one that was pinged only if there is no other. It also
-// reports whether one is coming up.
+// leastLoaded returns the connection with the fewest open requests, preferring ready ones to pinged ones, or nil if
+// there is none. It also reports whether a connection is being dialed.
 func (p *Pool) leastLoaded(target *backend) (best *conn, dialInProgress bool) {
 	for _, c := range target.conns {
 		switch {
@@ -198,7 +197,7 @@
 	return best, dialInProgress
 }
 
-// dial opens one more connection, if the limits and the backoff allow it.
+// dial opens another connection if the limits and the backoff allow it.
 func (p *Pool) dial(target *backend) {
 	live := 0
 	for _, c := range target.conns {
@@ -222,7 +221,7 @@
 	p.actions = append(p.actions, Action{Dial, c.id, target.id})
 }
 
-// closeIdlest makes room by closing the connection of another backend that has been idle for longest, and reports
+// closeIdlest closes the connection that has been idle for longest among those of all other backends, and reports
 // whether there was one.
 func (p *Pool) closeIdlest(except *backend) bool {
 	var idlest *conn
@@ -239,13 +238,13 @@
 	return true
 }
 
-// Opened says that a connection has come up.
+// Opened reports that a connection has been established.
 func (p *Pool) Opened(now time.Duration, id ConnID) []Action { return p.notify(now, id, opened) }
 
-// Failed says that a connection did not come up, or broke.
+// Failed reports that a dial failed or a connection was lost.
 func (p *Pool) Failed(now time.Duration, id ConnID) []Action { return p.notify(now, id, failed) }
 
-// Received says that anything has come on a connection.
+// Received reports that anything was received on a connection.
 func (p *Pool) Received(now time.Duration, id ConnID) []Action {
 	if c := p.conns[id]; c != nil {
 		c.lastActivity = now
@@ -253,7 +252,7 @@
 	return p.notify(now, id, received)
 }
 
-// Release says that a request on a connection has ended.
+// Release reports that a request on a connection has ended.
 func (p *Pool) Release(now time.Duration, id ConnID) []Action {
 	c := p.conns[id]
 	if c == nil || c.inFlight == 0 {
@@ -267,7 +266,7 @@
 	return p.notify(now, id, drained)
 }
 
-// notify puts an event to a connection, if it is still known.
+// notify applies an event to a connection if it is still in the pool.
 func (p *Pool) notify(now time.Duration, id ConnID, event connEvent) []Action {
 	p.now = now
 	if c := p.conns[id]; c != nil {
@@ -276,7 +275,7 @@
 	return p.takeActions()
 }
 
-// Tick looks for time-outs. It is to be called some ten times within the shortest of them.
+// Tick handles timeouts. It should be called about ten times within the shortest timeout.
 func (p *Pool) Tick(now time.Duration) []Action {
 	p.now = now
 	for _, c := range slices.Clone(p.ordered) {
