--- a/internal/agent/ws/backendconn.go
+++ b/internal/agent/ws/backendconn.go
@@ -12,37 +12,38 @@
 	"sagelever/internal/agent/connpool"
 )
 
-// pingLimit is beyond the time after which the manager gives a connection up that does not answer a ping.
-const pingLimit = 10 * time.Second
+// pingTimeout limits waiting for a pong. It is longer than the ping timeout of the manager, which closes the
+// connection.
+const pingTimeout = 10 * time.Second
 
-var errWrongProtocol = errors.New("the backend does not speak " + BackendProtocol)
+var errWrongProtocol = errors.New("backend does not support subprotocol " + BackendProtocol)
 
-// backendConn is one connection to a backend.
+// backendConn is one multiplexed connection to a backend.
 type backendConn struct {
 	id        connpool.ConnID
-	socket    *websocket.Conn // nil until it has come up
-	writeTurn chan struct{}   // holds a value while a message is being written
+	socket    *websocket.Conn // nil until the connection is established
+	writeLock chan struct{}   // holds a value while a message is being written
 	cancel    context.CancelFunc
-	closed    chan struct{} // closed when the connection is of no use any more
+	closed    chan struct{} // closed when the connection has ended
 
-	mu            sync.Mutex // guards the following
-	lastSend      uint64
-	waiting       map[uint64]chan BackendResponse // for the response to each request
-	subscriptions map[uint64]*Subscription
+	mu            sync.Mutex                      // guards the following
+	lastSend      uint64                          // number of the last request
+	waiting       map[uint64]chan BackendResponse // receives the response, by request number
+	subscriptions map[uint64]*Subscription        // by request number
 }
 
 func newBackendConn(id connpool.ConnID, cancel context.CancelFunc) *backendConn {
 	return &backendConn{
 		id:            id,
 		cancel:        cancel,
-		writeTurn:     make(chan struct{}, 1),
+		writeLock:     make(chan struct{}, 1),
 		closed:        make(chan struct{}),
 		waiting:       map[uint64]chan BackendResponse{},
 		subscriptions: map[uint64]*Subscription{},
 	}
 }
 
-// serveConn opens a connection and reads it until it ends.
+// serveConn opens a connection and reads messages until it ends.
 func (p *BackendPool) serveConn(ctx context.Context, c *backendConn, address string) {
 	defer c.cancel()
 	defer close(c.closed)
@@ -67,7 +68,7 @@
 		}
 		p.notifyManager(c, (*connpool.Pool).Received)
 		response, err := parseBackendResponse(message)
-		if err != nil { // it belongs to no request: all of them may have run
+		if err != nil { // the request is unknown, so any open one may have run
 			p.log.Warn("spoilt_message", "address", address, "error", err)
 			p.connFailed(c)
 			return
@@ -76,7 +77,7 @@
 	}
 }
 
-// dial opens a connection to a backend that speaks the protocol.
+// dial opens a connection to a backend and negotiates BackendProtocol.
 func (p *BackendPool) dial(ctx context.Context, address string) (*websocket.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, p.dialTimeout)
 	defer stop()
@@ -95,7 +96,7 @@
 	return socket, nil
 }
 
-// deliver hands a response or a push to whoever waits for it.
+// deliver passes a response or a push to its request or subscription. Messages for unknown requests are dropped.
 func (c *backendConn) deliver(response BackendResponse) {
 	c.mu.Lock()
 	waiting := c.waiting[response.Send]
@@ -112,9 +113,9 @@
 	}
 }
 
-// ping pings a backend and tells the manager if it answers.
+// ping pings a backend and notifies the manager if there is a pong.
 func (p *BackendPool) ping(c *backendConn) {
-	ctx, cancel := context.WithTimeout(p.ctx, pingLimit)
+	ctx, cancel := context.WithTimeout(p.ctx, pingTimeout)
 	defer cancel()
 	if c.socket.Ping(ctx) == nil {
 		p.notifyManager(c, (*connpool.Pool).Received)
--- a/internal/agent/ws/backends.go
+++ b/internal/agent/ws/backends.go
@@ -10,30 +10,31 @@
 	"sagelever/internal/agent/connpool"
 )
 
-// BackendPool has the connections to backends. Package connpool decides about them; here it is carried out.
+// BackendPool holds the connections to backends. Package connpool makes the decisions, which BackendPool carries out.
 type BackendPool struct {
 	startedAt   time.Time
 	log         *slog.Logger
-	path        string // where backends take the upgrade
+	path        string // of the upgrade at backends
 	dialTimeout time.Duration
-	ctx         context.Context // ends all connections
+	ctx         context.Context // closes all connections when canceled
 
 	mu           sync.Mutex // guards the following
 	manager      *connpool.Pool
 	conns        map[connpool.ConnID]*backendConn
 	addresses    map[api.BackendID]string
-	draining     map[api.BackendID]chan struct{} // closed when a backend gets nothing new any more
-	connsChanged chan struct{}                   // closed when a connection has come up or failed
+	draining     map[api.BackendID]chan struct{} // closed when the backend begins to drain
+	connsChanged chan struct{}                   // closed and replaced when a connection has been established or has ended
 }
 
-// BackendEndpoint is where a backend is.
+// BackendEndpoint is the address and availability of a backend.
 type BackendEndpoint struct {
 	ID        api.BackendID
 	Address   string
-	Available bool // it may get attempts
+	Available bool // it may receive attempts
 }
 
-// NewBackendPool makes connections to backends, which take the upgrade at a path. They end with ctx.
+// NewBackendPool returns a pool of connections to backends, which accept the upgrade at path. All connections are
+// closed when ctx is canceled.
 func NewBackendPool(
 	ctx context.Context, path string, config connpool.Config, seed uint64, log *slog.Logger,
 ) *BackendPool {
@@ -53,10 +54,10 @@
 	return p
 }
 
-// now is the time as the manager counts it.
+// now returns the time for the manager, since the start of the pool.
 func (p *BackendPool) now() time.Duration { return time.Since(p.startedAt) }
 
-// tickLoop lets the manager look for time-outs, and closes all connections in the end.
+// tickLoop drives the timeouts of the manager until the context is canceled, and then closes all connections.
 func (p *BackendPool) tickLoop(config connpool.Config) {
 	const ticksPerTimeout = 10
 	interval := min(config.ResponseTimeout, config.PingTimeout) / ticksPerTimeout
@@ -83,7 +84,7 @@
 	}
 }
 
-// Update takes up changes of the list. A backend that has another address is another one and gets new connections.
+// Update applies changes of the backend list. A backend whose address has changed gets new connections.
 func (p *BackendPool) Update(endpoints []BackendEndpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// drain ends new requests to a backend. The lock is held.
+// drain stops new requests to a backend. The caller must hold mu.
 func (p *BackendPool) drain(id api.BackendID) {
 	close(p.draining[id])
 	delete(p.draining, id)
@@ -109,7 +110,7 @@
 	p.execute(p.manager.DrainBackend(p.now(), id))
 }
 
-// execute carries out what the manager wants. The lock is held.
+// execute performs actions of the manager. The caller must hold mu.
 func (p *BackendPool) execute(actions []connpool.Action) {
 	for _, action := range actions {
 		c := p.conns[action.Conn]
@@ -119,7 +120,7 @@
 			c = newBackendConn(action.Conn, cancel)
 			p.conns[action.Conn] = c
 			go p.serveConn(ctx, c, p.addresses[action.Backend])
-		case c == nil: // it has failed meanwhile
+		case c == nil: // the connection has already failed
 		case action.Kind == connpool.Ping:
 			go p.ping(c)
 		case action.Kind == connpool.Close:
@@ -129,17 +130,17 @@
 	}
 }
 
-// managerEvent is a method of the manager that takes an event of a connection.
+// managerEvent is a method of the manager that reports an event of a connection.
 type managerEvent func(*connpool.Pool, time.Duration, connpool.ConnID) []connpool.Action
 
-// notifyManager tells the manager what has happened to a connection.
+// notifyManager reports an event of a connection to the manager and performs the resulting actions.
 func (p *BackendPool) notifyManager(c *backendConn, event managerEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.execute(event(p.manager, p.now(), c.id))
 }
 
-// signalChange wakes the requests that wait for a connection.
+// signalChange wakes the requests that wait in acquire.
 func (p *BackendPool) signalChange() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +148,7 @@
 	p.connsChanged = make(chan struct{})
 }
 
-// connFailed takes up that a connection did not come up, or broke.
+// connFailed removes a connection whose dial has failed or that was lost.
 func (p *BackendPool) connFailed(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +156,7 @@
 	p.execute(p.manager.Failed(p.now(), c.id))
 }
 
-// Stats returns the manager's counts, and as Open the connections that are up or coming up.
+// Stats returns the manager's statistics. Open counts established connections and those being dialed.
 func (p *BackendPool) Stats() connpool.Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/ws/clientconn.go
+++ b/internal/agent/ws/clientconn.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	goingAwayRetryMS = 1000             // when a client that is told to go away should return
-	flushInterval    = time.Millisecond // between looks whether all messages are written
+	goingAwayRetryMS = 1000             // delay in ms after which a client should reconnect after going_away
+	flushInterval    = time.Millisecond // polling interval while waiting for queued messages to be written
 )
 
-// clientConn is one client's connection. One that says nothing costs the goroutine that reads it and a timer: ten
-// thousand of them wait for pushes. A goroutine that writes runs only while there is something to write.
+// clientConn is one client's connection. An idle connection needs only a reading goroutine and a timer, as ten thousand
+// connections may wait for pushes. A writing goroutine runs only while messages are queued.
 type clientConn struct {
 	server    *Server
 	socket    *websocket.Conn
 	peer      string          // the client's address
-	ctx       context.Context // ends with the connection
+	ctx       context.Context // canceled when the connection ends
 	inFlight  sync.WaitGroup  // open transactions and subscriptions
 	drainOnce sync.Once
 
@@ -28,12 +28,12 @@
 	cancels map[string]context.CancelFunc // of open transactions and subscriptions, by id
 
 	queueMu sync.Mutex // guards queue and writing
-	queue   [][]byte   // messages that are not written yet
-	writing bool
+	queue   [][]byte   // messages not yet written
+	writing bool       // writeLoop is running
 	writers sync.WaitGroup
 }
 
-// readLoop takes message after message until the connection ends.
+// readLoop reads and handles messages until the connection ends.
 func (c *clientConn) readLoop() {
 	for {
 		kind, message, err := c.socket.Read(c.ctx)
@@ -57,7 +57,7 @@
 	}
 }
 
-// cancel ends an open transaction or subscription, as if its client had left.
+// cancel ends an open transaction or subscription as if the client had disconnected.
 func (c *clientConn) cancel(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,12 +66,12 @@
 	}
 }
 
-// startHeartbeat sends a ping every Limits.Heartbeat until it is stopped or the connection ends.
+// startHeartbeat sends a ping every Limits.Heartbeat until stop is called or the connection ends.
 func (c *clientConn) startHeartbeat() (stop func()) {
 	interval := c.server.limits.Heartbeat
 	var mu sync.Mutex
 	var timer *time.Timer
-	mu.Lock() // the timer's function needs the timer
+	mu.Lock() // keeps the timer's function waiting until timer is assigned
 	defer mu.Unlock()
 	timer = time.AfterFunc(interval, func() {
 		c.ping()
@@ -88,7 +88,7 @@
 	}
 }
 
-// ping closes the connection if its client does not answer.
+// ping pings the client, and closes the connection if there is no pong.
 func (c *clientConn) ping() {
 	ctx, stop := context.WithTimeout(c.ctx, c.server.limits.Heartbeat)
 	defer stop()
@@ -97,7 +97,7 @@
 	}
 }
 
-// enqueue queues a message. A client that does not read is closed, so that its queue stays bounded.
+// enqueue queues a message for writing. If the queue is full, as the client does not read, the connection is closed.
 func (c *clientConn) enqueue(message ClientMessage) {
 	c.queueMu.Lock()
 	defer c.queueMu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// writeLoop writes what is queued, and ends when nothing is.
+// writeLoop writes queued messages until the queue is empty.
 func (c *clientConn) writeLoop() {
 	for {
 		message := c.dequeue()
@@ -124,13 +124,14 @@
 		}
 		ctx, stop := context.WithTimeout(c.ctx, c.server.limits.Heartbeat)
 		if c.socket.Write(ctx, websocket.MessageBinary, message) != nil {
-			closeNow(c.socket) // reading ends, and with it all else; what is queued fails as quickly
+			closeNow(c.socket) // ends readLoop, and with it the connection; writing the remaining messages fails immediately
 		}
 		stop()
 	}
 }
 
-// dequeue takes the next message. If there is none it returns nil, and another writeLoop is started for the next one.
+// dequeue returns the next message. If there is none, it returns nil, and enqueue starts another writeLoop for the next
+// message.
 func (c *clientConn) dequeue() []byte {
 	c.queueMu.Lock()
 	defer c.queueMu.Unlock()
@@ -150,7 +151,7 @@
 	return !c.writing
 }
 
-// drain tells the client to go away, and closes the connection when its transactions are answered.
+// drain sends going_away to the client, and closes the connection when its transactions have been answered.
 func (c *clientConn) drain() { c.drainOnce.Do(c.goAway) }
 
 func (c *clientConn) goAway() {
--- a/internal/agent/ws/rules.go
+++ b/internal/agent/ws/rules.go
@@ -11,17 +11,17 @@
 	"sagelever/match"
 )
 
-// Errors of requests that fit no workload. Their texts are sent to clients.
+// Errors of requests that don't fit a workload. The texts are sent to clients.
 var (
 	errNoWorkload = errors.New("no such workload")
 	errBadMethod  = errors.New("GET or POST is wanted")
 )
 
-// ruleSubject is a client's request as the operator's rules see it.
+// ruleSubject exposes a client's request to the operator's rules.
 type ruleSubject struct {
 	ClientRequest
 	peer   string
-	effect string // of the workload that the path names, "" if it names none
+	effect string // of the workload named by the path, "" if there is none
 }
 
 func (s ruleSubject) splitPath() (path, query string) {
@@ -29,7 +29,7 @@
 	return path, query
 }
 
-// Text is the method, the path as it was written, or the client's address.
+// Text returns the method ("method"), the path without query ("path") or the client's address ("peer").
 func (s ruleSubject) Text(name string) string {
 	switch name {
 	case "method":
@@ -44,13 +44,13 @@
 	return ""
 }
 
-// Segments are the segments of the path as it was written.
+// Segments returns the segments of the path.
 func (s ruleSubject) Segments() []string {
 	path, _ := s.splitPath()
 	return strings.Split(strings.TrimPrefix(path, "/"), "/")
 }
 
-// Table is the headers or the query. There are no cookies.
+// Table returns the headers or the query. There are no cookies.
 func (s ruleSubject) Table(name string) match.Table {
 	switch name {
 	case "header":
@@ -64,18 +64,18 @@
 	return match.Table{}
 }
 
-// Size is the length of the body in bytes.
+// Size returns the length of the body in bytes.
 func (s ruleSubject) Size() int64 { return int64(len(s.Body)) }
 
-// Hint is the client's estimate of the work, 0 if it gave none.
+// Hint returns the client's estimate of the work, or 0 if there is none.
 func (s ruleSubject) Hint() time.Duration { return s.workHint() }
 
-// Sent is how repeatable the request is as it was sent.
+// Sent returns how repeatable the request is as the client sent it.
 func (s ruleSubject) Sent() match.Repeatable {
 	return match.SentAs(s.Method, len(s.Body) > 0, s.Idempotency != "", s.effect)
 }
 
-// accept says what the policy has to know of a request, by the protocol and the operator's rules.
+// accept validates a request, applies the operator's rules and returns its properties for the policy.
 func (s *Server) accept(request ClientRequest, peer string) (api.TransactionAccepted, error) {
 	deployment := s.host.Deployment()
 	subject := ruleSubject{ClientRequest: request, peer: peer}
@@ -109,7 +109,7 @@
 	return accepted, nil
 }
 
-// applyJudgement takes up what rules say of a request, except for its workload.
+// applyJudgement applies the decisions of the rules to a request, except for the workload.
 func applyJudgement(accepted *api.TransactionAccepted, judgement match.Judgement) {
 	if judgement.Key != "" {
 		accepted.Key = api.AffinityKey(judgement.Key)
@@ -120,7 +120,7 @@
 	}
 }
 
-// checkEffect checks that a request was sent as its workload's effect requires.
+// checkEffect checks that the method, body and idempotency key of a request fit the effect of its workload.
 func checkEffect(subject ruleSubject, effect string) error {
 	subject.effect = ""
 	switch {
--- a/internal/agent/ws/send.go
+++ b/internal/agent/ws/send.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// fragmentSize is how much of a request is written at a time. Between two fragments a request can still be abandoned
-	// so that it never runs.
+	// fragmentSize is the number of bytes of a request in one fragment. Between fragments, a request can still be
+	// aborted so that it never runs.
 	fragmentSize = 4 << 10
 
-	// fragmentTimeout is how long one fragment may take to be written. A backend that does not read holds up all requests
-	// on its connection.
+	// fragmentTimeout limits writing one fragment, as a backend that does not read blocks all requests on its
+	// connection.
 	fragmentTimeout = time.Second
 )
 
 var (
-	errNoConnection    = errors.New("no connection can be had now")
-	errBackendDraining = errors.New("the backend gets nothing new")
-	errConnectionLost  = errors.New("the connection broke")
-	errWriteTimeout    = errors.New("the backend does not read")
+	errNoConnection    = errors.New("no connection available")
+	errBackendDraining = errors.New("backend is draining or not listed")
+	errConnectionLost  = errors.New("connection lost")
+	errWriteTimeout    = errors.New("backend does not read")
 )
 
-// OutcomeOf tells how an attempt ended. Only what is certain counts as never run.
+// OutcomeOf returns the outcome of an attempt. An attempt counts as never run only if that is certain.
 func OutcomeOf(response BackendResponse, err error) api.Outcome {
 	if err == nil {
 		return responseOutcome(response)
@@ -42,7 +42,7 @@
 	canceled := errors.Is(err, transaction.ErrCanceled)
 	switch {
 	case neverRan && (canceled || errors.Is(err, errBackendDraining) || errors.Is(err, errNoConnection)):
-		return api.NotSent // the agent's doing, not the backend's
+		return api.NotSent // caused by the agent, not by the backend
 	case neverRan:
 		return api.Unreachable
 	case canceled:
@@ -53,7 +53,7 @@
 	return api.ConnectionLost
 }
 
-// responseOutcome tells how an attempt ended that was answered.
+// responseOutcome returns the outcome of an attempt that got a response.
 func responseOutcome(response BackendResponse) api.Outcome {
 	switch {
 	case response.Status == http.StatusOK:
@@ -66,11 +66,11 @@
 	return api.ErrorResponse
 }
 
-// Subscription is what a backend pushes after it has answered. It counts as a request in flight, so that its connection
-// neither passes for an idle one nor is taken for alive without a sign of it.
+// Subscription is a subscription at a backend, which pushes messages after its response. It counts as a request in
+// flight, so that its connection is not closed as idle, and is pinged when it is silent.
 type Subscription struct {
 	Done     <-chan struct{} // closed when the connection has ended
-	Draining <-chan struct{} // closed when the backend gets nothing new: another one should be asked
+	Draining <-chan struct{} // closed when the backend begins to drain and the subscription should move to another one
 
 	pool *BackendPool
 	conn *backendConn
@@ -79,7 +79,7 @@
 	push func(BackendResponse)
 }
 
-// Close ends the subscription and tells the backend. It may be called more than once.
+// Close ends the subscription and notifies the backend. It may be called more than once.
 func (s *Subscription) Close() {
 	s.once.Do(func() {
 		s.conn.mu.Lock()
@@ -90,8 +90,8 @@
 	})
 }
 
-// Send sends a request to a backend and waits for its response. It is given up when ctx ends, whose cause says why. Its
-// errors are of type *transaction.AttemptError.
+// Send sends a request to a backend and waits for the response, until ctx is canceled. Its errors are of type
+// *transaction.AttemptError, and contain the cause of ctx after a cancellation.
 func (p *BackendPool) Send(ctx context.Context, to api.BackendID, request BackendRequest) (BackendResponse, error) {
 	c, draining, err := p.acquire(ctx, to)
 	if err != nil {
@@ -101,8 +101,9 @@
 	return p.roundTrip(ctx, c, draining, c.register(&request, nil), request)
 }
 
-// Subscribe is Send for a request whose response is followed by pushes, until the subscription is closed. What is
-// pushed before the response has been read counts, too. push is called by one goroutine at a time and returns at once.
+// Subscribe is like Send for a request whose response is followed by pushes until the subscription is closed. It calls
+// push for each of them, also for those that arrive before Subscribe returns, from one goroutine at a time. push must
+// not block.
 func (p *BackendPool) Subscribe(
 	ctx context.Context, to api.BackendID, request BackendRequest, push func(BackendResponse),
 ) (BackendResponse, *Subscription, error) {
@@ -120,8 +121,8 @@
 	return response, subscription, nil
 }
 
-// register numbers a request on its connection and makes the channel for its response. The subscription is nil for a
-// request that is not followed by pushes.
+// register assigns a number to a request and returns the channel for its response. subscription is nil if the request
+// is not a subscription.
 func (c *backendConn) register(request *BackendRequest, subscription *Subscription) <-chan BackendResponse {
 	responses := make(chan BackendResponse, 1)
 	c.mu.Lock()
@@ -156,7 +157,7 @@
 	case response := <-responses:
 		return response, nil
 	case <-c.closed:
-		select { // it may have come just before
+		select { // the response may have arrived just before
 		case response := <-responses:
 			return response, nil
 		default:
@@ -168,7 +169,8 @@
 	}
 }
 
-// acquire waits for a connection to a backend. It also gives the channel that is closed when the backend drains.
+// acquire waits for a connection to a backend. It also returns a channel that is closed when the backend begins to
+// drain.
 func (p *BackendPool) acquire(ctx context.Context, to api.BackendID) (*backendConn, <-chan struct{}, error) {
 	for {
 		p.mu.Lock()
@@ -194,15 +196,16 @@
 	}
 }
 
-// requestWriter writes one request. Until its last fragment is written the request can be abandoned, when it is given
-// up or its backend drains: it then never runs, and the connection goes on carrying the others.
+// requestWriter writes one request. Until the last fragment is written, the request is aborted if its attempt is
+// canceled or the backend begins to drain. It then never runs, and the connection continues to serve the other
+// requests.
 type requestWriter struct {
 	ctx      context.Context // of the attempt
 	conn     *backendConn
 	draining <-chan struct{}
 }
 
-// interrupted returns the error of a request that is to be abandoned, nil if it is not.
+// interrupted returns the error with which the request must be aborted, or nil.
 func (w *requestWriter) interrupted() error {
 	select {
 	case <-w.ctx.Done():
@@ -216,10 +219,10 @@
 	}
 }
 
-// takeTurn waits until no other message is being written on the connection.
-func (w *requestWriter) takeTurn() error {
+// lockWrites waits until no other message is being written on the connection, and locks it for this request.
+func (w *requestWriter) lockWrites() error {
 	select {
-	case w.conn.writeTurn <- struct{}{}:
+	case w.conn.writeLock <- struct{}{}:
 		return nil
 	case <-w.ctx.Done():
 	case <-w.draining:
@@ -228,16 +231,16 @@
 	return w.interrupted()
 }
 
-// write writes a request. poolCtx ends the connection.
+// write writes a request. poolCtx is the context of the connection.
 func (w *requestWriter) write(poolCtx context.Context, request BackendRequest) error {
-	if err := w.takeTurn(); err != nil {
+	if err := w.lockWrites(); err != nil {
 		return err
 	}
-	defer func() { <-w.conn.writeTurn }()
+	defer func() { <-w.conn.writeLock }()
 	if err := w.interrupted(); err != nil {
 		return err
 	}
-	// The context of the write is not the attempt's: its end would close the connection.
+	// The write does not use the attempt's context, as canceling the context of a write closes the connection.
 	writeCtx, cancel := context.WithCancel(poolCtx)
 	defer cancel()
 	timeout := time.AfterFunc(fragmentTimeout, cancel)
@@ -249,17 +252,17 @@
 	if err := w.writeFragments(message, timeout, encodeMessage(request, request.Body)); err != nil {
 		return err
 	}
-	if err := message.Close(); err != nil { // this writes the last fragment, an empty one: it may have run from here on
+	if err := message.Close(); err != nil { // Close writes the empty last fragment: the request may have run from here on
 		return &transaction.AttemptError{Stage: transaction.Written, Cause: fmt.Errorf("%w: %w", errConnectionLost, err)}
 	}
 	return nil
 }
 
-// writeFragments writes a message, each fragment within the timeout.
+// writeFragments writes a message in fragments, each within fragmentTimeout.
 func (w *requestWriter) writeFragments(message io.WriteCloser, timeout *time.Timer, rest []byte) error {
 	for len(rest) > 0 {
 		if err := w.interrupted(); err != nil {
-			_ = message.Close() // what is written has fewer bytes than its head says, and never runs
+			_ = message.Close() // the body is shorter than its declared size, so the request never runs
 			return err
 		}
 		fragment := rest[:min(len(rest), fragmentSize)]
@@ -272,15 +275,15 @@
 	return nil
 }
 
-// cancel tells a backend that nobody waits for a response any more, if that can be written soon.
+// cancel notifies a backend that a response is no longer needed, unless the write takes longer than fragmentTimeout.
 func (p *BackendPool) cancel(c *backendConn, send uint64) {
 	ctx, stop := context.WithTimeout(p.ctx, fragmentTimeout)
 	defer stop()
 	select {
-	case c.writeTurn <- struct{}{}:
-		defer func() { <-c.writeTurn }()
+	case c.writeLock <- struct{}{}:
+		defer func() { <-c.writeLock }()
 		message := encodeMessage(BackendRequest{Type: typeCancel, Send: send}, nil)
-		_ = c.socket.Write(ctx, websocket.MessageBinary, message) // it only spares the backend work
+		_ = c.socket.Write(ctx, websocket.MessageBinary, message) // best effort: it only saves the backend work
 	case <-ctx.Done():
 	case <-c.closed:
 	}
--- a/internal/agent/ws/server.go
+++ b/internal/agent/ws/server.go
@@ -19,33 +19,33 @@
 	"sagelever/match"
 )
 
-// Host is the agent that a server belongs to. httpagent.Agent is one.
+// Host is the agent that a server belongs to. httpagent.Agent implements it.
 type Host interface {
 	Engine() *engine.Engine
 	Judge() match.Judge                                        // the operator's rules, nil if there are none
 	Deployment() match.Deployment                              // workloads and customers
-	Timeouts(workload string) (timeout, maximum time.Duration) // a workload's, and the longest that any client may wait
-	AnswerGrace() time.Duration                                // how late the rules let a final answer be
-	TrackUpgraded(r *http.Request) (release func())            // counts a connection that was taken over from HTTP
-	Stopping() <-chan struct{}                                 // closed when the agent has been told to stop
+	Timeouts(workload string) (timeout, maximum time.Duration) // default of a workload, and the maximum for any client
+	AnswerGrace() time.Duration                                // how long after its deadline a transaction may be answered
+	TrackUpgraded(r *http.Request) (release func())            // registers a hijacked connection
+	Stopping() <-chan struct{}                                 // closed when the shutdown of the agent begins
 }
 
-// Limits bound what clients' connections may have in memory.
+// Limits bound the resources that client connections may use.
 type Limits struct {
 	PerConnection int           // open transactions of one connection
 	Total         int64         // open transactions of all connections
-	MaxQueued     int           // messages that wait to be read by one client
-	Heartbeat     time.Duration // between pings; a client that does not answer one within as long is closed
+	MaxQueued     int           // messages queued for one client
+	Heartbeat     time.Duration // interval of pings, and the time within which the client must answer one
 }
 
-// DefaultLimits are for clients that are processes with some tens of callers each. One that is a hundred messages
-// behind does not read.
+// DefaultLimits are for clients that are processes with some tens of callers each. A client that is more than a hundred
+// messages behind is assumed not to read.
 var DefaultLimits = Limits{PerConnection: 64, Total: 4096, MaxQueued: 128, Heartbeat: 15 * time.Second}
 
-// upgradeTimeout is how long an upgrade may take.
+// upgradeTimeout limits writing the response to an upgrade.
 const upgradeTimeout = 2 * time.Second
 
-// Server serves clients: it takes their messages for transactions.
+// Server serves clients over WebSocket and runs their requests as transactions.
 type Server struct {
 	host             Host
 	backends         *BackendPool
@@ -57,8 +57,8 @@
 	clients map[*clientConn]bool
 }
 
-// NewServer makes a server, which is an http.Handler for upgrades. When the host stops, it tells all clients to go
-// away.
+// NewServer returns a server, which is an http.Handler for upgrades. When the host stops, the server sends going_away
+// to all clients.
 func NewServer(host Host, backends *BackendPool, limits Limits, log *slog.Logger) *Server {
 	s := &Server{host: host, backends: backends, limits: limits, log: log, clients: map[*clientConn]bool{}}
 	go s.drainWhenStopping()
@@ -74,7 +74,7 @@
 	}
 }
 
-// stopping reports whether the host has been told to stop.
+// stopping reports whether the shutdown of the host has begun.
 func (s *Server) stopping() bool {
 	select {
 	case <-s.host.Stopping():
@@ -84,14 +84,14 @@
 	}
 }
 
-// Load tells how many connections are open, and how many transactions.
-func (s *Server) Load() (connections, transactions int64) {
+// OpenCounts returns the number of open connections and the number of open transactions.
+func (s *Server) OpenCounts() (connections, transactions int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(len(s.clients)), s.openTransactions.Load()
 }
 
-// ServeHTTP upgrades a connection, which is then served until it ends.
+// ServeHTTP upgrades a connection, which another goroutine then serves until it ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.stopping() {
 		w.Header().Set("Connection", "close")
@@ -99,29 +99,29 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	// Where the writer knows no deadline, the upgrade is not bounded.
+	// If the ResponseWriter does not support deadlines, the upgrade is not limited.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(upgradeTimeout))
 	socket, err := websocket.Accept(smallBufferWriter{w}, r, &websocket.AcceptOptions{
 		Subprotocols:    []string{ClientProtocol},
 		CompressionMode: websocket.CompressionDisabled,
 	})
 	if err != nil {
-		return // Accept has answered
+		return // Accept has sent an error response
 	}
-	// By a goroutine of its own: net/http's has grown a large stack for the request, and would keep the request in memory.
+	// A new goroutine, because the one of net/http has a large stack and would keep the request in memory.
 	go s.serveConn(socket, r.RemoteAddr, s.host.TrackUpgraded(r))
 }
 
-// smallBufferWriter takes a connection over with small buffers: most connections wait, and net/http's buffers are 8
-// KiB.
+// smallBufferWriter hijacks connections with small buffers, as most connections are idle and net/http's buffers take
+// 8 KiB.
 type smallBufferWriter struct{ http.ResponseWriter }
 
-const smallBufferSize = 1 << 10 // some messages of the usual size; larger ones pass through it
+const smallBufferSize = 1 << 10 // bytes; holds several messages of the usual size, larger ones bypass it
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (w smallBufferWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// Hijack takes the connection over. What the client has sent right behind its request is read first.
+// Hijack hijacks the connection. Bytes that net/http has already read after the request are read first.
 func (w smallBufferWriter) Hijack() (net.Conn, *bufio.ReadWriter, error) {
 	conn, buffered, err := http.NewResponseController(w.ResponseWriter).Hijack()
 	if err != nil {
@@ -139,7 +139,7 @@
 	return conn, bufio.NewReadWriter(in, bufio.NewWriterSize(conn, smallBufferSize)), nil
 }
 
-// serveConn serves a connection until it ends and its transactions are over.
+// serveConn serves a connection until it and its transactions have ended.
 func (s *Server) serveConn(socket *websocket.Conn, peer string, release func()) {
 	defer release()
 	defer closeNow(socket)
@@ -152,12 +152,12 @@
 	c := &clientConn{server: s, socket: socket, peer: peer, ctx: ctx}
 	s.add(c)
 	defer s.remove(c)
-	if s.stopping() { // since ServeHTTP has looked, and perhaps after all others were told to go away
+	if s.stopping() { // the shutdown may have begun after the check in ServeHTTP, and after drainWhenStopping
 		go c.drain()
 	}
 	stopHeartbeat := c.startHeartbeat()
 	c.readLoop()
-	cancel() // for what is open, the client has gone
+	cancel() // open transactions end as with a disconnected client
 	stopHeartbeat()
 	c.inFlight.Wait()
 	c.writers.Wait()
@@ -175,12 +175,12 @@
 	delete(s.clients, c)
 }
 
-// closeNow closes a connection at once.
+// closeNow closes a connection without the closing handshake.
 func closeNow(socket *websocket.Conn) {
-	_ = socket.CloseNow() // it fails only if it is closed already
+	_ = socket.CloseNow() // fails only if the connection is already closed
 }
 
-// closeWith closes a connection with the closing handshake, if the peer takes part in it.
+// closeWith closes a connection with a closing handshake.
 func closeWith(socket *websocket.Conn, status websocket.StatusCode, reason string) {
-	_ = socket.Close(status, reason) // the connection is closed also if the handshake fails
+	_ = socket.Close(status, reason) // the connection is closed even if the handshake fails
 }
--- a/internal/agent/ws/subscriptions.go
+++ b/internal/agent/ws/subscriptions.go
@@ -11,23 +11,24 @@
 	"sagelever/internal/agent/transaction"
 )
 
-// A subscription is a transaction with one final answer. What is pushed after it reaches the client in order and at
-// most once; what is missing is told as a gap. When the backend behind it drains or dies, another one is asked, from
-// the last number that the client has received, and the client is told that the subscription has moved.
+// A subscription starts as a transaction with one final answer. Later pushes reach the client in order and at most
+// once; missing ones are reported by a gap message. If the backend drains or the connection to it is lost, the
+// subscription continues at another backend, after the last sequence number that the client was sent, and the client
+// gets a moved message.
 
 const (
-	// maxBuffered bounds the pushes kept until the final answer has been sent; what is beyond it becomes a gap.
+	// maxBuffered limits the pushes buffered until the final answer has been sent. Further ones are reported as a gap.
 	maxBuffered = 64
 
-	// maxMoves bounds how often in a row another backend is asked until the client is told that its subscription has
-	// ended; it may subscribe again when it likes.
+	// maxMoves limits the consecutive failed attempts to move a subscription to another backend. After that the client
+	// gets an ended message, and may subscribe again.
 	maxMoves = 5
 
-	// moveDelay bounds the random delay before a first move; it doubles with each further one. All subscriptions of a
-	// backend move at once.
+	// moveDelay is the maximum of the random delay before the first attempt to move; it doubles with each further
+	// attempt. The delay spreads the load, as all subscriptions of a backend move at the same time.
 	moveDelay = 50 * time.Millisecond
 
-	// endedRetryMS is when a client whose subscription has ended should return.
+	// endedRetryMS is the delay in ms after which a client should subscribe again after an ended message.
 	endedRetryMS = 1000
 )
 
@@ -37,30 +38,31 @@
 	request ClientRequest
 
 	mu      sync.Mutex           // guards the following
-	lastSeq uint64               // the last number that the client was sent
-	current *backendSubscription // whose pushes are forwarded, nil if there is none
+	lastSeq uint64               // sequence number of the last push sent to the client
+	current *backendSubscription // pushes of which are forwarded, nil if there is none
 }
 
-// backendSubscription is the side of a subscription at one backend. What is pushed before the client has its final
-// answer is buffered.
+// backendSubscription is the part of a subscription at one backend. Pushes are buffered until the client has its final
+// answer.
 type backendSubscription struct {
 	subscription *Subscription
 	buffered     []BackendResponse
 }
 
-// sequenceStep reports whether a push is to be forwarded, and how many are missing before it.
+// sequenceStep reports whether the push with number seq must be forwarded after last, and how many are missing between
+// them.
 func sequenceStep(last, seq uint64) (forward bool, missing uint64) {
 	switch {
-	case seq <= last: // the backend before has pushed it already
+	case seq <= last: // already forwarded from an earlier backend
 		return false, 0
-	case last == 0: // the first one, of a client that had none
+	case last == 0: // the first push to a client that subscribed without a sequence number
 		return true, 0
 	}
 	return true, seq - last - 1
 }
 
-// receivePush takes what one backend pushes. What comes from another than the present one is buffered, or dropped: the
-// next backend is asked for all that follows the last number sent.
+// receivePush handles a push of one backend. Pushes from any other than the current backend are buffered, or dropped if
+// the buffer is full.
 func (s *clientSubscription) receivePush(from *backendSubscription, push BackendResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +73,7 @@
 	}
 }
 
-// forward sends a push to the client, after a message on what is missing before it. The lock is held.
+// forward sends a push to the client, preceded by a gap message if pushes are missing. The caller must hold mu.
 func (s *clientSubscription) forward(push BackendResponse) {
 	forward, missing := sequenceStep(s.lastSeq, push.Seq)
 	if !forward {
@@ -84,32 +86,32 @@
 	s.send(ClientMessage{Type: typePush, Seq: push.Seq, ContentType: push.ContentType, Body: push.Body})
 }
 
-// send sends a message on the subscription to the client.
+// send sends a message about the subscription to the client.
 func (s *clientSubscription) send(message ClientMessage) {
 	message.ID = s.request.ID
 	message.Topic = s.request.Topic
 	s.conn.enqueue(message)
 }
 
-// opening is one transaction that asks for a subscription.
-type opening struct {
+// subscribeTransaction is a transaction that subscribes at a backend.
+type subscribeTransaction struct {
 	subscription *clientSubscription
 	accepted     api.TransactionAccepted
-	after        uint64 // the last number that the client was sent
+	after        uint64 // sequence number of the last push sent to the client
 	deadline     time.Time
 
 	mu         sync.Mutex // guards the following
 	byResponse map[*transaction.Response]*backendSubscription
-	chosen     *backendSubscription // whose response is the final answer, nil if there is none
+	chosen     *backendSubscription // its response is the final answer; nil if there is none
 }
 
-// open asks backends for the subscription, as a transaction, and gives its final answer to respond. It returns nil if
-// no backend has agreed.
+// open subscribes at a backend by a transaction, and passes the final answer to respond. It returns nil if no backend
+// accepted the subscription.
 func (s *clientSubscription) open(
 	ctx context.Context, accepted api.TransactionAccepted, respond func(transaction.Result),
 ) (*Subscription, error) {
 	host := s.conn.server.host
-	o := &opening{
+	o := &subscribeTransaction{
 		subscription: s,
 		accepted:     accepted,
 		after:        s.pause(),
@@ -132,7 +134,7 @@
 	return o.chosen.subscription, nil
 }
 
-// pause ends the forwarding of pushes, and gives the last number that the client was sent.
+// pause stops forwarding pushes and returns the sequence number of the last one sent to the client.
 func (s *clientSubscription) pause() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +142,7 @@
 	return s.lastSeq
 }
 
-// resume forwards the pushes of a backend, first the buffered ones.
+// resume forwards the pushes of a backend, starting with the buffered ones.
 func (s *clientSubscription) resume(from *backendSubscription) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,8 +153,8 @@
 	from.buffered = nil
 }
 
-// runAttempt asks one backend.
-func (o *opening) runAttempt(ctx context.Context, action api.StartAttempt) transaction.AttemptResult {
+// runAttempt subscribes at one backend.
+func (o *subscribeTransaction) runAttempt(ctx context.Context, action api.StartAttempt) transaction.AttemptResult {
 	remaining := time.Until(o.deadline)
 	ctx, cancel := context.WithTimeoutCause(ctx, remaining, transaction.ErrTimedOut)
 	defer cancel()
@@ -189,8 +191,8 @@
 	return result
 }
 
-// choose notes which backend's response is the final answer.
-func (o *opening) choose(result transaction.Result) {
+// choose records which backend's response is the final answer.
+func (o *subscribeTransaction) choose(result transaction.Result) {
 	if result.State != transaction.Succeeded {
 		return
 	}
@@ -199,9 +201,8 @@
 	o.chosen = o.byResponse[result.Response]
 }
 
-// release ends the subscription at a backend that is not the chosen one: a hedged attempt, or one that nobody waited
-// for.
-func (o *opening) release(source *backendSubscription) {
+// release ends the subscription at a backend that was not chosen, such as that of a hedged or late attempt.
+func (o *subscribeTransaction) release(source *backendSubscription) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.chosen != source {
@@ -209,8 +210,8 @@
 	}
 }
 
-// subscribe runs a subscription: its transaction, and then its pushes and moves, until the client ends it or the agent
-// stops.
+// subscribe runs a subscription from its transaction on, and moves it between backends, until the client ends it, the
+// agent stops, or maxMoves is reached.
 func (c *clientConn) subscribe(ctx context.Context, request ClientRequest, accepted api.TransactionAccepted) {
 	subscription := &clientSubscription{conn: c, request: request, lastSeq: request.After}
 	source, err := subscription.open(ctx, accepted, func(result transaction.Result) { c.respond(request, result) })
@@ -247,7 +248,7 @@
 	}
 }
 
-// move asks another backend, by a transaction of its own. It returns nil if none has agreed.
+// move subscribes at another backend by a separate transaction. It returns nil if no backend accepted the subscription.
 func (s *clientSubscription) move(ctx context.Context, accepted api.TransactionAccepted) *Subscription {
 	accepted.ID = api.TransactionID(fmt.Sprintf("%s~%d", s.request.ID, rand.Uint64()))
 	source, err := s.open(ctx, accepted, func(result transaction.Result) {
@@ -255,13 +256,13 @@
 			s.send(ClientMessage{Type: typeMoved})
 		}
 	})
-	if err != nil { // the engine has stopped; the caller finds that the agent stops, or tries again
+	if err != nil { // the engine has stopped: the caller returns when the agent stops, and retries otherwise
 		return nil
 	}
 	return source
 }
 
-// end tells the client that the subscription has ended, and why.
+// end notifies the client that the subscription has ended, with the reason.
 func (s *clientSubscription) end(reason string) {
 	s.mu.Lock()
 	last := s.lastSeq
--- a/internal/agent/ws/transactions.go
+++ b/internal/agent/ws/transactions.go
@@ -8,10 +8,10 @@
 	"sagelever/internal/agent/transaction"
 )
 
-// limitRetryMS is when a client that has reached a limit should return.
+// limitRetryMS is the delay in ms after which a client should retry after reaching a limit.
 const limitRetryMS = 100
 
-// startTransaction runs a client's request as a transaction or a subscription, or says why not.
+// startTransaction starts a transaction or a subscription for a client's request, or rejects or defers it.
 func (c *clientConn) startTransaction(request ClientRequest) {
 	server := c.server
 	accepted, err := server.accept(request, c.peer)
@@ -27,7 +27,7 @@
 		return
 	}
 	if stopping || len(c.cancels) >= server.limits.PerConnection || server.openTransactions.Load() >= server.limits.Total {
-		// It was never accepted, so that it is safe to repeat.
+		// The request has not been accepted, so it is safe to retry.
 		c.enqueue(ClientMessage{Type: typeDeferred, ID: request.ID, RetryMS: limitRetryMS})
 		return
 	}
@@ -48,12 +48,12 @@
 	})
 }
 
-// reject says that a request does not become a transaction.
+// reject sends the reason why a request does not become a transaction.
 func (c *clientConn) reject(request ClientRequest, reason string) {
 	c.enqueue(ClientMessage{Type: typeError, ID: request.ID, Error: reason})
 }
 
-// close forgets a transaction that is over.
+// close removes a transaction that has ended.
 func (c *clientConn) close(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +61,8 @@
 	delete(c.cancels, id)
 }
 
-// runTransaction runs a transaction until its final answer. The context ends when the client leaves or cancels it.
+// runTransaction runs a transaction until its final answer. ctx is canceled when the client disconnects or cancels the
+// transaction.
 func (c *clientConn) runTransaction(ctx context.Context, request ClientRequest, accepted api.TransactionAccepted) {
 	server := c.server
 	deadline := time.Now().Add(accepted.Timeout)
@@ -78,7 +79,7 @@
 	}
 }
 
-// respond sends a client the final answer.
+// respond sends the final answer to the client.
 func (c *clientConn) respond(request ClientRequest, result transaction.Result) {
 	message := ClientMessage{ID: request.ID}
 	switch result.State {
@@ -94,7 +95,7 @@
 		message.Type = typeBrokenOff
 	case transaction.Failed:
 		message.Type = typeBrokenOff
-	default: // the client has gone
+	default: // the client has disconnected
 		return
 	}
 	c.enqueue(message)
