--- a/cmd/sagelever/commands.go
+++ b/cmd/sagelever/commands.go
@@ -11,20 +11,21 @@
 
 const version = "0.1.0"
 
-// Environment variables that name the files unless flags do.
+// Environment variables for the paths of the files; flags override them.
 const (
 	configVariable   = "GW_CONFIG"
 	operatorVariable = "GW_OPERATOR"
 )
 
-// run executes one command line.
+// run executes a command line.
 func run(args []string, in io.Reader, out io.Writer) error {
 	root := newRootCommand(in, out)
 	root.SetArgs(args)
 	return root.Execute()
 }
 
-// newRootCommand returns the whole command line. Parsed values live in the commands, so each run needs new ones.
+// newRootCommand returns the root command with all subcommands. The commands hold parsed flags, so each run needs new
+// ones.
 func newRootCommand(in io.Reader, out io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "sagelever",
@@ -42,7 +43,7 @@
 	return root
 }
 
-// addFileFlags adds the flags that name the agent's files.
+// addFileFlags adds the flags for the paths of the agent's files.
 func addFileFlags(command *cobra.Command, files *fileSource) {
 	flags := command.Flags()
 	flags.StringVarP(&files.configPath, "config", "c", os.Getenv(configVariable),
--- a/cmd/sagelever/descriptors_linux.go
+++ b/cmd/sagelever/descriptors_linux.go
@@ -5,17 +5,17 @@
 	"syscall"
 )
 
-// growDescriptorTable makes the process's table of file descriptors hold a capacity at once. Linux doubles the table
-// as needed, and in a process of several threads it waits each time until no core reads the old table: 15 to 30 ms on
-// an idle machine, a third of a second on a busy one, in which nothing is accepted or connected. At the start nobody
-// waits.
+// growDescriptorTable grows the process's table of file descriptors to a capacity in one step at startup. Otherwise
+// Linux doubles the table as needed, and in a multi-threaded process it waits each time until no core reads the old
+// table. This takes 15 to 30 ms on an idle machine and a third of a second on a busy one, during which the process can
+// neither accept nor open connections.
 func growDescriptorTable(capacity int) error {
 	null, err := os.Open(os.DevNull)
 	if err != nil {
 		return err
 	}
 	defer null.Close()
-	// A duplicate with a high number makes the table grow; closing it does not shrink the table.
+	// A duplicate with a high number grows the table; closing it does not shrink the table.
 	highest := uintptr(capacity - 1)
 	duplicate, _, errno := syscall.Syscall(syscall.SYS_FCNTL, null.Fd(), syscall.F_DUPFD_CLOEXEC, highest)
 	if errno != 0 {
--- a/cmd/sagelever/descriptors_other.go
+++ b/cmd/sagelever/descriptors_other.go
@@ -2,5 +2,5 @@
 
 package main
 
-// growDescriptorTable does nothing: only on Linux does the growth of the table block a process.
+// growDescriptorTable does nothing, as the growth of the table blocks the process only on Linux.
 func growDescriptorTable(int) error { return nil }
--- a/cmd/sagelever/files.go
+++ b/cmd/sagelever/files.go
@@ -11,16 +11,16 @@
 	"sagelever/match"
 )
 
-// errNoConfig is the error of a command line that names no configuration.
+// errNoConfig is returned if no configuration file is given.
 var errNoConfig = errors.New("no configuration: give --config FILE or set " + configVariable)
 
-// fileSource names the files that configure an agent.
+// fileSource holds the paths of the files that configure an agent.
 type fileSource struct {
 	configPath   string // JSON
 	operatorPath string // INI; empty if there is none
 }
 
-// mountFunc adds listeners for other protocols to an agent. They end with the context.
+// mountFunc adds listeners for other protocols to an agent. Their connections are closed when the context is canceled.
 type mountFunc func(context.Context, *httpagent.Agent)
 
 // readStation reads the configuration.
@@ -31,13 +31,13 @@
 	return httpagent.ReadStation(s.configPath)
 }
 
-// rules reads the rules of the operator's file. They are nil if there are none.
+// rules reads the rules of the operator's file, or returns nil if there are none.
 func (s fileSource) rules(station *httpagent.Station) (match.Judge, error) {
 	judge, _, err := s.load(station)
 	return judge, err
 }
 
-// check reads all files, and prints a line for each if none is wrong.
+// check reads all files, and prints a line for each if all are valid.
 func (s fileSource) check(out io.Writer) error {
 	station, err := s.readStation()
 	if err != nil {
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// reload reads the files again and applies them to a running agent. What an invalid file configures stays as it was.
+// reload reads the files again and applies them to a running agent. An invalid file leaves its part of the
+// configuration unchanged.
 func (s fileSource) reload(agent *httpagent.Agent, log *slog.Logger) {
 	station, err := s.readStation()
 	if err != nil {
--- a/cmd/sagelever/log.go
+++ b/cmd/sagelever/log.go
@@ -14,10 +14,10 @@
 	jsonFormat = "json"
 )
 
-// eventKey is the key of a line's message: the name of what has happened.
+// eventKey is the key of the message of a log line, which is the name of an event.
 const eventKey = "event"
 
-// newLogger returns a logger that writes lines in a format.
+// newLogger returns a logger that writes lines to output in the given format.
 func newLogger(output io.Writer, format string) (*slog.Logger, error) {
 	options := &slog.HandlerOptions{ReplaceAttr: renameMessageKey}
 	switch format {
@@ -37,13 +37,13 @@
 }
 
 const (
-	// maxQueuedLines bounds the log lines that wait for a slow reader. Further lines are dropped.
+	// maxQueuedLines limits the log lines that are queued for a slow reader. Further lines are dropped.
 	maxQueuedLines = 1024
-	// closeTimeout bounds how long closing a log waits for a slow reader.
+	// closeTimeout limits how long closing the log waits for a slow reader.
 	closeTimeout = time.Second
 )
 
-// asyncWriter writes log lines in a goroutine of its own, so that a reader of the log that stops reading does not
+// asyncWriter writes log lines in its own goroutine, so that a reader of the log that stops reading does not
 // block the agent.
 type asyncWriter struct {
 	output    io.Writer
@@ -81,7 +81,7 @@
 }
 
 func (w *asyncWriter) writeLine(line []byte) {
-	_, _ = w.output.Write(line) // there is no other place to report that the log cannot be written
+	_, _ = w.output.Write(line) // there is no other place to report the error
 }
 
 // Write implements io.Writer. It queues a copy of the line, or drops it if the queue is full, and never fails.
--- a/cmd/sagelever/match.go
+++ b/cmd/sagelever/match.go
@@ -15,10 +15,10 @@
 	"sagelever/match/rules"
 )
 
-// maxExplainBody bounds the body of the request that "match explain" reads.
+// maxExplainBody limits the request body that "match explain" reads, in bytes.
 const maxExplainBody = 1 << 20
 
-// newRuleCommands returns the commands that show what rules do, without an agent.
+// newRuleCommands returns the commands that check, explain and time rules without running an agent.
 func newRuleCommands(files *fileSource) []*cobra.Command {
 	m := &matchCommands{files: files}
 	group := &cobra.Command{Use: "match", Short: "check, explain and time the operator's rules"}
@@ -30,16 +30,16 @@
 	return []*cobra.Command{group}
 }
 
-// matchCommands holds what the sub-commands of "match" share.
+// matchCommands holds the flags that the subcommands of "match" share.
 type matchCommands struct {
 	files  *fileSource
 	asJSON bool
 }
 
-// reportFunc makes the report of one sub-command, given the station and its rules. The request is read from in.
+// reportFunc creates the report of one subcommand for a station and its rules. It may read a request from in.
 type reportFunc func(in io.Reader, station *httpagent.Station, set *rules.Set) (fmt.Stringer, error)
 
-// newCommand returns a sub-command that prints a report on the rules of a file.
+// newCommand returns a subcommand that prints a report on the rules of a file.
 func (m *matchCommands) newCommand(name, short string, report reportFunc) *cobra.Command {
 	command := &cobra.Command{
 		Use:   name + " FILE",
@@ -90,12 +90,12 @@
 	return rules.Compile(nil, station.Deployment(), 0)
 }
 
-// checkRules reports what each rule decides.
+// checkRules reports the outputs and the cost bound of each rule.
 func checkRules(_ io.Reader, _ *httpagent.Station, set *rules.Set) (fmt.Stringer, error) {
 	return newCheckReport(set), nil
 }
 
-// explainRequest reads an HTTP request and reports what the rules make of it.
+// explainRequest reads an HTTP request and reports how the rules evaluate it.
 func explainRequest(in io.Reader, station *httpagent.Station, set *rules.Set) (fmt.Stringer, error) {
 	request, err := http.ReadRequest(bufio.NewReader(in))
 	if err != nil {
--- a/cmd/sagelever/match_report.go
+++ b/cmd/sagelever/match_report.go
@@ -15,7 +15,7 @@
 
 // checkReport is the output of "match check".
 type checkReport struct {
-	MaxTime time.Duration     `json:"bound_ns"` // of one message
+	MaxTime time.Duration     `json:"bound_ns"` // upper bound for one message
 	Rules   []rules.RuleState `json:"rules"`
 }
 
@@ -38,7 +38,7 @@
 	return text.String()
 }
 
-// explanation is the output of "match explain": what the rules make of one message.
+// explanation is the output of "match explain": the evaluation of the rules for one message.
 type explanation struct {
 	Evaluated []evaluation  `json:"tried"`
 	Rule      string        `json:"rule,omitempty"`
@@ -46,7 +46,7 @@
 	Key       string        `json:"key,omitempty"`
 	Customer  string        `json:"customer,omitempty"`
 	Cost      time.Duration `json:"cost_ns,omitempty"`
-	Rejected  string        `json:"refused,omitempty"` // why the message is refused
+	Rejected  string        `json:"refused,omitempty"` // reason if the message is refused
 	MaxTime   time.Duration `json:"bound_ns"`
 	Elapsed   time.Duration `json:"took_ns"`
 }
@@ -66,8 +66,8 @@
 	return result
 }
 
-// explain evaluates the rules for a message, and times a second evaluation, which finds caches as an agent in service
-// does.
+// explain evaluates the rules for a message, and times a second evaluation, which has warm caches like that of a
+// running agent.
 func explain(set *rules.Set, subject match.Subject) explanation {
 	judgement, steps := set.Explain(subject)
 	start := time.Now()
@@ -130,7 +130,7 @@
 // benchmarkReport is the output of "match bench".
 type benchmarkReport struct {
 	MaxTime   time.Duration `json:"bound_ns"`
-	WorstCase time.Duration `json:"dearest_ns"` // mean for the most expensive message by the cost model
+	WorstCase time.Duration `json:"dearest_ns"` // mean time of the most expensive message according to the cost model
 	Bytes     uint64        `json:"bytes"`      // allocated for each message
 }
 
@@ -140,7 +140,7 @@
 		r.WorstCase, r.Bytes, r.MaxTime)
 }
 
-// benchmarkTime is how long a benchmark runs: for some thousands of messages.
+// benchmarkTime is the duration of a benchmark, enough for some thousands of messages.
 const benchmarkTime = 100 * time.Millisecond
 
 // benchmark measures how long the rules take for the most expensive message.
--- a/cmd/sagelever/rules.go
+++ b/cmd/sagelever/rules.go
@@ -16,12 +16,12 @@
 	"sagelever/match"
 )
 
-// webSocketSocketShare is the divisor of the descriptor limit that gives the bound of connections to backends over
-// WebSocket: clients and connections over HTTP have the rest.
+// webSocketSocketShare limits WebSocket connections to backends to 1/4 of the descriptors. The others are left for
+// clients and for HTTP.
 const webSocketSocketShare = 4
 
-// load reads the operator's file for a station. It returns the rules, nil if there are none, and what mounts the
-// listeners that the file switches on, nil if there are none.
+// load reads the operator's file for a station. It returns the rules, and a function that mounts the listeners which
+// the file enables; each is nil if there are none.
 func (s fileSource) load(station *httpagent.Station) (match.Judge, mountFunc, error) {
 	if s.operatorPath == "" {
 		return nil, nil, nil
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var judge match.Judge // a nil interface, not one that holds a nil set
+	var judge match.Judge // stays a nil interface if there are no rules
 	if config.RuleSet != nil {
 		judge = config.RuleSet
 	}
@@ -47,7 +47,7 @@
 	return judge, mount, nil
 }
 
-// mountWebSocket adds the listener for clients over WebSocket to an agent.
+// mountWebSocket adds a WebSocket listener for clients to an agent.
 func mountWebSocket(
 	ctx context.Context, agent *httpagent.Agent, station *httpagent.Station, config operatorfile.WebSocket,
 ) {
@@ -77,7 +77,8 @@
 	station.Log.Info("websocket", "path", config.Path, "appliances", config.BackendPath)
 }
 
-// readOperatorFile reads a regular file. Reading a pipe without a writer would block this reload and all later ones.
+// readOperatorFile reads a regular file. It rejects pipes, as reading one without a writer would block this reload and
+// all later ones.
 func readOperatorFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -91,13 +92,14 @@
 		return nil, err
 	}
 	defer file.Close()
-	return io.ReadAll(io.LimitReader(file, operatorfile.MaxBytes+1)) // one byte more shows that it is too large
+	return io.ReadAll(io.LimitReader(file, operatorfile.MaxBytes+1)) // the extra byte reveals a file that is too large
 }
 
-// multiError is what errors.Join returns.
+// multiError is implemented by the errors that errors.Join returns.
 type multiError interface{ Unwrap() []error }
 
-// printError prints an error. One of the operator's file is followed by its line, with a caret below the column.
+// printError prints an error. A parse error of the operator's file is followed by the line and a caret below the
+// column.
 func printError(out io.Writer, err error) {
 	var joined multiError
 	if errors.As(err, &joined) {
--- a/cmd/sagelever/serve.go
+++ b/cmd/sagelever/serve.go
@@ -23,7 +23,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	signal.Ignore(syscall.SIGPIPE) // a closed log must not end the agent
+	signal.Ignore(syscall.SIGPIPE) // a closed log output must not terminate the agent
 	limitRuntime(station.Limits)
 	logWriter := newAsyncWriter(os.Stderr)
 	defer logWriter.close()
@@ -40,18 +40,18 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	agent := httpagent.New(station)
-	// Mounted listeners and reloading go on after the SIGTERM that ends ctx, until the agent has shut down.
-	lifetime, end := context.WithCancel(context.Background())
-	defer end()
+	// Mounted listeners and reloading continue after SIGTERM has canceled ctx, until the agent has shut down.
+	lifetime, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	if mount != nil {
 		mount(lifetime, agent)
 	}
-	// Nobody waits for the end of reloading: if the configuration is a pipe, reading it may block for ever.
+	// serve does not wait for this goroutine: if the configuration is a pipe, reading it may block forever.
 	go reloadOnHangup(lifetime, hangups, files, agent, logger)
 	return agent.Run(ctx)
 }
 
-// limitRuntime keeps the Go runtime within the limits of the station.
+// limitRuntime sets the memory limit and GOMAXPROCS of the Go runtime to the limits of the station.
 func limitRuntime(limits httpagent.Limits) {
 	if megabytes := limits.MemoryMB; megabytes > 0 {
 		debug.SetMemoryLimit(megabytes << 20 * 3 / 4) // the runtime does not count all memory of the process
@@ -61,7 +61,7 @@
 	}
 }
 
-// reloadOnHangup reads the files again on every signal until the context ends.
+// reloadOnHangup reloads the files on every signal until ctx is canceled.
 func reloadOnHangup(
 	ctx context.Context, hangups <-chan os.Signal, files fileSource, agent *httpagent.Agent, log *slog.Logger,
 ) {
