--- a/httpagent/backends.go
+++ b/httpagent/backends.go
@@ -44,8 +44,8 @@
 }
 
 const (
-	// readSettleTime is how long a connection must stay quiet after a response before it is reused: several times the
-	// latency between two machines of one site.
+	// readSettleTime is the minimum time between a response and the next request on the same connection: several times
+	// the latency between two machines of one site.
 	readSettleTime = time.Millisecond
 
 	// One response may take 1/32 of the memory, all responses together 1/4. Backends send responses of several hundred
--- a/httpagent/requests.go
+++ b/httpagent/requests.go
@@ -79,8 +79,7 @@
 	_ = http.NewResponseController(w).SetReadDeadline(deadline)
 }
 
-// fullWaitFraction is the fraction of its timeout, 1/10, below which a client counts as having waited until its
-// deadline.
+// A client that disconnects with less than 1/fullWaitFraction of its timeout left counts as having waited for all of it.
 const fullWaitFraction = 10
 
 // respond writes the final answer of a transaction.
