--- a/internal/testbed/cluster/attempt.go
+++ b/internal/testbed/cluster/attempt.go
@@ -15,8 +15,8 @@
 const (
 	// minRetryAfter is the shortest pause before a retry.
 	minRetryAfter = 20 * time.Millisecond
-	// deadlineMargin is how long before its deadline an operation counts as over: a response that was broken off then
-	// may have been broken off by the deadline.
+	// deadlineMargin is how long before its deadline an operation counts as expired: the deadline itself may have
+	// interrupted a response that ends after this point.
 	deadlineMargin = 100 * time.Millisecond
 )
 
@@ -25,11 +25,11 @@
 	id      string
 	service string
 	kind    requestKind
-	proxy   string // its address
+	proxy   string // address
 }
 
-// send sends the request, and records its outcome in the ledger. It reports whether another attempt may follow, and
-// after which pause. The context must have a deadline.
+// send sends the request and records its outcome in the ledger. It reports whether the client may retry, and after
+// which pause. The context must have a deadline.
 func (a *attempt) send(
 	ctx context.Context, httpClient *http.Client, ledger *Ledger,
 ) (retry bool, retryAfter time.Duration) {
@@ -40,12 +40,12 @@
 	if err != nil {
 		return false, 0
 	}
-	request.GetBody = nil // net/http must not send the request a second time by itself
+	request.GetBody = nil // without GetBody net/http cannot resend the request
 	setHeaders(request, a.service, a.id, max(time.Millisecond, time.Until(deadline)))
 	response, err := httpClient.Do(request)
 	inTime := time.Until(deadline) > deadlineMargin
 	if err != nil {
-		return a.failed(err, inTime, ledger), minRetryAfter
+		return a.recordError(err, inTime, ledger), minRetryAfter
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
@@ -63,9 +63,9 @@
 	return !a.kind.nonIdempotent || notExecuted, max(retryAfter, minRetryAfter)
 }
 
-// failed records that there was no response. A request whose connection was refused was never sent, and counts as
-// rejected.
-func (a *attempt) failed(err error, inTime bool, ledger *Ledger) (retry bool) {
+// recordError records an attempt without a response, and reports whether the client may retry. An attempt that failed
+// to connect was never sent, and counts as refused.
+func (a *attempt) recordError(err error, inTime bool, ledger *Ledger) (retry bool) {
 	if opErr, ok := errors.Into[*net.OpError](err); ok && opErr.Op == "dial" {
 		ledger.AttemptEnded(a.id, http.StatusServiceUnavailable, true, true, inTime)
 		return true
@@ -74,7 +74,7 @@
 	return !a.kind.nonIdempotent
 }
 
-// setHeaders addresses a request to a service, and sets the headers of the protocol.
+// setHeaders sets the host of a service and the headers of the protocol on a request.
 func setHeaders(request *http.Request, service, attemptID string, timeLeft time.Duration) {
 	request.Host = serviceHost(service)
 	request.Header.Set(headerAttemptID, attemptID)
--- a/internal/testbed/cluster/backend.go
+++ b/internal/testbed/cluster/backend.go
@@ -16,17 +16,17 @@
 	"sagelever/internal/control/calls"
 )
 
-// Fault is what a backend or the cluster does wrong on purpose, so that the ledger is seen to find it.
+// Fault is a fault that a backend or the cluster injects, so that tests can check that the ledger detects it.
 type Fault string
 
-// The faults. Those of a backend affect one request in twenty.
+// The faults. Those of a backend affect a share of faultProbability of its requests.
 const (
-	FaultSkipRun      Fault = "forgets" // a backend answers without having run the request
-	FaultRunTwice     Fault = "doubles" // a backend runs a request twice
-	FaultAbortRun     Fault = "breaks"  // a backend closes the connection of a run, as if a proxy had done so
+	FaultSkipRun      Fault = "forgets" // a backend responds without executing the request
+	FaultRunTwice     Fault = "doubles" // a backend executes a request twice
+	FaultAbortRun     Fault = "breaks"  // a backend closes the connection during an execution, as if a proxy had closed it
 	FaultStrayRequest Fault = "strays"  // a request is sent to each backend that shuts down
 
-	faultProbability = 0.05
+	faultProbability = 0.05 // one request in twenty
 )
 
 // The headers of the protocol between proxies and backends.
@@ -41,11 +41,12 @@
 )
 
 const (
-	slotsPerBackend   = 3  // requests that a backend works on at once
-	queuePerBackend   = 12 // requests that wait there
+	slotsPerBackend   = 3  // requests that a backend executes concurrently
+	queuePerBackend   = 12 // requests that wait for a slot of a backend
 	backendIdleTime   = 10 * time.Second
-	warmUpSlowdown    = 2 // of a run while the backend warms up
+	warmUpSlowdown    = 2 // factor of the execution time while the backend warms up
 	controllerTimeout = time.Second
+	drainAckTimeout   = 5 * time.Second // for a controller to acknowledge that a backend drains
 )
 
 // Backend is one incarnation of a backend that speaks the protocol.
@@ -56,10 +57,10 @@
 	cluster       *Cluster
 	meanWork      time.Duration
 	slots         chan struct{}
-	queue         chan struct{} // of requests that wait or run
+	queue         chan struct{} // requests that wait or are executed
 	server        *http.Server
 	controlClient *http.Client
-	runStarted    chan struct{} // gets a value when a run begins, unless it holds one
+	runStarted    chan struct{} // receives a value when an execution begins, unless the buffer is full
 	cancel        context.CancelFunc
 
 	mu           sync.Mutex
@@ -67,16 +68,16 @@
 	draining     bool
 	warmingUntil time.Time
 	heartbeats   int64
-	controller   string        // the address that answered last
-	fixedWork    time.Duration // of every run from now on; 0: as drawn
+	controller   string        // address of the controller that responded last
+	fixedWork    time.Duration // execution time of each request; 0: drawn at random
 }
 
-// StartBackend starts an incarnation of a backend: it serves, and sends heartbeats.
+// StartBackend starts an incarnation of a backend, which serves requests and sends heartbeats.
 func (c *Cluster) StartBackend(service, zone, build string, warmUp time.Duration) (*Backend, error) {
 	return c.StartBackendAt(fmt.Sprint(c.subnet, backendHost, ":0"), service, zone, build, warmUp)
 }
 
-// StartBackendAt starts an incarnation of a backend at an address, where another one may have been before.
+// StartBackendAt starts an incarnation of a backend at an address, which an earlier backend may have used.
 func (c *Cluster) StartBackendAt(address, service, zone, build string, warmUp time.Duration) (*Backend, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return backend, nil
 }
 
-// serve serves until the backend shuts down or is killed.
+// serve accepts requests until the backend shuts down or is killed.
 func (b *Backend) serve(listener net.Listener) {
 	if err := b.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		b.cluster.failures <- errors.Wrap(err, b.ID)
@@ -135,7 +136,7 @@
 	return b.draining
 }
 
-// ServeHTTP answers health checks and runs requests.
+// ServeHTTP responds to health checks and executes requests.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	draining := b.draining
@@ -188,13 +189,13 @@
 	}
 }
 
-// decline answers with a status and the promise that the request was not and will not be executed.
+// decline responds with a status and the header that guarantees that the request was not and will not be executed.
 func decline(w http.ResponseWriter, status int) {
 	w.Header().Set(headerNotExecuted, "1")
 	w.WriteHeader(status)
 }
 
-// run executes a request that has a slot, and answers it. expired fires when the client's time is over.
+// run executes a request that holds a slot and sends the response. expired fires at the client's deadline.
 func (b *Backend) run(w http.ResponseWriter, r *http.Request, body []byte, warmingUp bool, expired *time.Timer) {
 	ledger := b.cluster.Ledger
 	attempt := r.Header.Get(headerAttemptID)
@@ -229,7 +230,7 @@
 	b.writeResponse(w, attempt, body)
 }
 
-// drawWork returns how long a run takes.
+// drawWork returns how long an execution takes: half to one and a half times the mean, unless it is fixed.
 func (b *Backend) drawWork(warmingUp bool) time.Duration {
 	work := time.Duration((0.5 + b.random()) * float64(b.meanWork))
 	if warmingUp {
@@ -243,7 +244,7 @@
 	return work
 }
 
-// drawFault returns the cluster's fault if it affects this run, and "" otherwise.
+// drawFault returns the cluster's fault if it affects this execution, and "" otherwise.
 func (b *Backend) drawFault() Fault {
 	fault := b.cluster.options.Fault
 	if fault != "" && b.random() < faultProbability {
@@ -255,26 +256,27 @@
 func (b *Backend) writeResponse(w http.ResponseWriter, attempt string, body []byte) {
 	w.Header().Set(headerAttemptID, attempt)
 	w.Header().Set(headerBackendSeal, "seal-"+b.ID)
-	_, _ = io.WriteString(w, responseBody(attempt, len(body))) // the caller may be gone
+	_, _ = io.WriteString(w, responseBody(attempt, len(body))) // fails if the client has disconnected
 }
 
-// responseBody returns the body of the response to an attempt, from which the client sees that it is its own.
+// responseBody returns the body of the response to an attempt. Clients compare it to detect responses to other
+// requests.
 func responseBody(attempt string, requestBytes int) string {
 	return fmt.Sprintf("%s of %d bytes", attempt, requestBytes)
 }
 
-// ErrNotAcknowledged is the error of a backend whose drain no controller has acknowledged in time.
+// ErrNotAcknowledged is returned if no controller acknowledged the drain of a backend within drainAckTimeout.
 var ErrNotAcknowledged = errors.New("no controller acknowledged that it drains")
 
-// Shutdown ends the backend gracefully: it announces that it drains, goes on serving for a while after a controller has
-// acknowledged that, signs off and stops. method names the way of removal in the ledger.
+// Shutdown stops the backend gracefully: it announces that it drains, continues to serve for the drain time after a
+// controller has acknowledged that, deregisters and stops. method is the method of removal in the ledger.
 func (b *Backend) Shutdown(method string) error {
 	b.mu.Lock()
 	b.draining = true
 	b.mu.Unlock()
-	giveUpAt := time.Now().Add(5 * time.Second)
+	deadline := time.Now().Add(drainAckTimeout)
 	for !b.sendHeartbeat() {
-		if time.Now().After(giveUpAt) {
+		if time.Now().After(deadline) {
 			return errors.Wrap(ErrNotAcknowledged, b.ID)
 		}
 	}
@@ -285,31 +287,31 @@
 	b.callController(calls.SignOff, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
-	_ = b.server.Shutdown(ctx) // runs in flight come to their end; Kill cuts off what is left after the timeout
+	_ = b.server.Shutdown(ctx) // waits for requests in flight; Kill aborts those that remain after the timeout
 	b.Kill()
 	return nil
 }
 
-// Kill ends the backend at once, without announcing it.
+// Kill stops the backend immediately, without a drain or deregistration.
 func (b *Backend) Kill() {
 	b.cancel()
-	_ = b.server.Close() // it reports errors of the listener, which nobody needs any more
+	_ = b.server.Close() // errors of closing the listener have no effect here
 	b.cluster.mu.Lock()
 	delete(b.cluster.backends, b.ID)
 	b.cluster.mu.Unlock()
 }
 
-// SetWork has all runs that begin from now on take the same time.
+// SetWork sets the execution time of all requests that start after the call.
 func (b *Backend) SetWork(work time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fixedWork = work
 }
 
-// RunStarted returns a channel that gets a value when a run begins.
+// RunStarted returns a channel that receives a value when an execution begins.
 func (b *Backend) RunStarted() <-chan struct{} { return b.runStarted }
 
-// SetWarmUp has the backend warm up for a while, as after a restart.
+// SetWarmUp makes the backend warm up for a duration, as after a restart.
 func (b *Backend) SetWarmUp(duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testbed/cluster/clients.go
+++ b/internal/testbed/cluster/clients.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// clientTimeout is how long a client waits for an operation, all its attempts together.
+	// clientTimeout is the deadline of an operation, including all its attempts.
 	clientTimeout = 3 * time.Second
-	// maxAttempts is how often a client tries an operation.
+	// maxAttempts is the maximum number of attempts of an operation, including the first.
 	maxAttempts = 4
-	// lookupTTL is for how long a client uses the addresses of proxies that it has looked up.
+	// lookupTTL is how long a client caches the proxy addresses of a lookup.
 	lookupTTL     = time.Second
 	lookupTimeout = time.Second
-	// clientsStream selects the clients' stream of random numbers; backends use their numbers.
+	// clientsStream selects the random number stream of the clients; each backend uses its number as its stream.
 	clientsStream = 77
-	// changesOfTen is how many of ten requests are changes.
-	changesOfTen       = 4
+	// changesPerTen is how many of ten requests are changes.
+	changesPerTen      = 4
 	maxIdleConnections = 256
 )
 
-// requestKind is a kind of request that clients send; each has a route.
+// requestKind is a kind of request that clients send. Each kind has a route for each service.
 type requestKind struct {
 	name          string
 	path          string // followed by the attempt's ID
@@ -48,12 +48,12 @@
 	}
 )
 
-// Clients begin operations at random moments until they are stopped.
+// Clients start operations at random times until they are stopped.
 type Clients struct {
 	cluster    *Cluster
-	rng        *rand.Rand   // of the generator alone
-	keepAlive  *http.Client // whose connections are kept
-	perRequest *http.Client // with a connection for each request
+	rng        *rand.Rand   // used only by generate
+	keepAlive  *http.Client // reuses connections
+	perRequest *http.Client // opens a connection for each request
 	running    sync.WaitGroup
 	cancel     context.CancelFunc
 
@@ -61,13 +61,13 @@
 	lookups map[string]*lookup // by zone
 }
 
-// lookup is what the directory said of a zone.
+// lookup is a cached response of the directory for a zone.
 type lookup struct {
 	addresses []string
 	fetchedAt time.Time
 }
 
-// StartClients starts clients, which ask for a share of the capacity that all backends have together.
+// StartClients starts clients whose request rate uses a share, load, of the total capacity of all backends.
 func (c *Cluster) StartClients(load float64) *Clients {
 	ctx, cancel := context.WithCancel(context.Background())
 	clients := &Clients{
@@ -85,7 +85,7 @@
 	return clients
 }
 
-// generate begins operations as a Poisson process, with a rate a second, until the context ends.
+// generate starts operations as a Poisson process with the given rate per second until the context ends.
 func (c *Clients) generate(ctx context.Context, rate float64) {
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -96,7 +96,7 @@
 		}
 		service := Services[c.rng.IntN(len(Services))]
 		kind := changeRequest
-		if c.rng.IntN(10) >= changesOfTen {
+		if c.rng.IntN(10) >= changesPerTen {
 			kind = readRequest
 		}
 		zone := zoneNames[c.rng.IntN(len(zoneNames))]
@@ -105,14 +105,14 @@
 	}
 }
 
-// Stop ends the clients, and waits for the operations that they have begun.
+// Stop stops the clients and waits for the operations that they have started.
 func (c *Clients) Stop() {
 	c.cancel()
 	c.running.Wait()
 	c.keepAlive.CloseIdleConnections()
 }
 
-// runOperation begins an operation and retries it as the protocol allows, within its deadline.
+// runOperation executes an operation and retries it as the protocol allows within its deadline.
 func (c *Clients) runOperation(service string, kind requestKind, zone string, keepAlive bool) {
 	startedAt := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(clientTimeout))
@@ -123,7 +123,7 @@
 	httpClient := c.keepAlive
 	for n := range maxAttempts {
 		proxy := c.pickProxy(zone, failed)
-		if n > 0 || !keepAlive { // a retry goes on a new connection
+		if n > 0 || !keepAlive { // retries use a new connection
 			httpClient = c.perRequest
 		}
 		current := attempt{id: fmt.Sprint(id, "-", n), service: service, kind: kind, proxy: proxy}
@@ -138,8 +138,8 @@
 	ledger.OperationEnded(id, time.Now())
 }
 
-// pickProxy draws the address of a proxy from what the directory says, other than those that have failed; "" where none
-// is known.
+// pickProxy returns the address of a random proxy that the directory lists, preferring proxies that have not failed. It
+// returns "" if no proxy is known.
 func (c *Clients) pickProxy(zone string, failed map[string]bool) string {
 	c.mu.Lock()
 	found := c.lookups[zone]
@@ -167,7 +167,7 @@
 	return untried[rand.IntN(len(untried))]
 }
 
-// lookUpProxies asks the directory of the zone's controller, and then the others.
+// lookUpProxies queries the directory of the zone's controller, and those of the other controllers if it fails.
 func (c *Clients) lookUpProxies(zone string) []string {
 	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// SendOnce sends one POST request and returns the status of its response; 0 where there was none.
+// SendOnce sends one POST request and returns the status of its response, or 0 if there was none.
 func (c *Cluster) SendOnce(service, path string, timeout time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -2,7 +2,7 @@
 // protocol, clients and an operator, with network delays between the zones.
 //
 // A Ledger records what backends executed and what clients received, and is checked at the end: no request may be lost,
-// executed twice, sent to a backend too late after its removal, or cut off.
+// executed twice, sent to a backend too late after its removal, or aborted.
 package cluster
 
 import (
@@ -25,36 +25,36 @@
 	"sagelever/internal/settings"
 )
 
-// Options are the parameters of a cluster.
+// Options configure a cluster.
 type Options struct {
 	Proxies           int // spread over the zones
 	Backends          int // half of each service, spread over the zones
 	Seed              uint64
-	Load              float64       // as a share of the capacity that all backends have
-	MeanWork          time.Duration // for which a request runs
-	DrainTime         time.Duration // for which a backend goes on serving after it has said that it drains
+	Load              float64       // as a share of the total capacity of all backends
+	MeanWork          time.Duration // mean execution time of a request
+	DrainTime         time.Duration // for which a backend still serves after its drain was acknowledged
 	HeartbeatInterval time.Duration
-	WarmUp            time.Duration // of a backend that starts
-	ShutdownGrace     time.Duration // in which a process has to end
-	ArrivalBound      time.Duration // after a removal is acknowledged, within which new requests may still arrive
+	WarmUp            time.Duration // warm-up time of a backend that starts
+	ShutdownGrace     time.Duration // within which a process must exit after SIGTERM
+	ArrivalBound      time.Duration // how long new requests may still arrive after a removal is acknowledged
 	Fault             Fault         // to inject; empty: none
 	Dir               string        // for the controllers' state, and the files of processes
 	Logger            *zap.Logger
-	// Binary is the load balancer's program. If it is set, each node is a process of its own, which logs to a file and is
-	// connected to the others without delay; else the nodes run in this process.
+	// Binary is the path of the load balancer's program. If it is set, each node runs as a separate process, which logs
+	// to a file and has no added network delay; otherwise the nodes run in this process.
 	Binary string
 }
 
-// The zones of a cluster: three regions of two.
+// The zones of a cluster: three regions with two zones each.
 var (
 	zoneNames    = []string{"a1", "b1", "c1", "a2", "b2", "c2"}
 	regionByZone = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 )
 
-// Services are the services of a cluster.
+// Services lists the services of a cluster.
 var Services = []string{"flags", "filings"}
 
-// The ports of a node. Each node has an address of its own.
+// The ports of a node. They are the same for all nodes, since each node has its own IP address.
 const (
 	peerPort      = 21300
 	lastSparePort = 21301
@@ -67,11 +67,11 @@
 const (
 	firstNodeHost   = 2   // the last byte of the first node's address
 	backendHost     = 202 // the last byte of the backends' address
-	maxFailures     = 64  // that are kept
+	maxFailures     = 64  // capacity of Cluster.failures
 	readinessPeriod = 20 * time.Millisecond
 )
 
-// clusterCount counts the clusters of this process: each has loopback addresses of its own.
+// clusterCount is the number of clusters of this process. Each uses its own loopback addresses.
 var clusterCount atomic.Uint32
 
 // Cluster is a running load balancer with its backends.
@@ -80,9 +80,9 @@
 
 	options    Options
 	subnet     string       // the first three bytes of all addresses, with a dot at the end
-	operations atomic.Int64 // that clients have begun
+	operations atomic.Int64 // number that clients have started
 	background sync.WaitGroup
-	failures   chan error // of nodes that ended by themselves
+	failures   chan error // errors of nodes that exited unexpectedly
 
 	mu              sync.Mutex
 	backendsStarted int
@@ -91,8 +91,8 @@
 	processes       map[string]*nodeProcess
 }
 
-// Start starts the controllers and the proxies; there are no backends yet. The caller must call Close, also where Start
-// returns an error with a cluster.
+// Start starts the controllers and the proxies, but no backends. The caller must close the cluster, also if Start
+// returns it along with an error.
 func Start(options Options) (*Cluster, error) {
 	c := &Cluster{
 		options:  options,
@@ -102,7 +102,8 @@
 
 		processes: map[string]*nodeProcess{},
 		failures:  make(chan error, maxFailures),
-		subnet:    fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 100+clusterCount.Add(1)%150),
+		// The process ID and the counter keep the addresses of concurrent clusters apart.
+		subnet: fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%250, 100+clusterCount.Add(1)%150),
 	}
 	for i, zone := range zoneNames {
 		if err := c.addNode(ControllerName(zone), c.controllerStarter(i, zone)); err != nil {
@@ -117,13 +118,13 @@
 	return c, nil
 }
 
-// ZoneNames returns the zones of a cluster. Each has a controller.
+// ZoneNames returns the zones of a cluster. Each zone has one controller.
 func ZoneNames() []string { return slices.Clone(zoneNames) }
 
-// ControllerName returns the name by which StopNode and its like know a zone's controller.
+// ControllerName returns the node name of a zone's controller, as used by StopNode and similar methods.
 func ControllerName(zone string) string { return "controller-" + zone }
 
-// ProxyName returns the name by which StopNode and its like know a proxy.
+// ProxyName returns the node name of a proxy, as used by StopNode and similar methods.
 func ProxyName(i int) string { return fmt.Sprint("proxy-", i) }
 
 func (c *Cluster) controllerStarter(i int, zone string) startFunc {
@@ -158,7 +159,7 @@
 	}
 }
 
-// ip returns the address of the node with an index.
+// ip returns the IP address of the node with an index.
 func (c *Cluster) ip(i int) string { return fmt.Sprint(c.subnet, firstNodeHost+i) }
 
 // controllerAddress returns the address of a zone's controller, and "" for an unknown zone.
@@ -174,10 +175,10 @@
 // ProxyAddress returns the address at which clients reach a proxy.
 func (c *Cluster) ProxyAddress(i int) string { return net.JoinHostPort(c.ip(i), listenerPort) }
 
-// ReadinessAddress returns the address of a proxy's readiness check and figures.
+// ReadinessAddress returns the address of a proxy's readiness check and metrics.
 func (c *Cluster) ReadinessAddress(i int) string { return net.JoinHostPort(c.ip(i), readinessPort) }
 
-// DirectoryAddresses returns the addresses at which the controllers tell clients where to go.
+// DirectoryAddresses returns the addresses at which the controllers serve the proxy directory to clients.
 func (c *Cluster) DirectoryAddresses() (addresses []string) {
 	for i := range zoneNames {
 		addresses = append(addresses, net.JoinHostPort(c.ip(i), directoryPort))
@@ -228,7 +229,7 @@
 	}
 }
 
-// dialer returns how a node of a zone connects to others: with the delay to their zone, which their address tells.
+// dialer returns the dial function of a node in a zone. It adds the network delay to the zone of the dialed address.
 func (c *Cluster) dialer(from string) rpc.DialFunc {
 	netDialer := &net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -249,7 +250,7 @@
 	}
 }
 
-// Close stops all nodes and backends, and waits for them.
+// Close stops all nodes and backends, and waits until they have stopped.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	var running []*node
@@ -273,7 +274,7 @@
 	c.background.Wait()
 }
 
-// Err returns the error of a node that ended by itself; nil while there is none.
+// Err returns the next error of a node that exited unexpectedly, or nil if there is none.
 func (c *Cluster) Err() error {
 	select {
 	case err := <-c.failures:
@@ -283,10 +284,10 @@
 	}
 }
 
-// Operator returns a client of the controllers.
+// Operator returns a client for the operators' API of the controllers.
 func (c *Cluster) Operator() *client.Client { return client.New(c.ControllerAddresses()) }
 
-// Backends returns the backends of a service that serve now.
+// Backends returns the backends of a service that are not draining.
 func (c *Cluster) Backends(service string) (backends []*Backend) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -298,7 +299,7 @@
 	return backends
 }
 
-// allBackends returns the backends of all services that serve now.
+// allBackends returns the backends of all services that are not draining.
 func (c *Cluster) allBackends() (backends []*Backend) {
 	for _, service := range Services {
 		backends = append(backends, c.Backends(service)...)
@@ -306,7 +307,7 @@
 	return backends
 }
 
-// pause waits for a while, or until the context ends.
+// pause waits for a duration or until the context ends.
 func pause(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -20,15 +20,15 @@
 		WarmUp:            300 * time.Millisecond,
 		ShutdownGrace:     1500 * time.Millisecond,
 		HeartbeatInterval: 400 * time.Millisecond,
-		// The design aims at 300 ms. The test allows more, since the machine may run other builds and tests at once.
+		// The design target is 300 ms. The test allows more because other builds and tests may run at the same time.
 		ArrivalBound: 700 * time.Millisecond,
 		Dir:          t.TempDir(),
 		Logger:       zap.NewNop(),
 	}
 }
 
-// Every backend leaves and returns once, in each way there is; then all backends of a service are replaced while a zone
-// is evacuated and the proxies and a controller are restarted. No guarantee is violated.
+// Each backend is removed and returns once, by one of the four methods in turn. Then all backends of a service are
+// replaced while a zone is evacuated and the proxies and a controller are restarted. No guarantee may be violated.
 func TestEveryBackendDrains(t *testing.T) {
 	t.Parallel()
 	result, err := RunDrain(context.Background(), smallOptions(t, 1), time.Second, true)
@@ -46,7 +46,7 @@
 	}
 }
 
-// The ledger finds each fault that is injected into a running cluster.
+// The ledger detects each fault that is injected into a running cluster.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	t.Parallel()
 	for fault, violation := range map[Fault]string{
--- a/internal/testbed/cluster/configure.go
+++ b/internal/testbed/cluster/configure.go
@@ -11,10 +11,10 @@
 	"sagelever/internal/control/calls"
 )
 
-// object is a JSON object of the controllers' interface.
+// object is a JSON object of the controllers' API.
 type object map[string]any
 
-// Configure creates the services and their routes, and waits until every proxy is ready.
+// Configure creates the services and their routes and waits until all proxies are ready.
 func (c *Cluster) Configure(ctx context.Context) error {
 	body, err := json.Marshal(object{"putItems": object{"items": c.configItems()}})
 	if err != nil {
@@ -62,7 +62,7 @@
 	return items
 }
 
-// SetBodyLimit sets how long the bodies of requests may be.
+// SetBodyLimit sets the maximum size of request bodies.
 func (c *Cluster) SetBodyLimit(ctx context.Context, bytes int) error {
 	limits := object{
 		"type":     "limits",
--- a/internal/testbed/cluster/delay.go
+++ b/internal/testbed/cluster/delay.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// sameRegionDelay and otherRegionDelay are how long a packet takes one way, as between the operators' machines.
+	// sameRegionDelay and otherRegionDelay are one-way network delays, as between the machines of a deployment.
 	sameRegionDelay  = 1400 * time.Microsecond
 	otherRegionDelay = 35 * time.Millisecond
-	// maxInTransit is how many writes may be in transit each way; a writer of more waits.
+	// maxInTransit is how many packets may be in transit in each direction; further writes block.
 	maxInTransit   = 256
 	readBufferSize = 16 << 10
 )
 
-// delayedConn is a connection on which data takes a while each way.
+// delayedConn is a connection that delays data in both directions.
 type delayedConn struct {
 	net.Conn
 	delay     time.Duration
 	outgoing  chan packet
 	incoming  chan packet
-	unread    []byte // of the last packet
-	readErr   error  // that came with it
+	unread    []byte // rest of the last packet
+	readErr   error  // error of the last packet
 	closeOnce sync.Once
 	closing   chan struct{}
 }
 
-// packet is a piece of data in transit, or the error that ends the stream.
+// packet is data in transit, with the error that ends the stream if there is one.
 type packet struct {
 	data      []byte
 	deliverAt time.Time
 	err       error
 }
 
-// WithDelay returns a connection on which everything takes delay each way. Its goroutines end soon after Close.
+// WithDelay wraps a connection and delays data by delay in each direction. Its goroutines end shortly after Close.
 func WithDelay(conn net.Conn, delay time.Duration) net.Conn {
 	delayed := &delayedConn{
 		Conn:     conn,
@@ -51,9 +51,9 @@
 func (c *delayedConn) deliverOutgoing() {
 	for {
 		select {
-		case segment := <-c.outgoing:
-			time.Sleep(time.Until(segment.deliverAt))
-			if _, err := c.Conn.Write(segment.data); err != nil {
+		case next := <-c.outgoing:
+			time.Sleep(time.Until(next.deliverAt))
+			if _, err := c.Conn.Write(next.data); err != nil {
 				return
 			}
 		case <-c.closing:
@@ -77,28 +77,28 @@
 	}
 }
 
-// Write queues data; it returns before the data is delivered.
+// Write queues data for delivery. It returns before the data is sent.
 func (c *delayedConn) Write(data []byte) (int, error) {
-	segment := packet{data: append([]byte(nil), data...), deliverAt: time.Now().Add(c.delay)}
+	next := packet{data: append([]byte(nil), data...), deliverAt: time.Now().Add(c.delay)}
 	select {
-	case c.outgoing <- segment:
+	case c.outgoing <- next:
 		return len(data), nil
 	case <-c.closing:
 		return 0, net.ErrClosed
 	}
 }
 
-// Read returns data that has arrived, and the peer's end of the stream after all of it.
+// Read returns data that has arrived. It returns the error that ended the stream only after all data.
 func (c *delayedConn) Read(buffer []byte) (int, error) {
 	if len(c.unread) == 0 {
 		if c.readErr != nil {
 			return 0, c.readErr
 		}
 		select {
-		case segment := <-c.incoming:
-			time.Sleep(time.Until(segment.deliverAt))
-			c.unread = segment.data
-			c.readErr = segment.err
+		case next := <-c.incoming:
+			time.Sleep(time.Until(next.deliverAt))
+			c.unread = next.data
+			c.readErr = next.err
 		case <-c.closing:
 			return 0, net.ErrClosed
 		}
@@ -117,7 +117,7 @@
 	return c.Conn.Close()
 }
 
-// zoneDelay returns how long a packet takes from one zone to another.
+// zoneDelay returns the one-way network delay between two zones.
 func zoneDelay(regions map[string]string, from, to string) time.Duration {
 	switch {
 	case from == to:
--- a/internal/testbed/cluster/delay_test.go
+++ b/internal/testbed/cluster/delay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A delayed connection takes its time both ways, keeps the order and delivers the end of the stream.
+// WithDelay delays data in both directions, keeps its order and delivers the end of the stream.
 func TestWithDelay(t *testing.T) {
 	near, far := net.Pipe()
 	echoed := make(chan error, 1)
--- a/internal/testbed/cluster/drain.go
+++ b/internal/testbed/cluster/drain.go
@@ -10,23 +10,23 @@
 
 const (
 	configureTimeout = 20 * time.Second
-	// settleTime is how long clients run before the figures count: until proxies know how long responses take.
+	// settleTime is how long clients run before measurements start, so that proxies have collected response times.
 	settleTime = 2 * time.Second
-	// progressInterval is the pause between two looks at a drain's progress.
+	// progressInterval is how often the progress of a drain is polled.
 	progressInterval = 50 * time.Millisecond
 )
 
-// Result holds the figures of RunDrain.
+// Result is the result of RunDrain.
 type Result struct {
-	Baseline           Summary       // while nothing was removed
-	Drained            Summary       // while each backend was removed once
-	Stress             Summary       // empty unless the stress phase was run
-	RefusedForCapacity int           // drains that were refused at first, as too little capacity would have been left
-	LongestDrain       time.Duration // of an operator, until nothing was in flight at the backend
+	Baseline           Summary       // without removals
+	Drained            Summary       // while each backend is removed once
+	Stress             Summary       // empty if the stress phase is skipped
+	RefusedForCapacity int           // drains that were refused without force because too little capacity would remain
+	LongestDrain       time.Duration // longest drain by an operator, until no request was in flight at the backend
 	Duration           time.Duration
 }
 
-// Check returns an error where a phase violated a guarantee.
+// Check returns an error if a phase violated a guarantee.
 func (r Result) Check() error {
 	if err := r.Baseline.Check(); err != nil {
 		return errors.Wrap(err, "undisturbed")
@@ -35,7 +35,7 @@
 		return errors.Wrap(err, "drained")
 	}
 	if r.Stress.Requests == 0 {
-		return nil // it was left out
+		return nil // the stress phase was skipped
 	}
 	if err := r.Stress.Check(); err != nil {
 		return errors.Wrap(err, "storm")
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// String returns the figures of all phases.
+// String returns the report of all phases.
 func (r Result) String() string {
 	text := fmt.Sprintf("undisturbed: %v%s", r.Baseline, r.Baseline.CompareKinds(r.Baseline))
 	text += fmt.Sprintf("\ndrained: %v%s", r.Drained, r.Drained.CompareKinds(r.Baseline))
@@ -55,9 +55,10 @@
 	return text + fmt.Sprintf("\ntook %v", r.Duration.Round(time.Second))
 }
 
-// RunDrain starts a cluster and has every backend leave and return once under load, one after the other, by each of the
-// ways there are. baseline is how long clients run undisturbed before that. With stress, all backends of a service are
-// replaced then while a zone is evacuated, the proxies are restarted one by one, and a controller is.
+// RunDrain starts a cluster under load, then removes and returns its backends one after the other, each by one of the
+// methods of removal in turn. baseline is how long clients run before the first removal. With stress, it then replaces
+// all backends of a service while a zone is evacuated, the proxies are restarted one by one and a controller is
+// restarted.
 func RunDrain(ctx context.Context, options Options, baseline time.Duration, stress bool) (result Result, err error) {
 	startedAt := time.Now()
 	defer func() { result.Duration = time.Since(startedAt) }()
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// drainEachBackend measures the baseline, and then has each backend leave and return.
+// drainEachBackend measures the baseline, and then removes and returns each backend.
 func (c *Cluster) drainEachBackend(ctx context.Context, baseline time.Duration, result *Result) error {
 	clients := c.StartClients(c.options.Load)
 	defer clients.Stop()
--- a/internal/testbed/cluster/heartbeat.go
+++ b/internal/testbed/cluster/heartbeat.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// sendHeartbeat reports the backend's phase, and whether a controller has acknowledged it.
+// sendHeartbeat sends the state of the backend to a controller, and reports whether a controller acknowledged it.
 func (b *Backend) sendHeartbeat() (acknowledged bool) {
 	b.mu.Lock()
 	b.heartbeats++
@@ -44,11 +44,11 @@
 		heartbeat.Phase = replication.PhaseDraining
 	}
 	b.mu.Unlock()
-	body, _ := easyjson.Marshal(&heartbeat) // strings and numbers only: it cannot fail
+	body, _ := easyjson.Marshal(&heartbeat) // cannot fail: strings and numbers only
 	return b.callController(calls.Heartbeat, body)
 }
 
-// callController calls the controller that answered last, and then the others until one acknowledges the call.
+// callController calls the controller that responded last, and then the others until one acknowledges the call.
 func (b *Backend) callController(call calls.Name, body []byte) (acknowledged bool) {
 	b.mu.Lock()
 	preferred := b.controller
--- a/internal/testbed/cluster/ledger.go
+++ b/internal/testbed/cluster/ledger.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// Ledger records what happened, as backends and clients saw it. It knows nothing of what the load balancer thinks. It
-// is safe for concurrent use.
+// Ledger records events as backends and clients observe them, independently of the state of the load balancer. It is
+// safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	operations map[string]*operation
-	attempts   map[string]*operation // by the attempt's ID
-	removals   map[string]*removal   // by backend
+	attempts   map[string]*operation // by attempt ID
+	removals   map[string]*removal   // by backend ID
 }
 
-// operation is what a client wants done once: all its attempts together.
+// operation is a request of a client with all its attempts.
 type operation struct {
 	kind                string
 	nonIdempotent       bool
 	startedAt           time.Time
 	endedAt             time.Time
 	completedRuns       int
-	abortedRuns         int           // begun, and ended by a connection that closed before the client's time was over
-	work                time.Duration // of the last completed run
+	abortedRuns         int           // aborted by a closed connection before the client's deadline
+	work                time.Duration // execution time of the last completed run
 	outcome             outcome       // of the last attempt
-	incompleteResponses int           // attempts that ended without a complete response while there was time
-	mismatchedResponses int           // responses that were another request's
+	incompleteResponses int           // attempts without a complete response before the deadline
+	mismatchedResponses int           // responses that belonged to another request
 }
 
-// outcome is what the last response said to the client.
+// outcome is the result of the last attempt as the client saw it.
 type outcome uint8
 
 const (
 	outcomeUnknown outcome = iota
 	outcomeSucceeded
-	outcomeRefused // with the promise that the request was not executed
+	outcomeRefused // with the guarantee that the request was not executed
 	outcomeFailed
 )
 
-// removal is one removal of a backend.
+// removal is one removal of a backend from service.
 type removal struct {
 	method         string
 	acknowledgedAt time.Time
 	lastArrival    time.Time // of a new request
-	lateArrivals   int       // new requests later than the bound
+	lateArrivals   int       // new requests that arrived after the bound
 }
 
 // NewLedger returns an empty ledger.
@@ -57,7 +57,7 @@
 	}
 }
 
-// AttemptStarted records that a client makes an attempt for an operation. The first one starts the operation.
+// AttemptStarted records the start of an attempt. The first attempt of an operation creates the operation.
 func (l *Ledger) AttemptStarted(id, attempt, kind string, nonIdempotent bool, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,8 +69,8 @@
 	l.attempts[attempt] = op
 }
 
-// RequestArrived records that a backend has a request that is meant for it. bound is how long after its removal that
-// may happen.
+// RequestArrived records that a request arrived at its target backend. bound is how long after the removal of a backend
+// new requests may arrive.
 func (l *Ledger) RequestArrived(backend string, at time.Time, bound time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// RunCompleted records that a backend has executed an attempt, and for how long.
+// RunCompleted records that a backend has executed an attempt, and the execution time.
 func (l *Ledger) RunCompleted(attempt string, work time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Runs returns how often the operation of an attempt was executed, and how often its execution was broken off.
+// Runs returns how often the operation of an attempt was executed, and how often its execution was aborted.
 func (l *Ledger) Runs(attempt string) (completed, aborted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +104,7 @@
 	return 0, 0
 }
 
-// RunAborted records that the execution of an attempt was broken off before its client's time was over.
+// RunAborted records that the execution of an attempt was aborted before the client's deadline.
 func (l *Ledger) RunAborted(attempt string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,8 +113,8 @@
 	}
 }
 
-// AttemptEnded records how an attempt ended for its client: whether the response was complete, whether it was this
-// attempt's, and whether there was time left for it.
+// AttemptEnded records the end of an attempt at the client: the status, whether the response was complete, whether it
+// belonged to this attempt, and whether the attempt ended before the deadline.
 func (l *Ledger) AttemptEnded(attempt string, status int, complete, matches, inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,21 +136,22 @@
 	}
 }
 
-// OperationEnded records that a client has given an operation up, or has its response.
+// OperationEnded records that a client has received its response or has given up.
 func (l *Ledger) OperationEnded(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.operations[id].endedAt = at
 }
 
-// RemovalAcknowledged records that the removal of a backend, by some method, was acknowledged.
+// RemovalAcknowledged records that a controller acknowledged the removal of a backend.
 func (l *Ledger) RemovalAcknowledged(backend, method string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removals[backend] = &removal{method: method, acknowledgedAt: at}
 }
 
-// BackendReturned records that a removed backend may have new requests again. Its removal is kept under another key.
+// BackendReturned records that a removed backend may receive new requests again. The record of its removal is kept
+// under another key.
 func (l *Ledger) BackendReturned(backend string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/cluster/node.go
+++ b/internal/testbed/cluster/node.go
@@ -9,14 +9,14 @@
 // runFunc runs a node until its context ends.
 type runFunc func(context.Context) error
 
-// startFunc creates a node anew, as the start of its process does.
+// startFunc creates a node, as a start of its process does.
 type startFunc func() (runFunc, error)
 
 // node is a proxy or a controller.
 type node struct {
 	start  startFunc
-	cancel context.CancelFunc // nil until it has been started
-	done   chan struct{}      // closed when it has ended
+	cancel context.CancelFunc // nil until the first start
+	done   chan struct{}      // closed when the node has stopped
 }
 
 func (c *Cluster) addNode(name string, start startFunc) error {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// NodeRunning reports whether a node has been started and has not ended.
+// NodeRunning reports whether a node has been started and has not stopped.
 func (c *Cluster) NodeRunning(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// StopNode stops a node gracefully, as a SIGTERM does, and waits for its end.
+// StopNode stops a node gracefully, as SIGTERM does, and waits until it has stopped.
 func (c *Cluster) StopNode(name string) {
 	c.mu.Lock()
 	cancel, done := c.nodes[name].cancel, c.nodes[name].done
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -17,26 +17,26 @@
 	"sagelever/internal/settings"
 )
 
-// endMargin is how long after its grace period a process that was told to end is waited for.
-const endMargin = 2 * time.Second
+// exitMargin is how long beyond its grace period a process may take to exit after SIGTERM.
+const exitMargin = 2 * time.Second
 
-// signalableAfter is how long after its start a process handles signals for sure. Before, the system's default applies,
-// which ends it.
-const signalableAfter = 100 * time.Millisecond
+// signalHandlerDelay is how long after its start a process has installed its signal handlers. A signal that arrives
+// earlier has the default action, which terminates the process.
+const signalHandlerDelay = 100 * time.Millisecond
 
-// nodeProcess is a node that runs as a process of its own.
+// nodeProcess is a node that runs as a separate process.
 type nodeProcess struct {
 	cmd       *exec.Cmd
 	startedAt time.Time
 
 	mu     sync.Mutex
-	killed bool // its end is expected
+	killed bool // its exit is expected
 }
 
-// errEndedByItself is the error of a process that ended without having been told to.
-var errEndedByItself = errors.New("the process ended by itself")
+// errUnexpectedExit is the error of a process that exited without a request to stop.
+var errUnexpectedExit = errors.New("process exited unexpectedly")
 
-// processStarter returns how a node with a role of the load balancer's program is started as a process.
+// processStarter returns a startFunc that runs a role of the load balancer's program as a process.
 func (c *Cluster) processStarter(role string, config *settings.Settings) startFunc {
 	freshStart := true
 	return func() (runFunc, error) {
@@ -61,12 +61,13 @@
 		c.mu.Lock()
 		c.processes[nodeName(role, config)] = process
 		c.mu.Unlock()
-		return func(ctx context.Context) error { return process.run(ctx, c.options.ShutdownGrace+endMargin) }, nil
+		return func(ctx context.Context) error { return process.run(ctx, c.options.ShutdownGrace+exitMargin) }, nil
 	}
 }
 
-// spawner starts processes from one thread that lasts as long as this process does: the system ends them with it, also
-// where this process ends without a chance to do so itself.
+// spawner returns a channel of functions that a single locked OS thread executes. Pdeathsig is delivered when the
+// thread that started a child exits; this thread lives as long as the process, so that children end with the process
+// even if it is killed.
 var spawner = sync.OnceValue(func() chan<- func() {
 	starts := make(chan func())
 	go func() {
@@ -78,7 +79,7 @@
 	return starts
 })
 
-// spawn starts a process that ends with this one.
+// spawn starts a process that the kernel kills when this process ends.
 func spawn(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
@@ -92,11 +93,11 @@
 		return ControllerName(config.Zone)
 	}
 	index := 0
-	_, _ = fmt.Sscanf(config.Node, "edge-%d", &index) // the name that nodeSettings has been given
+	_, _ = fmt.Sscanf(config.Node, "edge-%d", &index) // name format of proxyStarter
 	return ProxyName(index)
 }
 
-// LogFile returns the file to which a node's process writes.
+// LogFile returns the path of the log file of a node's process.
 func (c *Cluster) LogFile(node, role string) string {
 	return filepath.Join(c.options.Dir, node+"-"+role+".log")
 }
@@ -130,46 +131,46 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// Limits of a process, as its settings tell them.
+// Resource limits in the settings of a process.
 const (
 	processMemoryMB  = 256
 	processOpenFiles = 4096
 )
 
-// run waits for the end of the process. When ctx ends it tells the process to end, and kills it if it takes longer than
-// grace, which is an error as well as an end that nobody has asked for.
+// run waits until the process exits. When ctx ends, run sends SIGTERM, and kills the process if it does not exit within
+// grace. It returns an error if the process had to be killed or exited unexpectedly.
 func (p *nodeProcess) run(ctx context.Context, grace time.Duration) error {
-	ended := make(chan error, 1)
-	go func() { ended <- p.cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- p.cmd.Wait() }()
 	select {
-	case err := <-ended:
-		return p.unexpectedEnd(err)
+	case err := <-exited:
+		return p.unexpectedExit(err)
 	case <-ctx.Done():
 	}
-	p.awaitSignalable()
-	_ = p.signal(syscall.SIGTERM) // it may have ended by itself, which Wait tells
-	_ = p.signal(syscall.SIGCONT)
+	p.awaitSignalHandlers()
+	_ = p.signal(syscall.SIGTERM) // fails if the process has exited, which Wait reports
+	_ = p.signal(syscall.SIGCONT) // a stopped process handles SIGTERM only after it is resumed
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil && !p.isKilled() {
 			return errors.Wrap(err, "after SIGTERM")
 		}
 		return nil
 	case <-time.After(grace):
 		p.kill()
-		return errors.Errorf("did not end within %v after SIGTERM: %v", grace, <-ended)
+		return errors.Errorf("process did not exit within %v after SIGTERM: %v", grace, <-exited)
 	}
 }
 
-// unexpectedEnd returns the error of a process that has ended, nil if it was killed on purpose.
-func (p *nodeProcess) unexpectedEnd(err error) error {
+// unexpectedExit returns the error of a process that has exited, or nil if it was killed deliberately.
+func (p *nodeProcess) unexpectedExit(err error) error {
 	switch {
 	case p.isKilled():
 		return nil
 	case err != nil:
-		return errors.Wrap(err, errEndedByItself.Error())
+		return errors.Wrap(err, errUnexpectedExit.Error())
 	}
-	return errEndedByItself
+	return errUnexpectedExit
 }
 
 func (p *nodeProcess) isKilled() bool {
@@ -182,32 +183,34 @@
 	p.mu.Lock()
 	p.killed = true
 	p.mu.Unlock()
-	_ = p.cmd.Process.Kill() // it may be gone already
+	_ = p.cmd.Process.Kill() // fails if the process has exited
 }
 
 func (p *nodeProcess) signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
 
-// process returns the process of a node; nil where the node runs in this process.
+// process returns the process of a node, or nil if the node runs in this process.
 func (c *Cluster) process(name string) *nodeProcess {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[name]
 }
 
-// awaitSignalable waits until the process handles signals.
-func (p *nodeProcess) awaitSignalable() { time.Sleep(time.Until(p.startedAt.Add(signalableAfter))) }
+// awaitSignalHandlers waits until the process handles signals.
+func (p *nodeProcess) awaitSignalHandlers() {
+	time.Sleep(time.Until(p.startedAt.Add(signalHandlerDelay)))
+}
 
-// Signal sends a signal to the process of a node, not earlier than the process handles signals.
+// Signal sends a signal to the process of a node, once the process handles signals.
 func (c *Cluster) Signal(name string, signal os.Signal) error {
 	process := c.process(name)
 	if process == nil {
-		return errors.Errorf("%s is no process", name)
+		return errors.Errorf("node %s does not run as a process", name)
 	}
-	process.awaitSignalable()
+	process.awaitSignalHandlers()
 	return process.signal(signal)
 }
 
-// KillNode ends the process of a node at once, and waits for its end.
+// KillNode kills the process of a node and waits until it has exited.
 func (c *Cluster) KillNode(name string) {
 	process := c.process(name)
 	if process == nil {
@@ -220,12 +223,12 @@
 	<-done
 }
 
-// WipeController removes what a controller that is not running has on its disk.
+// WipeController removes the data directory of a controller, which must not be running.
 func (c *Cluster) WipeController(zone string) error {
 	return os.RemoveAll(filepath.Join(c.options.Dir, "core-"+zone))
 }
 
-// ProcessIDs returns the processes of the nodes, by name.
+// ProcessIDs returns the process IDs of the nodes, by node name.
 func (c *Cluster) ProcessIDs() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/cluster/removal.go
+++ b/internal/testbed/cluster/removal.go
@@ -10,14 +10,14 @@
 	"sagelever/internal/control/client"
 )
 
-// The ways in which a backend leaves and returns. One that returns is a new incarnation that warms up, or itself.
+// The methods by which a backend is removed and returns, as a new incarnation that warms up or as itself.
 
-// shutDownThenReplace has the backend shut down, and starts another.
+// shutDownThenReplace shuts the backend down and then starts its replacement.
 func (c *Cluster) shutDownThenReplace(_ context.Context, backend *Backend, _ *Result) error {
 	return errors.Join(c.shutdownBackend(backend, "emptying"), c.startReplacement(backend))
 }
 
-// replaceThenShutDown starts another backend first.
+// replaceThenShutDown starts the replacement before it shuts the backend down.
 func (c *Cluster) replaceThenShutDown(ctx context.Context, backend *Backend, _ *Result) error {
 	if err := c.startReplacement(backend); err != nil {
 		return err
@@ -26,7 +26,7 @@
 	return c.shutdownBackend(backend, "replaced")
 }
 
-// drainThenKill has an operator drain the backend, and kills it once nothing is in flight there.
+// drainThenKill drains the backend as an operator, and kills it once no request is in flight there.
 func (c *Cluster) drainThenKill(ctx context.Context, backend *Backend, result *Result) error {
 	if err := c.drainByOperator(ctx, backend, result); err != nil {
 		return err
@@ -35,7 +35,7 @@
 	return errors.Join(c.startReplacement(backend), c.Operator().Undrain(ctx, backend.ID))
 }
 
-// drainThenWithdraw has an operator drain the backend, and withdraw the drain.
+// drainThenWithdraw drains the backend as an operator, and then withdraws the drain.
 func (c *Cluster) drainThenWithdraw(ctx context.Context, backend *Backend, result *Result) error {
 	if err := c.drainByOperator(ctx, backend, result); err != nil {
 		return err
@@ -54,16 +54,16 @@
 	return err
 }
 
-// shutdownBackend shuts a backend down, with the cluster's fault if there is one for this.
+// shutdownBackend shuts a backend down, and sends it a stray request if that fault is injected.
 func (c *Cluster) shutdownBackend(backend *Backend, method string) error {
 	if c.options.Fault == FaultStrayRequest {
-		time.AfterFunc(c.options.DrainTime/2+c.options.ArrivalBound, func() { sendStray(backend) })
+		time.AfterFunc(c.options.DrainTime/2+c.options.ArrivalBound, func() { sendStrayRequest(backend) })
 	}
 	return backend.Shutdown(method)
 }
 
-// sendStray sends a request to a backend that is being removed, as a proxy that does not know of the removal would.
-func sendStray(backend *Backend) {
+// sendStrayRequest sends a request to a backend that is being removed, as a proxy with outdated state would.
+func sendStrayRequest(backend *Backend) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+backend.Address+"/look/stray", http.NoBody)
 	if err != nil {
 		return
@@ -75,8 +75,8 @@
 	}
 }
 
-// drainByOperator drains a backend, by force where there is too little capacity, and waits until nothing is in flight
-// there.
+// drainByOperator drains a backend, with force if too little capacity would remain, and waits until no request is in
+// flight there.
 func (c *Cluster) drainByOperator(ctx context.Context, backend *Backend, result *Result) error {
 	operator := c.Operator()
 	startedAt := time.Now()
@@ -92,7 +92,7 @@
 	for {
 		list, err := operator.ListDrains(ctx, backend.ID)
 		if err != nil {
-			return errors.Wrap(err, "drains")
+			return errors.Wrap(err, "list drains")
 		}
 		if len(list) == 1 && list[0].Done {
 			result.LongestDrain = max(result.LongestDrain, time.Since(startedAt))
--- a/internal/testbed/cluster/stress.go
+++ b/internal/testbed/cluster/stress.go
@@ -9,12 +9,12 @@
 	"sagelever/internal/control/calls"
 )
 
-// stressLoad is the load of the stress phase, in which a zone is gone and backends are replaced besides.
+// stressLoad is the load of the stress phase, in which backends are replaced while one zone is evacuated.
 const stressLoad = 0.6
 
 const (
-	evacuateBefore = 1 // the index of the backend before whose replacement a zone is evacuated
-	restartBefore  = 2 // the index of the one before which a controller is restarted
+	evacuateBefore = 1 // index of the backend before whose replacement the evacuation begins
+	restartBefore  = 2 // index of the backend before whose replacement a controller is restarted
 )
 
 // measureStress runs the stress phase under load.
@@ -28,7 +28,7 @@
 }
 
 // runStress replaces all backends of a service one by one while a zone is evacuated and the proxies are restarted one
-// by one. A controller is restarted too, just after it may have acknowledged a removal.
+// by one. It also restarts a controller directly after a removal that this controller may have acknowledged.
 func (c *Cluster) runStress(ctx context.Context) error {
 	restarts := make(chan error, 1)
 	go func() { restarts <- c.restartProxies() }()
@@ -69,7 +69,7 @@
 
 func (c *Cluster) beginEvacuation(ctx context.Context, zone string) error {
 	if err := c.Operator().Call(ctx, calls.EvacuationBegin, zone, nil, nil); err != nil {
-		return errors.Wrap(err, "clear out")
+		return errors.Wrap(err, "begin evacuation")
 	}
 	for _, backend := range c.allBackends() {
 		if backend.Zone == zone {
@@ -87,7 +87,7 @@
 		}
 	}
 	if err := c.Operator().Call(ctx, calls.EvacuationEnd, zone, nil, nil); err != nil {
-		return errors.Wrap(err, "take back")
+		return errors.Wrap(err, "end evacuation")
 	}
 	return nil
 }
--- a/internal/testbed/cluster/summary.go
+++ b/internal/testbed/cluster/summary.go
@@ -9,30 +9,30 @@
 	"github.com/go-faster/errors"
 )
 
-// Summary is what a ledger says of a span of time.
+// Summary counts the operations and removals of a ledger within a time range.
 type Summary struct {
 	Requests, Served, Refused, Failed int
-	Lost                              int // reported as done, and never executed
-	Duplicated                        int // non-idempotent, and executed twice, or executed in spite of a refusal
-	Late                              int // arrivals at a removed backend, later than the bound after its removal
-	Aborted                           int // runs that were broken off
-	Incomplete                        int // attempts that ended without a complete response
-	Mismatched                        int // responses that were another request's
+	Lost                              int // reported as successful but never executed
+	Duplicated                        int // non-idempotent, and executed more than once or despite a refusal
+	Late                              int // requests that arrived at a removed backend after the bound
+	Aborted                           int // executions that were aborted
+	Incomplete                        int // attempts without a complete response
+	Mismatched                        int // responses that belonged to another request
 	Removals                          int
 	LastArrivalP50, LastArrivalMax    time.Duration            // from the removal to the last new request
-	LastArrivalByMethod               map[string]time.Duration // the maximum, by the method of removal
+	LastArrivalByMethod               map[string]time.Duration // maximum by method of removal
 	Kinds                             map[string]KindSummary
 }
 
-// KindSummary is what a ledger says of one kind of request.
+// KindSummary counts the operations of one kind of request.
 type KindSummary struct {
 	Requests, Served int
 	Violations       int           // lost, duplicated, aborted, incomplete and mismatched together
-	WaitP99          time.Duration // the 99th percentile of the latency beyond the work itself
+	WaitP99          time.Duration // 99th percentile of the latency minus the execution time
 }
 
-// Summarize sums up the operations and removals that began within a span of time; to is excluded, and zero means
-// without an end.
+// Summarize returns a summary of the operations and removals that began at or after from and before to. A zero to means
+// no upper limit.
 func (l *Ledger) Summarize(from, to time.Time) Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,7 @@
 	s.Kinds[op.kind] = kind
 }
 
-// duplicated reports whether a non-idempotent operation ran more often than it may.
+// duplicated reports whether a non-idempotent operation was executed more than once, or despite a refusal.
 func (o *operation) duplicated() bool {
 	if !o.nonIdempotent {
 		return false
@@ -113,7 +113,7 @@
 	return lastArrival
 }
 
-// quantile returns the value below which a share q of the values lies; it sorts them.
+// quantile returns the q-quantile of values. It sorts values in place.
 func quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
@@ -122,10 +122,10 @@
 	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
 
-// Check returns an error where a guarantee was violated or nothing was served.
+// Check returns an error if a guarantee was violated or no request was served.
 func (s Summary) Check() error {
 	if s.Served == 0 {
-		return errors.New("nothing was served")
+		return errors.New("no request was served")
 	}
 	if s.Lost+s.Duplicated+s.Late+s.Aborted+s.Incomplete+s.Mismatched > 0 {
 		return errors.New(s.violations())
@@ -138,7 +138,7 @@
 		s.Lost, s.Duplicated, s.Late, s.Aborted, s.Incomplete, s.Mismatched)
 }
 
-// String returns the figures over all kinds of requests.
+// String returns the figures of all kinds of requests together.
 func (s Summary) String() string {
 	text := fmt.Sprintf("requests=%d served=%d refused=%d failed=%d %s",
 		s.Requests, s.Served, s.Refused, s.Failed, s.violations())
@@ -153,8 +153,8 @@
 	return text
 }
 
-// CompareKinds returns the figures of each kind of request, and by how much the 99th percentile of the wait has grown
-// over a summary of before.
+// CompareKinds returns the figures of each kind of request, with the increase of the 99th percentile of the wait since
+// an earlier summary.
 func (s Summary) CompareKinds(before Summary) (text string) {
 	for _, name := range slices.Sorted(maps.Keys(s.Kinds)) {
 		kind := s.Kinds[name]
