--- a/cmd/loadtest/soak_system.go
+++ b/cmd/loadtest/soak_system.go
@@ -54,7 +54,7 @@
 			}
 			failed := false
 			for i := range options.seeds {
-				plan := soak.Draw(options.seed+uint64(i), options.duration, options.proxies, options.backends)
+				plan := soak.GeneratePlan(options.seed+uint64(i), options.duration, options.proxies, options.backends)
 				found, err := options.play(command, plan)
 				if err != nil {
 					return err
@@ -80,7 +80,7 @@
 			if err := options.check(); err != nil {
 				return err
 			}
-			soak.Draw(options.seed, options.duration, options.proxies, options.backends).Print(command.OutOrStdout())
+			soak.GeneratePlan(options.seed, options.duration, options.proxies, options.backends).Print(command.OutOrStdout())
 			return nil
 		},
 	}
@@ -140,7 +140,7 @@
 	if o.controllers != zones || o.zones != zones {
 		return usageError{fmt.Errorf("--controllers and --zones: %d and %d, want %d of both", o.controllers, o.zones, zones)}
 	}
-	plan := soak.Plan{For: o.duration, Proxies: o.proxies, Backends: o.backends}
+	plan := soak.Plan{Duration: o.duration, Proxies: o.proxies, Backends: o.backends}
 	if err := plan.Check(); err != nil {
 		return usageError{err}
 	}
@@ -180,7 +180,7 @@
 	report.Print(io.Writer(file))
 	err = file.Close()
 	if report.Failed() {
-		err = errors.Join(err, report.KeepPlan(o.report))
+		err = errors.Join(err, report.SavePlan(o.report))
 	}
 	return err
 }
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -22,24 +22,27 @@
 	requestTimeout = 2500 * time.Millisecond
 	deadlineMargin = 150 * time.Millisecond
 	dialTimeout    = time.Second
-	streamedBytes  = 1300 << 10 // beyond what a proxy keeps in memory to send it again
+	streamedBytes  = 1300 << 10 // more than a proxy buffers for a retry
 	streamChunk    = 64 << 10
 	smallBytes     = 700
 	clientRetry    = 50 * time.Millisecond
-	longestIdle    = 2 * time.Second
-	longestStay    = 40 * time.Millisecond // of a client that leaves
-	readPause      = 20 * time.Millisecond // of one that reads slowly
+	maxIdlePause   = 2 * time.Second       // of an idling client, between requests
+	maxAbortDelay  = 40 * time.Millisecond // after which an aborting client breaks off a request
+	slowReadDelay  = 20 * time.Millisecond // before a streaming client reads a response
+	changesPerTen  = 4                     // non-idempotent requests in ten
+	abortOneIn     = 2                     // requests of an aborting client: one in so many is aborted
+	streamOneIn    = 3                     // requests of a streaming client: one in so many has a long body
 )
 
-// habit is how a client uses its connection.
-type habit int
+// clientBehavior is how a client uses its connection.
+type clientBehavior int
 
 const (
-	steady   habit = iota // one request after the other, without a pause
-	idler                 // with pauses, so that connections rest when a proxy ends
-	streamer              // long bodies that are sent slowly
-	leaver                // breaks requests off
-	habits                // number of habits
+	steadyClient    clientBehavior = iota // sends requests without pauses
+	idlingClient                          // pauses between requests, so that connections are idle when a proxy stops
+	streamingClient                       // sends long bodies slowly and reads slowly
+	abortingClient                        // aborts requests
+	clientBehaviors                       // number of behaviors
 )
 
 // The headers of the protocol that clients send and read.
@@ -67,17 +70,17 @@
 	return l.list
 }
 
-// soakClient holds one connection at a time and uses it until it ends. Then it looks up where to go next.
+// soakClient sends requests over one connection at a time. When the connection ends, it looks up the proxies again.
 type soakClient struct {
-	run    *run
-	habit  habit
-	rng    *rand.Rand
-	zone   string
-	lastID *atomic.Int64
+	run      *run
+	behavior clientBehavior
+	rng      *rand.Rand
+	zone     string
+	lastID   *atomic.Int64
 
 	conn  net.Conn
 	input *bufio.Reader
-	proxy string // the name of the one that it is connected to
+	proxy string // name of the connected proxy
 }
 
 func (c *soakClient) loop(ctx context.Context) {
@@ -88,13 +91,13 @@
 			continue
 		}
 		wait(ctx, c.sendNext())
-		if c.habit == idler {
-			wait(ctx, time.Duration(c.rng.Int64N(int64(longestIdle))))
+		if c.behavior == idlingClient {
+			wait(ctx, time.Duration(c.rng.Int64N(int64(maxIdlePause))))
 		}
 	}
 }
 
-// connect looks a proxy up and connects to it.
+// connect looks up the proxies and connects to one of them.
 func (c *soakClient) connect(ctx context.Context) bool {
 	addresses := c.run.lookUp(ctx, c.rng, c.zone)
 	if len(addresses) == 0 {
@@ -111,17 +114,17 @@
 
 func (c *soakClient) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // nothing is expected on it any more
+		_ = c.conn.Close() // no response is awaited, so a failure has no effect
 		c.conn = nil
 	}
 }
 
-// sendNext sends the next request on the connection and records it. It returns how long to wait before the next one.
+// sendNext sends the next request and records its outcome. It returns how long to wait before the next one.
 func (c *soakClient) sendNext() (retryAfter time.Duration) {
 	record := &request{
 		id:            fmt.Sprint("s", c.lastID.Add(1)),
 		proxy:         c.proxy,
-		nonIdempotent: c.rng.IntN(10) < 4,
+		nonIdempotent: c.rng.IntN(10) < changesPerTen,
 		sentAt:        time.Now(),
 	}
 	service := cluster.Services[c.rng.IntN(len(cluster.Services))]
@@ -136,15 +139,15 @@
 	outgoing.Header.Set(headerAttemptID, record.id)
 	outgoing.Header.Set(headerTimeLeft, strconv.FormatInt(requestTimeout.Milliseconds(), 10))
 	deadline := record.sentAt.Add(requestTimeout + deadlineMargin)
-	if c.habit == leaver && c.rng.IntN(2) == 0 {
-		deadline = record.sentAt.Add(time.Duration(c.rng.Int64N(int64(longestStay))))
-		record.left = true
+	if c.behavior == abortingClient && c.rng.IntN(abortOneIn) == 0 {
+		deadline = record.sentAt.Add(time.Duration(c.rng.Int64N(int64(maxAbortDelay))))
+		record.aborted = true
 	}
 	_ = c.conn.SetDeadline(deadline)
 	keep, retryAfter := c.exchange(outgoing, record)
 	record.endedAt = time.Now()
-	record.outOfTime = record.endedAt.Sub(record.sentAt) > requestTimeout-deadlineMargin
-	record.left = record.left && !record.complete
+	record.timedOut = record.endedAt.Sub(record.sentAt) > requestTimeout-deadlineMargin
+	record.aborted = record.aborted && !record.complete
 	c.run.requests.add(record)
 	if !keep {
 		c.disconnect()
@@ -152,7 +155,7 @@
 	return retryAfter
 }
 
-// pathOf returns the path of a request's route.
+// pathOf returns the path prefix of a request's route.
 func pathOf(r *request) string {
 	if r.nonIdempotent {
 		return "/change/"
@@ -160,37 +163,37 @@
 	return "/look/"
 }
 
-// body returns the body of a request and its length, -1 where it is sent in chunks.
+// body returns the body of a request and its length, which is -1 for a chunked body.
 func (c *soakClient) body() (body io.Reader, length int64) {
-	if c.habit == streamer && c.rng.IntN(3) == 0 {
-		return &slowBody{left: streamedBytes}, -1
+	if c.behavior == streamingClient && c.rng.IntN(streamOneIn) == 0 {
+		return &slowBody{remaining: streamedBytes}, -1
 	}
 	return strings.NewReader(strings.Repeat("b", smallBytes)), smallBytes
 }
 
-// slowBody is a long body that takes a while to be sent.
-type slowBody struct{ left int }
+// slowBody is a body of the given remaining length that delays each read.
+type slowBody struct{ remaining int }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
 	time.Sleep(time.Millisecond)
-	n := min(len(p), b.left, streamChunk)
+	n := min(len(p), b.remaining, streamChunk)
 	for i := range n {
 		p[i] = 'b'
 	}
-	b.left -= n
+	b.remaining -= n
 	return n, nil
 }
 
-// exchange writes a request and reads its response. It reports whether the connection goes on, and how long the response
-// asks to wait.
+// exchange writes a request and reads its response. It reports whether the connection can be reused, and the delay that
+// the response requests before the next one.
 func (c *soakClient) exchange(outgoing *http.Request, record *request) (keep bool, retryAfter time.Duration) {
 	conn := c.conn
 	var writeErr error
 	var writing sync.WaitGroup
-	writing.Go(func() { writeErr = outgoing.Write(conn) }) // a response may come before all of a long body is sent
+	writing.Go(func() { writeErr = outgoing.Write(conn) }) // the response may arrive before a long body is sent completely
 	defer func() {
 		if !keep {
 			c.disconnect()
@@ -198,7 +201,7 @@
 		}
 	}()
 	_, err := c.input.Peek(1)
-	record.answered = err == nil
+	record.responseStarted = err == nil
 	if err != nil {
 		return false, 0
 	}
@@ -206,11 +209,11 @@
 	if err != nil {
 		return false, 0
 	}
-	if c.habit == streamer {
-		time.Sleep(readPause)
+	if c.behavior == streamingClient {
+		time.Sleep(slowReadDelay)
 	}
 	data, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // it was read to its end, or broke off
+	_ = response.Body.Close() // the body was read completely or has failed
 	record.status = response.StatusCode
 	record.complete = err == nil
 	sent := smallBytes
@@ -228,7 +231,7 @@
 	return writeErr == nil, retryAfter
 }
 
-// lookUp returns where clients of a zone may go, as one of the controllers says.
+// lookUp returns the proxy addresses for clients of a zone from the first directory that responds.
 func (r *run) lookUp(ctx context.Context, rng *rand.Rand, zone string) []string {
 	for _, i := range rng.Perm(len(r.directories)) {
 		found := struct {
@@ -243,7 +246,7 @@
 	return nil
 }
 
-// get requests a page on a connection of its own; the status is 0 without a response.
+// get sends a GET request over a new connection. The status is 0 if there is no response.
 func (r *run) get(ctx context.Context, url string, timeout time.Duration) (status int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/testbed/soak/doc.go
+++ b/internal/testbed/soak/doc.go
@@ -1,6 +1,6 @@
-// Package soak runs a whole load balancer as real processes on loopback while troubles that a seed determines come in
-// series and overlap, and checks what clients, operators and backends saw.
+// Package soak runs a complete load balancer as separate processes on loopback, injects sequences of overlapping faults
+// ("troubles") that a seed determines, and checks the observations of clients, operators and backends.
 //
-// Plan and the rules of judge.go are pure: one seed is one plan, and a finding follows from the records alone. The rest
-// does the I/O.
+// Plan and the checks in checks.go are pure functions: a seed always yields the same plan, and a finding depends only
+// on the recorded observations. The other files do the I/O.
 package soak
--- a/internal/testbed/soak/findings.go
+++ b/internal/testbed/soak/findings.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxFindings is how many findings are kept.
+	// maxFindings is how many findings are recorded; further ones are only counted.
 	maxFindings = 50
 
-	// logSpan is how long before and after a finding lines of its node's log belong to it.
+	// logSpan is how long before and after a finding its report includes lines of the node's log.
 	logSpan = time.Second
 
-	// maxLogLines is how many lines are kept of each log.
+	// maxLogLines is how many log lines a finding includes.
 	maxLogLines = 15
 )
 
-// finding is a guarantee that was broken.
+// finding is a violation of a guarantee.
 type finding struct {
 	at   time.Time
-	node string // the name of the node concerned; "" for none
+	node string // name of the affected node; "" if none
 	text string
 }
 
-// findings collects what was found. It is safe for concurrent use.
+// findings collects the violations of a run. It is safe for concurrent use.
 type findings struct {
 	mu    sync.Mutex
 	list  []finding
@@ -46,7 +46,8 @@
 	}
 }
 
-// logAround returns the lines of a log file that were written around a time. Lines begin with the time of day.
+// logAround returns the lines of a log file that were written within logSpan of a time. Each line begins with the time
+// of day.
 func logAround(path string, at time.Time) (lines []string) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -65,10 +66,10 @@
 	return lines
 }
 
-// clockOf formats a time as the logs do.
+// clockOf formats a time of day as the logs do.
 func clockOf(at time.Time) string { return at.Format("15:04:05.000") }
 
-// String returns the finding in one line, with its time in the run.
+// describe returns the finding as one line, with its time since the start of the run.
 func (f finding) describe(startedAt time.Time) string {
 	text := fmt.Sprintf("%8.3f s  %s", f.at.Sub(startedAt).Seconds(), f.text)
 	if f.node != "" {
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -15,25 +15,25 @@
 	"sagelever/internal/testbed/cluster"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of trouble, that is, of an injected fault or load.
 type Kind string
 
-// The kinds of trouble. Those of processes concern the nodes of a target.
+// The kinds of trouble. Those of processes apply to the nodes of a target.
 const (
-	Reload       Kind = "reload"         // SIGHUP
-	Restart      Kind = "restart"        // SIGTERM, and a start once the process has ended
-	Kill         Kind = "kill"           // SIGKILL, and a start after the trouble's duration
-	Freeze       Kind = "freeze"         // SIGSTOP, and SIGCONT after the duration
-	Wipe         Kind = "wipe"           // of a controller: SIGKILL, and a start with an empty disk
-	KillAfterAck Kind = "kill-after-ack" // SIGKILL of the target within a few milliseconds of the next acknowledgement
-	BackendKill  Kind = "backend-kill"   // a backend is gone, and another one starts at its address after the duration
-	BackendDrain Kind = "backend-drain"  // a backend leaves in order, another one starts
-	BackendCold  Kind = "backend-cold"   // a backend warms up anew
-	BackendSwap  Kind = "backend-swap"   // a backend is gone, and one of the other service starts at its address
-	BigOrder     Kind = "big-order"      // thousands of routes in one call
+	Reload        Kind = "reload"         // SIGHUP
+	Restart       Kind = "restart"        // SIGTERM, and a start once the process has exited
+	Kill          Kind = "kill"           // SIGKILL, and a start after the trouble's duration
+	Freeze        Kind = "freeze"         // SIGSTOP, and SIGCONT after the duration
+	Wipe          Kind = "wipe"           // SIGKILL of a controller, and a start with an empty disk
+	KillAfterAck  Kind = "kill-after-ack" // SIGKILL of the target within a few milliseconds of the next acknowledgement
+	BackendKill   Kind = "backend-kill"   // a backend is killed, and another one starts at its address after the duration
+	BackendDrain  Kind = "backend-drain"  // a backend shuts down gracefully, and another one starts
+	BackendWarmUp Kind = "backend-cold"   // a backend warms up again
+	BackendSwap   Kind = "backend-swap"   // a backend is killed, and one of the other service starts at its address
+	BigOrder      Kind = "big-order"      // thousands of routes in one call
 )
 
-// Target says which nodes a trouble concerns.
+// Target selects the nodes that a trouble applies to.
 type Target string
 
 // The targets.
@@ -47,16 +47,16 @@
 	AllNodes       Target = "all"
 )
 
-// someProxiesDivisor is which part of the proxies SomeProxies is: one in so many.
+// someProxiesDivisor determines the share of the proxies that SomeProxies selects: one in so many.
 const someProxiesDivisor = 3
 
 // Trouble is one entry of a plan.
 type Trouble struct {
-	At     time.Duration `json:"at"`
-	Kind   Kind          `json:"kind"`
-	Target Target        `json:"target,omitempty"`
-	Index  int           `json:"index,omitempty"` // of the first node or backend concerned, modulo their number
-	For    time.Duration `json:"for,omitempty"`
+	At       time.Duration `json:"at"`
+	Kind     Kind          `json:"kind"`
+	Target   Target        `json:"target,omitempty"`
+	Index    int           `json:"index,omitempty"` // of the first affected node or backend, modulo their number
+	Duration time.Duration `json:"for,omitempty"`
 }
 
 // String returns the entry as a line of a plan.
@@ -65,16 +65,16 @@
 	if t.Target != "" {
 		text += fmt.Sprintf(" %s %d", t.Target, t.Index)
 	}
-	if t.For > 0 {
-		text += fmt.Sprintf(" for %v", t.For)
+	if t.Duration > 0 {
+		text += fmt.Sprintf(" for %v", t.Duration)
 	}
 	return text
 }
 
-// Plan is what happens in a run.
+// Plan is the configuration of a run and its troubles in order of time.
 type Plan struct {
 	Seed     uint64        `json:"seed"`
-	For      time.Duration `json:"for"` // how long troubles come
+	Duration time.Duration `json:"for"` // period in which troubles start
 	Proxies  int           `json:"proxies"`
 	Backends int           `json:"backends"`
 	Troubles []Trouble     `json:"troubles"`
@@ -86,15 +86,15 @@
 	maxBackends = 120
 	maxDuration = 2 * time.Hour
 
-	// wipePause is the least pause between two losses of a disk: the member is to have caught up by then.
+	// wipePause is the minimum pause between two losses of a disk, so that the first controller has caught up again.
 	wipePause = 15 * time.Second
 )
 
-// Check returns an error that names what is wrong with a plan.
+// Check returns an error that names the first invalid value of a plan.
 func (p Plan) Check() error {
 	switch {
-	case p.For <= 0 || p.For > maxDuration:
-		return errors.Errorf("--for: %v, want more than 0 and %v at most", p.For, maxDuration)
+	case p.Duration <= 0 || p.Duration > maxDuration:
+		return errors.Errorf("--for: %v, want more than 0 and %v at most", p.Duration, maxDuration)
 	case p.Proxies < 1 || p.Proxies > maxProxies:
 		return errors.Errorf("--proxies: %d, want 1 to %d", p.Proxies, maxProxies)
 	case p.Backends < 2 || p.Backends > maxBackends:
@@ -116,19 +116,19 @@
 	return nil
 }
 
-// targetsOf lists the targets that a kind of trouble may have; none for those that concern no process.
+// targetsOf lists the valid targets of each kind of trouble. Kinds that apply to no process have none.
 var targetsOf = map[Kind][]Target{
-	Reload:       {OneProxy, SomeProxies, AllProxies, OneController, AllControllers, AllNodes},
-	Restart:      {OneProxy, SomeProxies, AllProxies, OneController, TwoControllers, AllControllers, AllNodes},
-	Kill:         {OneProxy, SomeProxies, AllProxies, OneController, TwoControllers, AllControllers, AllNodes},
-	Freeze:       {OneProxy, SomeProxies, OneController, TwoControllers},
-	Wipe:         {OneController},
-	KillAfterAck: {TwoControllers, AllControllers, AllNodes},
-	BackendKill:  nil,
-	BackendDrain: nil,
-	BackendCold:  nil,
-	BackendSwap:  nil,
-	BigOrder:     nil,
+	Reload:        {OneProxy, SomeProxies, AllProxies, OneController, AllControllers, AllNodes},
+	Restart:       {OneProxy, SomeProxies, AllProxies, OneController, TwoControllers, AllControllers, AllNodes},
+	Kill:          {OneProxy, SomeProxies, AllProxies, OneController, TwoControllers, AllControllers, AllNodes},
+	Freeze:        {OneProxy, SomeProxies, OneController, TwoControllers},
+	Wipe:          {OneController},
+	KillAfterAck:  {TwoControllers, AllControllers, AllNodes},
+	BackendKill:   nil,
+	BackendDrain:  nil,
+	BackendWarmUp: nil,
+	BackendSwap:   nil,
+	BigOrder:      nil,
 }
 
 func (t Trouble) check() error {
@@ -140,20 +140,20 @@
 		return errors.Errorf("%s has no target", t.Kind)
 	case targets != nil && !slices.Contains(targets, t.Target):
 		return errors.Errorf("%s can't concern %q", t.Kind, t.Target)
-	case t.At < 0 || t.For < 0 || t.Index < 0:
+	case t.At < 0 || t.Duration < 0 || t.Index < 0:
 		return errors.New("a negative time or index")
 	}
 	return nil
 }
 
-// lane is a sequence of troubles of some kinds. The lanes of a plan go on beside each other, so that their troubles
+// lane generates a sequence of troubles of certain kinds. The lanes of a plan are concurrent, so that their troubles
 // overlap.
 type lane struct {
 	kinds       []Kind
 	targets     func(rng *rand.Rand, kind Kind) Target
-	leastPause  time.Duration
-	meanPause   time.Duration // beyond the least
-	longestTime time.Duration
+	minPause    time.Duration
+	meanPause   time.Duration // mean of the exponentially distributed pause in addition to minPause
+	maxDuration time.Duration // of a trouble
 }
 
 func anyTarget(rng *rand.Rand, kind Kind) Target {
@@ -168,49 +168,49 @@
 	return func(rng *rand.Rand, _ Kind) Target { return targets[rng.IntN(len(targets))] }
 }
 
-// lanes are the sequences of a drawn plan.
+// lanes are the lanes of a generated plan.
 var lanes = []lane{
 	{kinds: []Kind{Reload, Restart, Kill, Freeze, Restart}, targets: targetAmong(OneProxy, SomeProxies),
-		meanPause: 2 * time.Second, longestTime: 2 * time.Second},
+		meanPause: 2 * time.Second, maxDuration: 2 * time.Second},
 	{kinds: []Kind{Reload, Restart, Kill, Freeze}, targets: targetAmong(OneController),
-		leastPause: time.Second, meanPause: 3 * time.Second, longestTime: 2 * time.Second},
-	{kinds: []Kind{BackendKill, BackendDrain, BackendCold, BackendSwap}, targets: anyTarget,
-		meanPause: 3 * time.Second, longestTime: 2 * time.Second},
+		minPause: time.Second, meanPause: 3 * time.Second, maxDuration: 2 * time.Second},
+	{kinds: []Kind{BackendKill, BackendDrain, BackendWarmUp, BackendSwap}, targets: anyTarget,
+		meanPause: 3 * time.Second, maxDuration: 2 * time.Second},
 	{kinds: []Kind{KillAfterAck, KillAfterAck, Kill, Restart, Reload}, targets: targetAmong(AllControllers, AllNodes),
-		leastPause: 5 * time.Second, meanPause: 4 * time.Second, longestTime: 2 * time.Second},
+		minPause: 5 * time.Second, meanPause: 4 * time.Second, maxDuration: 2 * time.Second},
 	{kinds: []Kind{Wipe}, targets: anyTarget,
-		leastPause: wipePause, meanPause: 10 * time.Second, longestTime: time.Second},
-	{kinds: []Kind{BigOrder}, targets: anyTarget, leastPause: 5 * time.Second, meanPause: 20 * time.Second},
+		minPause: wipePause, meanPause: 10 * time.Second, maxDuration: time.Second},
+	{kinds: []Kind{BigOrder}, targets: anyTarget, minPause: 5 * time.Second, meanPause: 20 * time.Second},
 }
 
-// Draw returns the plan of a seed.
-func Draw(seed uint64, duration time.Duration, proxies, backends int) Plan {
-	plan := Plan{Seed: seed, For: duration, Proxies: proxies, Backends: backends}
+// GeneratePlan returns the plan that a seed determines.
+func GeneratePlan(seed uint64, duration time.Duration, proxies, backends int) Plan {
+	plan := Plan{Seed: seed, Duration: duration, Proxies: proxies, Backends: backends}
 	for i, lane := range lanes {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)+1))
-		plan.Troubles = append(plan.Troubles, lane.draw(rng, duration)...)
+		plan.Troubles = append(plan.Troubles, lane.generate(rng, duration)...)
 	}
 	slices.SortStableFunc(plan.Troubles, func(a, b Trouble) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-func (l lane) draw(rng *rand.Rand, duration time.Duration) (troubles []Trouble) {
+func (l lane) generate(rng *rand.Rand, duration time.Duration) (troubles []Trouble) {
 	at := time.Duration(0)
 	for {
-		pause := l.leastPause + time.Duration(rng.ExpFloat64()*float64(l.meanPause))
+		pause := l.minPause + time.Duration(rng.ExpFloat64()*float64(l.meanPause))
 		if at += pause.Round(10 * time.Millisecond); at >= duration {
 			return troubles
 		}
 		kind := l.kinds[rng.IntN(len(l.kinds))]
 		trouble := Trouble{At: at, Kind: kind, Target: l.targets(rng, kind), Index: rng.IntN(maxProxies)}
-		if l.longestTime > 0 {
-			trouble.For = time.Duration(rng.Int64N(int64(l.longestTime))).Round(10 * time.Millisecond)
+		if l.maxDuration > 0 {
+			trouble.Duration = time.Duration(rng.Int64N(int64(l.maxDuration))).Round(10 * time.Millisecond)
 		}
 		troubles = append(troubles, trouble)
 	}
 }
 
-// ReadPlan reads a plan that was kept.
+// ReadPlan reads and checks a plan that Save has written.
 func ReadPlan(path string) (Plan, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -223,8 +223,8 @@
 	return plan, plan.Check()
 }
 
-// Keep writes a plan to a file that ReadPlan reads.
-func (p Plan) Keep(path string) error {
+// Save writes a plan to a file for ReadPlan.
+func (p Plan) Save(path string) error {
 	data, err := json.MarshalIndent(p, "", "  ")
 	if err != nil {
 		return err
@@ -232,16 +232,16 @@
 	return os.WriteFile(path, append(data, '\n'), 0o600)
 }
 
-// Print prints a plan, a line for each trouble.
+// Print prints a plan with one line for each trouble.
 func (p Plan) Print(w io.Writer) {
 	fmt.Fprintf(w, "seed %d, %v, %d proxies, %d controllers, %d backends, %d troubles\n",
-		p.Seed, p.For, p.Proxies, len(cluster.ZoneNames()), p.Backends, len(p.Troubles))
+		p.Seed, p.Duration, p.Proxies, len(cluster.ZoneNames()), p.Backends, len(p.Troubles))
 	for _, trouble := range p.Troubles {
 		fmt.Fprintln(w, trouble)
 	}
 }
 
-// nodes returns the names of the nodes that a target with an index concerns.
+// nodes returns the names of the nodes that a target selects, beginning at an index.
 func (p Plan) nodes(target Target, index int) (proxies, controllers []string) {
 	zones := cluster.ZoneNames()
 	proxy := func(i int) string { return cluster.ProxyName((index + i) % p.Proxies) }
--- a/internal/testbed/soak/probes.go
+++ b/internal/testbed/soak/probes.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	probePause   = 5 * time.Millisecond
-	probers      = 3
-	probeTimeout = 2 * time.Second
-	readPeriod   = 700 * time.Millisecond
-	readTimeout  = time.Second
+	probePause      = 5 * time.Millisecond
+	proberCount     = 3
+	probeTimeout    = 2 * time.Second
+	probeTimeLeftMs = "1500" // deadline that a probe sends to the proxy
+	readPeriod      = 700 * time.Millisecond
+	readTimeout     = time.Second
 )
 
-// probeLoop asks proxies directly for the operators' routes, every other time for one of the order that was acknowledged
-// last, until the context ends.
+// probeLoop probes routes of the operators at random proxies until the context ends. Every other probe is for a route
+// of the order that was acknowledged last.
 func (r *run) probeLoop(ctx context.Context, rng *rand.Rand) {
 	for number := 0; ctx.Err() == nil; number++ {
-		routes := r.book.names()
-		if latest := r.book.latestNames(); number%2 == 0 && len(latest) > 0 {
+		routes := r.routes.names()
+		if latest := r.routes.latestNames(); number%2 == 0 && len(latest) > 0 {
 			routes = latest
 		}
 		if len(routes) > 0 {
 			proxy := rng.IntN(r.plan.Proxies)
 			if sent := r.probe(ctx, proxy, routes[rng.IntN(len(routes))], number); ctx.Err() == nil {
-				r.judgeAndCount(sent)
+				r.checkAndCount(sent)
 			}
 		}
 		wait(ctx, probePause)
 	}
 }
 
-// probe asks a proxy for a route.
+// probe sends a request for a route to a proxy and records the outcome.
 func (r *run) probe(ctx context.Context, proxy int, route string, number int) *probe {
 	sent := &probe{
-		proxy:     cluster.ProxyName(proxy),
-		route:     route,
-		want:      r.book.state(route),
-		calmSince: r.fleet.calmFor(cluster.ProxyName(proxy)),
-		sentAt:    time.Now(),
+		proxy:            cluster.ProxyName(proxy),
+		route:            route,
+		want:             r.routes.state(route),
+		undisturbedSince: r.injector.undisturbedSince(cluster.ProxyName(proxy)),
+		sentAt:           time.Now(),
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -58,19 +59,19 @@
 	}
 	request.Host = ordersHost
 	request.Header.Set(headerAttemptID, id)
-	request.Header.Set(headerTimeLeft, "1500")
+	request.Header.Set(headerTimeLeft, probeTimeLeftMs)
 	response, err := r.perRequest.Do(request)
 	if err == nil {
 		sent.status = response.StatusCode
 		sent.service = serviceOf(response.Header.Get(headerSeal))
-		_ = response.Body.Close() // the seal tells all
+		_ = response.Body.Close() // the header identifies the backend; the body is not needed
 	}
-	after := r.book.state(route)
-	sent.heldAnother = after.version != sent.want.version || after.uncertain
+	after := r.routes.state(route)
+	sent.stateChanged = after.version != sent.want.version || after.uncertain
 	return sent
 }
 
-// serviceOf returns the service of the backend that has sealed a response.
+// serviceOf returns the service of the backend whose seal header a response has.
 func serviceOf(seal string) string {
 	for _, service := range cluster.Services {
 		if strings.HasPrefix(seal, "seal-i-"+service+"-") {
@@ -80,15 +81,15 @@
 	return ""
 }
 
-func (r *run) judgeAndCount(sent *probe) {
+func (r *run) checkAndCount(sent *probe) {
 	r.counts.probe(sent.status)
-	if text := judgeProbe(sent); text != "" {
+	if text := checkProbe(sent); text != "" {
 		r.findings.add(finding{at: sent.sentAt, node: sent.proxy, text: "route " + sent.route + ": " + text})
 	}
 }
 
-// readLoop reads the configuration at one controller after the other, until the context ends. What a read tells is at
-// least as new as what was acknowledged before it.
+// readLoop reads the configuration from random controllers until the context ends. A read must return all orders that
+// were acknowledged before it, or newer ones.
 func (r *run) readLoop(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		zones := cluster.ZoneNames()
@@ -97,11 +98,11 @@
 	}
 }
 
-// checkRead reads the configuration at a controller, and reports whether it has answered.
-func (r *run) checkRead(ctx context.Context, controller int) (answered bool) {
+// checkRead reads the configuration from a controller and checks it. It reports whether the controller responded.
+func (r *run) checkRead(ctx context.Context, controller int) (responded bool) {
 	before := map[string]routeState{}
-	for _, route := range r.book.names() {
-		before[route] = r.book.state(route)
+	for _, route := range r.routes.names() {
+		before[route] = r.routes.state(route)
 	}
 	readAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -140,8 +141,8 @@
 	return true
 }
 
-// changedSince reports whether a newer order for a route was sent since its state was taken.
+// changedSince reports whether a newer order for a route was sent since the state before was read.
 func (r *run) changedSince(route string, before routeState) bool {
-	after := r.book.state(route)
+	after := r.routes.state(route)
 	return after.uncertain || after.version != before.version
 }
--- a/internal/testbed/soak/report.go
+++ b/internal/testbed/soak/report.go
@@ -13,26 +13,26 @@
 	"time"
 )
 
-// counts are figures of a run. They are safe for concurrent use.
+// counts are the measurements of a run. They are safe for concurrent use.
 type counts struct {
-	mu       sync.Mutex
-	probes   map[int]int               // by status
-	measures map[string]map[string]use // by moment and process
-	samples  []sample
+	mu      sync.Mutex
+	probes  map[int]int                        // by status
+	usages  map[string]map[string]processUsage // by stage of the run and process
+	samples []sample
 }
 
-// use is what a process holds.
-type use struct{ descriptors, memoryKB int }
+// processUsage is the resource usage of a process.
+type processUsage struct{ descriptors, memoryKB int }
 
-// sample is a moment of the timeline.
+// sample is an entry of the timeline.
 type sample struct {
-	at      time.Duration
-	answers map[int]int   // of clients, since the sample before, by status
-	oldest  time.Duration // the greatest age of a proxy's configuration
+	at           time.Duration // since the start of the run
+	responses    map[int]int   // to clients since the previous sample, by status
+	maxConfigAge time.Duration // of all proxies
 }
 
 func newCounts() *counts {
-	return &counts{probes: map[int]int{}, measures: map[string]map[string]use{}}
+	return &counts{probes: map[int]int{}, usages: map[string]map[string]processUsage{}}
 }
 
 func (c *counts) probe(status int) {
@@ -41,55 +41,56 @@
 	c.probes[status]++
 }
 
-// measure notes what each process holds at a moment.
-func (c *counts) measure(moment string, processes map[string]int) {
+// recordUsage records the resource usage of each process at a stage of the run.
+func (c *counts) recordUsage(stage string, processes map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.measures[moment] = map[string]use{}
+	c.usages[stage] = map[string]processUsage{}
 	for name, pid := range processes {
-		if held, err := useOf(pid); err == nil {
-			c.measures[moment][name] = held
+		if usage, err := readUsage(pid); err == nil {
+			c.usages[stage][name] = usage
 		}
 	}
 }
 
-// useOf reads what a process holds.
-func useOf(pid int) (use, error) {
+// readUsage reads the resource usage of a process from /proc.
+func readUsage(pid int) (processUsage, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
-		return use{}, err
+		return processUsage{}, err
 	}
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return use{}, err
+		return processUsage{}, err
 	}
-	held := use{descriptors: len(entries)}
+	usage := processUsage{descriptors: len(entries)}
 	for line := range strings.Lines(string(data)) {
 		if text, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			held.memoryKB, _ = strconv.Atoi(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(text), "kB")))
+			usage.memoryKB, _ = strconv.Atoi(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(text), "kB")))
 		}
 	}
-	return held, nil
+	return usage, nil
 }
 
-// Bounds of what processes hold after a run, against before.
+// Bounds on the growth of a process's descriptors during a run.
 const (
-	leakShare = 10 // a tenth more
+	// descriptorGrowthDivisor allows growth by one in so many descriptors: a tenth.
+	descriptorGrowthDivisor = 10
 
-	// leakConnections allows for the idle connections that the bound of a node to another one permits, to and from each of
-	// the other controllers: how many there are follows from the last storm of calls, and they rest for longer than a run.
-	leakConnections = 2 * 16 * 5
+	// maxIdleConnections is the number of idle connections that a node may keep to and from the 5 other controllers, 16
+	// in each direction. Their number depends on the last burst of calls, and they stay open for longer than a run.
+	maxIdleConnections = 2 * 16 * 5
 )
 
-// leaks returns the processes that hold more descriptors than before, by name. Memory is only reported: the runtime
-// gives it back late.
+// leaks returns a description of each process whose number of descriptors grew beyond the bounds, by name. Memory is
+// reported but not checked, because the Go runtime returns it to the system with a delay.
 func (c *counts) leaks() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := map[string]string{}
-	for name, after := range c.measures["after"] {
-		before, known := c.measures["before"][name]
-		limit := before.descriptors + before.descriptors/leakShare + leakConnections
+	for name, after := range c.usages["after"] {
+		before, known := c.usages["before"][name]
+		limit := before.descriptors + before.descriptors/descriptorGrowthDivisor + maxIdleConnections
 		if known && after.descriptors > limit {
 			found[name] = fmt.Sprintf("holds %d descriptors after the run, %d before", after.descriptors, before.descriptors)
 		}
@@ -97,28 +98,28 @@
 	return found
 }
 
-// mostMemory returns the most memory of a process at a moment.
-func (c *counts) mostMemory(moment string) (most int) {
-	for _, held := range c.measures[moment] {
-		most = max(most, held.memoryKB)
+// maxMemoryKB returns the maximum memory of any process at a stage of the run.
+func (c *counts) maxMemoryKB(stage string) (maximum int) {
+	for _, usage := range c.usages[stage] {
+		maximum = max(maximum, usage.memoryKB)
 	}
-	return most
+	return maximum
 }
 
 // Report is the result of a run.
 type Report struct {
 	Plan     Plan
-	Requests map[int]int // by status, 0 without a response
+	Requests map[int]int // by status; 0: no response
 	Orders   [2]int64    // sent and acknowledged
 	Findings []string
-	total    int
+	total    int // findings, including those that were not recorded
 	counts   *counts
 }
 
-// Failed reports whether something was found.
+// Failed reports whether the run has findings.
 func (r *Report) Failed() bool { return r.total > 0 }
 
-// report judges all requests and sums the run up.
+// report checks all requests and returns the report of the run.
 func (r *run) report() *Report {
 	report := &Report{Plan: r.plan, Requests: map[int]int{}, counts: r.counts}
 	for _, record := range r.requests.all() {
@@ -128,15 +129,15 @@
 			status = 0
 		}
 		report.Requests[status]++
-		if text := judgeRequest(record, &r.fleet.disturbed); text != "" {
+		if text := checkRequest(record, &r.injector.disturbed); text != "" {
 			r.findings.add(finding{at: record.sentAt, node: record.proxy, text: "request " + record.id + ": " + text})
 		}
 	}
-	report.Orders = [2]int64{r.book.orders.Load(), r.book.acked.Load()}
+	report.Orders = [2]int64{r.routes.sentOrders.Load(), r.routes.ackedOrders.Load()}
 	return report
 }
 
-// addLogs adds the findings to the report, each with the log lines of its node around it.
+// addLogs adds the findings to the report, each with the log lines of its node around that time.
 func (r *run) addLogs(report *Report) {
 	r.findings.mu.Lock()
 	defer r.findings.mu.Unlock()
@@ -151,7 +152,7 @@
 	}
 }
 
-// logPath returns the log file of a node, "" for none.
+// logPath returns the path of a node's log file, or "" if there is none.
 func (r *run) logPath(node string) string {
 	if zone, ok := strings.CutPrefix(node, "controller-"); ok {
 		return r.cluster.LogFile("core-"+zone, "controller")
@@ -162,7 +163,7 @@
 	return ""
 }
 
-// Print prints the report: the figures, and each finding.
+// Print prints a summary line and the findings.
 func (r *Report) Print(w io.Writer) {
 	verdict := "clean"
 	if r.Failed() {
@@ -170,13 +171,13 @@
 	}
 	fmt.Fprintf(w, "seed %d: %s; answers %s; probes %s; orders %d, acknowledged %d; most memory %d MB, before %d MB\n",
 		r.Plan.Seed, verdict, statuses(r.Requests), statuses(r.counts.probes), r.Orders[0], r.Orders[1],
-		r.counts.mostMemory("after")>>10, r.counts.mostMemory("before")>>10)
+		r.counts.maxMemoryKB("after")>>10, r.counts.maxMemoryKB("before")>>10)
 	for _, text := range r.Findings {
 		fmt.Fprintln(w, text)
 	}
 }
 
-// statuses formats how often each status came.
+// statuses formats the number of responses by status.
 func statuses(counts map[int]int) string {
 	var parts []string
 	for _, status := range slices.Sorted(maps.Keys(counts)) {
@@ -185,22 +186,22 @@
 	return strings.Join(parts, " ")
 }
 
-// KeepPlan keeps the plan of a run that has found something beside its report.
-func (r *Report) KeepPlan(reportPath string) error {
-	return r.Plan.Keep(filepath.Join(filepath.Dir(reportPath), fmt.Sprintf("plan-%d.json", r.Plan.Seed)))
+// SavePlan saves the plan of a run in the directory of its report.
+func (r *Report) SavePlan(reportPath string) error {
+	return r.Plan.Save(filepath.Join(filepath.Dir(reportPath), fmt.Sprintf("plan-%d.json", r.Plan.Seed)))
 }
 
-// PrintTimeline prints the answers and the age of the configuration, second by second, with the troubles.
+// PrintTimeline prints the responses, the maximum age of the configuration and the troubles for each sample period.
 func (r *Report) PrintTimeline(w io.Writer) {
 	troubles := r.Plan.Troubles
 	r.counts.mu.Lock()
 	defer r.counts.mu.Unlock()
-	for _, moment := range r.counts.samples {
-		for len(troubles) > 0 && troubles[0].At <= moment.at {
+	for _, sample := range r.counts.samples {
+		for len(troubles) > 0 && troubles[0].At <= sample.at {
 			fmt.Fprintln(w, "          ", troubles[0])
 			troubles = troubles[1:]
 		}
 		fmt.Fprintf(w, "%7.2f s  answers %s; oldest configuration %.1f s\n",
-			moment.at.Seconds(), statuses(moment.answers), moment.oldest.Seconds())
+			sample.at.Seconds(), statuses(sample.responses), sample.maxConfigAge.Seconds())
 	}
 }
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -17,48 +17,57 @@
 	"sagelever/internal/testbed/cluster"
 )
 
-// Options say how a plan is played.
+// Options configure a run.
 type Options struct {
 	Plan   Plan
-	Binary string // the load balancer's program
+	Binary string // path of the load balancer's program
 	Log    func(format string, arguments ...any)
 }
 
 const (
 	meanWork          = 30 * time.Millisecond
 	drainTime         = 3 * time.Second
-	arrivalMargin     = 300 * time.Millisecond // beyond drainTime, of a request that was on its way
+	arrivalMargin     = 300 * time.Millisecond // beyond drainTime, for requests that were in flight
 	shutdownGrace     = 6 * time.Second
 	heartbeatInterval = 600 * time.Millisecond
 	startTimeout      = 20 * time.Second
 	clientsPerProxy   = 2
-	firstVersion      = 100 // of the operators' orders; the first configuration has version 1
+	firstVersion      = 100 // the operators' orders follow; the initial configuration has version 1
 
-	// healTime is within which everything is well after the last trouble.
-	healTime = 5 * time.Second
+	// recoveryTime is how long the system may take to recover after the last trouble.
+	recoveryTime = 5 * time.Second
 
-	// quietTime is how long idle connections to backends rest; then descriptors are counted.
-	quietTime = 5 * time.Second
+	// idleTime is the pause before descriptors are counted, in which idle connections to backends are closed.
+	idleTime = 5 * time.Second
 )
 
-// run is a plan that is being played.
+// Random number streams of the seed. Operators, clients and probers add their index.
+const (
+	operatorStream = 200
+	clientStream   = 300
+	readerStream   = 401
+	proberStream   = 410
+)
+
+// run is the state of a running plan.
 type run struct {
 	plan        Plan
 	cluster     *cluster.Cluster
-	fleet       *fleet
-	book        *book
+	injector    *injector
+	routes      *routeTracker
 	findings    *findings
 	requests    *requestLog
 	counts      *counts
 	perRequest  *http.Client
-	directories []string          // addresses
+	directories []string          // addresses of the proxy directories
 	proxyNames  map[string]string // by address
 	operators   []*operator
 	startedAt   time.Time
 	log         func(format string, arguments ...any)
 }
 
-// Run plays a plan and returns what was found. No process and no folder is left, also when ctx ends early.
+// Run executes a plan and returns a report with the findings. It stops all processes and removes its files, also if ctx
+// ends early.
 func Run(ctx context.Context, options Options) (report *Report, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -66,7 +75,7 @@
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	if _, err := os.Stat(options.Binary); err != nil {
-		return nil, errors.Wrap(err, "the load balancer's program")
+		return nil, errors.Wrap(err, "find the load balancer's program")
 	}
 	running, err := cluster.Start(cluster.Options{
 		Proxies:           options.Plan.Proxies,
@@ -103,8 +112,8 @@
 	r := &run{
 		plan:       options.Plan,
 		cluster:    running,
-		fleet:      newFleet(running, options.Plan, found),
-		book:       newBook(),
+		injector:   newInjector(running, options.Plan, found),
+		routes:     newRouteTracker(),
 		findings:   found,
 		requests:   &requestLog{},
 		counts:     newCounts(),
@@ -118,20 +127,20 @@
 	r.directories = running.DirectoryAddresses()
 	versions := &atomic.Uint64{}
 	versions.Store(firstVersion)
-	for i := range operators + 1 { // the last one sends the big orders
+	for i := range operatorCount + 1 { // the last one sends the big orders
 		r.operators = append(r.operators, &operator{
 			number:   i,
 			run:      r,
 			client:   client.New(rotated(running.ControllerAddresses(), i)),
-			rng:      rand.New(rand.NewPCG(options.Plan.Seed, 200+uint64(i))),
+			rng:      rand.New(rand.NewPCG(options.Plan.Seed, operatorStream+uint64(i))),
 			versions: versions,
 		})
 	}
-	r.fleet.bigOrder = r.operators[operators].sendBig
+	r.injector.bigOrder = r.operators[operatorCount].sendBig
 	return r
 }
 
-// rotated returns a list that begins at another element.
+// rotated returns the list rotated left by from elements.
 func rotated(list []string, from int) []string {
 	from %= len(list)
 	return append(append([]string{}, list[from:]...), list[:from]...)
@@ -154,25 +163,25 @@
 	if err := r.cluster.SetBodyLimit(ctx, 2*streamedBytes); err != nil {
 		return err
 	}
-	wait(ctx, denyBound) // until then it may not be in force everywhere
+	wait(ctx, notFoundBound) // until the configuration has reached all proxies
 	return ctx.Err()
 }
 
-// play brings the troubles about while clients, operators and probes are at work, and checks that everything heals: after
-// the last trouble, and once more after all processes were killed.
+// play injects the troubles while clients, operators and probers run. It checks that the system recovers after the last
+// trouble, and again after all processes were killed at once.
 func (r *run) play(ctx context.Context) {
 	r.startedAt = time.Now()
-	r.counts.measure("before", r.cluster.ProcessIDs())
+	r.counts.recordUsage("before", r.cluster.ProcessIDs())
 	workers, stopWorkers := context.WithCancel(ctx)
 	var working sync.WaitGroup
 	r.startWorkers(workers, &working)
-	r.fleet.play(ctx)
+	r.injector.play(ctx)
 	r.log("troubles are over after %v", time.Since(r.startedAt).Round(time.Millisecond))
-	r.checkHealed(ctx, "after the last trouble")
+	r.checkRecovery(ctx, "after the last trouble")
 	if ctx.Err() == nil {
 		proxies, controllers := r.plan.nodes(AllNodes, 0)
-		r.fleet.eachNode(append(proxies, controllers...), func(name string) { r.fleet.kill(ctx, name, 0) })
-		r.checkHealed(ctx, "after all processes were killed")
+		r.injector.eachNode(append(proxies, controllers...), func(name string) { r.injector.kill(ctx, name, 0) })
+		r.checkRecovery(ctx, "after all processes were killed")
 	}
 	stopWorkers()
 	working.Wait()
@@ -184,69 +193,69 @@
 	zones := cluster.ZoneNames()
 	for i := range clientsPerProxy * r.plan.Proxies {
 		c := &soakClient{
-			run:    r,
-			habit:  habit(i % int(habits)),
-			rng:    rand.New(rand.NewPCG(r.plan.Seed, 300+uint64(i))),
-			zone:   zones[i%len(zones)],
-			lastID: lastID,
+			run:      r,
+			behavior: clientBehavior(i % int(clientBehaviors)),
+			rng:      rand.New(rand.NewPCG(r.plan.Seed, clientStream+uint64(i))),
+			zone:     zones[i%len(zones)],
+			lastID:   lastID,
 		}
 		working.Go(func() { c.loop(ctx) })
 	}
-	for _, operator := range r.operators[:operators] {
+	for _, operator := range r.operators[:operatorCount] {
 		working.Go(func() { operator.loop(ctx) })
 	}
-	for i := range probers {
-		working.Go(func() { r.probeLoop(ctx, rand.New(rand.NewPCG(r.plan.Seed, 410+uint64(i)))) })
+	for i := range proberCount {
+		working.Go(func() { r.probeLoop(ctx, rand.New(rand.NewPCG(r.plan.Seed, proberStream+uint64(i)))) })
 	}
-	working.Go(func() { r.readLoop(ctx, rand.New(rand.NewPCG(r.plan.Seed, 401))) })
+	working.Go(func() { r.readLoop(ctx, rand.New(rand.NewPCG(r.plan.Seed, readerStream))) })
 	working.Go(func() { r.sampleLoop(ctx) })
 }
 
-// checkHealed checks that within healTime every proxy is ready and serves, and every controller reads.
-func (r *run) checkHealed(ctx context.Context, when string) {
-	deadline := time.Now().Add(healTime)
-	ill := r.illNodes(ctx)
-	for len(ill) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+// checkRecovery checks that within recoveryTime all proxies are ready and all controllers serve reads.
+func (r *run) checkRecovery(ctx context.Context, when string) {
+	deadline := time.Now().Add(recoveryTime)
+	unhealthy := r.unhealthyNodes(ctx)
+	for len(unhealthy) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		wait(ctx, clientRetry)
-		ill = r.illNodes(ctx)
+		unhealthy = r.unhealthyNodes(ctx)
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	for node, text := range ill {
-		r.findings.add(finding{node: node, text: fmt.Sprintf("not healed %v %s: %s", healTime, when, text)})
+	for node, text := range unhealthy {
+		r.findings.add(finding{node: node, text: fmt.Sprintf("not healed %v %s: %s", recoveryTime, when, text)})
 	}
 }
 
-// illNodes returns what is wrong with nodes, by name.
-func (r *run) illNodes(ctx context.Context) map[string]string {
-	ill := map[string]string{}
+// unhealthyNodes returns a description of the failure of each unhealthy node, by name.
+func (r *run) unhealthyNodes(ctx context.Context) map[string]string {
+	unhealthy := map[string]string{}
 	for i := range r.plan.Proxies {
 		url := "http://" + r.cluster.ReadinessAddress(i) + "/api/ready"
 		if status, _ := r.get(ctx, url, readTimeout); status != http.StatusOK {
-			ill[cluster.ProxyName(i)] = fmt.Sprint("readiness ", status)
+			unhealthy[cluster.ProxyName(i)] = fmt.Sprint("readiness ", status)
 		}
 	}
 	for i, zone := range cluster.ZoneNames() {
 		if !r.checkRead(ctx, i) {
-			ill[cluster.ControllerName(zone)] = "the configuration can't be read"
+			unhealthy[cluster.ControllerName(zone)] = "the configuration can't be read"
 		}
 	}
-	return ill
+	return unhealthy
 }
 
-// checkEnd checks the state at the end: everything acknowledged is in force at every proxy, backends that were removed
-// got nothing, and no process holds more than before.
+// checkEnd checks the final state: all acknowledged orders are in effect at all proxies, removed backends received no
+// late requests, no node exited unexpectedly, and no process leaks descriptors.
 func (r *run) checkEnd(ctx context.Context) {
-	wait(ctx, calmBound+clientRetry)
-	for _, route := range r.book.names() {
-		if len(route) > len("big-") && route[:len("big-")] == "big-" {
-			continue // thousands; a few were probed meanwhile
+	wait(ctx, propagationBound+clientRetry)
+	for _, route := range r.routes.names() {
+		if len(route) > len(bigRoutePrefix) && route[:len(bigRoutePrefix)] == bigRoutePrefix {
+			continue // too many to probe each; probeLoop has probed some
 		}
 		for i := range r.plan.Proxies {
 			if sent := r.probe(ctx, i, route, 0); ctx.Err() == nil {
-				r.judgeAndCount(sent)
-				r.judgeFinal(sent)
+				r.checkAndCount(sent)
+				r.checkFinalProbe(sent)
 			}
 		}
 	}
@@ -258,20 +267,20 @@
 	for err := r.cluster.Err(); err != nil; err = r.cluster.Err() {
 		r.findings.add(finding{text: err.Error()})
 	}
-	wait(ctx, quietTime)
-	r.counts.measure("after", r.cluster.ProcessIDs())
+	wait(ctx, idleTime)
+	r.counts.recordUsage("after", r.cluster.ProcessIDs())
 	for node, text := range r.counts.leaks() {
 		r.findings.add(finding{node: node, text: text})
 	}
 }
 
-// judgeFinal checks a probe of a route that is known to be there, when everything is calm.
-func (r *run) judgeFinal(sent *probe) {
+// checkFinalProbe checks that a route that must exist is served when the system is undisturbed.
+func (r *run) checkFinalProbe(sent *probe) {
 	want := sent.want
-	if want.uncertain || want.service == "" || sent.heldAnother {
+	if want.uncertain || want.service == "" || sent.stateChanged {
 		return
 	}
-	if sent.status/100 != 2 && sent.status != http.StatusNotFound { // a 404 is a finding already
+	if sent.status/100 != 2 && sent.status != http.StatusNotFound { // checkProbe has reported a 404
 		r.findings.add(finding{at: sent.sentAt, node: sent.proxy,
 			text: fmt.Sprintf("route %s got %d when all was calm", sent.route, sent.status)})
 	}
--- a/internal/testbed/soak/timeline.go
+++ b/internal/testbed/soak/timeline.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// samplePeriod is the distance of the samples of a timeline.
+// samplePeriod is the period of the samples of a timeline.
 const samplePeriod = time.Second
 
-// ageMetric is the figure of a proxy that tells how old its configuration is.
+// ageMetric is the metric of a proxy for the age of its configuration.
 const ageMetric = "sagelever_configuration_age_seconds "
 
 // sampleLoop samples the timeline until the context ends.
@@ -19,20 +19,20 @@
 	for ctx.Err() == nil {
 		wait(ctx, samplePeriod)
 		records := r.requests.all()
-		answers := map[int]int{}
+		responses := map[int]int{}
 		for _, record := range records[counted:] {
-			answers[record.status]++
+			responses[record.status]++
 		}
 		counted = len(records)
-		moment := sample{at: time.Since(r.startedAt), answers: answers, oldest: r.oldestConfiguration(ctx)}
+		entry := sample{at: time.Since(r.startedAt), responses: responses, maxConfigAge: r.maxConfigAge(ctx)}
 		r.counts.mu.Lock()
-		r.counts.samples = append(r.counts.samples, moment)
+		r.counts.samples = append(r.counts.samples, entry)
 		r.counts.mu.Unlock()
 	}
 }
 
-// oldestConfiguration returns the greatest age of the configuration of a proxy that tells it.
-func (r *run) oldestConfiguration(ctx context.Context) (oldest time.Duration) {
+// maxConfigAge returns the maximum configuration age among the proxies that report it.
+func (r *run) maxConfigAge(ctx context.Context) (age time.Duration) {
 	for i := range r.plan.Proxies {
 		_, page := r.get(ctx, "http://"+r.cluster.ReadinessAddress(i)+"/metrics", samplePeriod/4)
 		for line := range strings.Lines(string(page)) {
@@ -41,9 +41,9 @@
 				continue
 			}
 			if seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64); err == nil {
-				oldest = max(oldest, time.Duration(seconds*float64(time.Second)))
+				age = max(age, time.Duration(seconds*float64(time.Second)))
 			}
 		}
 	}
-	return oldest
+	return age
 }
