--- a/internal/testbed/hollow/backend.go
+++ b/internal/testbed/hollow/backend.go
@@ -20,7 +20,7 @@
 	maxAcknowledgementBytes = 4 << 10
 )
 
-// Backend is a hollow backend. It sends heartbeats over a connection of its own; nothing listens at its address.
+// Backend is a hollow backend. It sends heartbeats over its own connection. Nothing listens at its address.
 type Backend struct {
 	Meter             Meter
 	id                string
@@ -39,7 +39,7 @@
 	return b
 }
 
-// run sends heartbeats until the context ends, the first one after a delay.
+// run sends heartbeats until the context ends, beginning after a delay.
 func (b *Backend) run(ctx context.Context, delay time.Duration) {
 	defer b.client.CloseIdleConnections()
 	sleep(ctx, delay)
--- a/internal/testbed/hollow/launch.go
+++ b/internal/testbed/hollow/launch.go
@@ -12,7 +12,8 @@
 	"sagelever/internal/settings"
 )
 
-// Ports of the processes. They are the same on all hosts, as in a deployment, and below the range of ephemeral ports.
+// Ports of the processes. They are the same for all processes, as in a deployment, and below the range of ephemeral
+// ports.
 const (
 	peerPort      = 21300
 	lastPeerPort  = 21301
@@ -22,13 +23,13 @@
 	readinessPort = "21305"
 )
 
-// Last bytes of the hosts' addresses.
+// Last bytes of the IP addresses of the first controller and the first proxy.
 const (
 	firstControllerHost = 2
 	firstProxyHost      = 120
 )
 
-// launch writes a settings file as the platform does, and starts a process with it.
+// launch writes the settings file of a process and starts the process.
 func (b *Testbed) launch(role string, i int, zone string) (*Process, error) {
 	node := fmt.Sprintf("%s-%d", role, i)
 	ip := b.host(firstControllerHost + i)
@@ -75,13 +76,13 @@
 	}
 }
 
-// formatMillis formats a duration as in settings files.
+// formatMillis formats a duration as milliseconds, as settings files do.
 func formatMillis(d time.Duration) string { return fmt.Sprint(d.Milliseconds(), "ms") }
 
-// host returns the address with the given last byte.
+// host returns the IP address with the given last byte.
 func (b *Testbed) host(lastByte int) string { return fmt.Sprint(b.network, lastByte) }
 
-// controllerAddresses returns the addresses at which controllers take the calls of operators and backends.
+// controllerAddresses returns the addresses at which controllers accept calls of operators and backends.
 func (b *Testbed) controllerAddresses() (addresses []string) {
 	for i := range b.options.Controllers {
 		addresses = append(addresses, net.JoinHostPort(b.host(firstControllerHost+i), controlPort))
--- a/internal/testbed/hollow/load.go
+++ b/internal/testbed/hollow/load.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	probeRoute       = "r-probe" // the route that is changed
-	routesPerService = 21        // as in the deployments to be supported: 16,000 routes to 760 services
+	probeRoute       = "r-probe" // route that Testbed.Change updates
+	routesPerService = 21        // as in the target deployments: 16,000 routes to 760 services
 	firstVersion     = 1
 )
 
@@ -35,7 +35,7 @@
 	return config.Item{Type: kind, Metadata: metadata, Body: encoded}, nil
 }
 
-// routeBody returns a route of the configuration, as long as those of real deployments.
+// routeBody returns a route of the configuration. Its encoding is as long as those of real deployments.
 func (b *Testbed) routeBody(i int) config.RouteBody {
 	route := config.RouteBody{
 		Host:          fmt.Sprintf("h%06d.example", i),
@@ -54,7 +54,7 @@
 	return route
 }
 
-// probeItem returns a version of the route that is changed. The versions differ in the timeout.
+// probeItem returns a version of the probe route. The versions differ in the timeout.
 func (b *Testbed) probeItem(version uint64) (config.Item, error) {
 	return newItem(config.KindRoutes, probeRoute, version, config.RouteBody{
 		Host:          "probe.example",
@@ -68,8 +68,8 @@
 	})
 }
 
-// configuration returns all items in an order in which they can be loaded: services and tenants before the routes that
-// name them.
+// configuration returns all items in a valid order for loading: services and tenants before the routes that refer to
+// them.
 func (b *Testbed) configuration() (items []config.Item, err error) {
 	add := func(kind, name string, body any) {
 		item, itemErr := newItem(kind, name, firstVersion, body)
@@ -105,17 +105,17 @@
 	return append(items, probe), err
 }
 
-// LoadResult is how long it took to load the configuration. If loading failed, it covers the calls that succeeded.
+// LoadResult holds the durations of loading the configuration. If loading failed, it covers the calls that succeeded.
 type LoadResult struct {
 	Items       int
 	Calls       int
 	Duration    time.Duration // of all calls
-	FirstCall   time.Duration // of one call, including retries
+	FirstCall   time.Duration // including retries
 	LastCall    time.Duration
 	SlowestCall time.Duration
 }
 
-// add adds a call that has succeeded.
+// add records a successful call.
 func (r *LoadResult) add(items int, duration time.Duration) {
 	if r.Calls == 0 {
 		r.FirstCall = duration
@@ -152,7 +152,7 @@
 	return result, nil
 }
 
-// putItems makes one settings.change call.
+// putItems adds or replaces items in one settings.change call.
 func putItems(ctx context.Context, controlClient *client.Client, items []config.Item) error {
 	request := config.ChangeRequest{PutItems: config.ItemList{Items: items}, Remove: map[string][]config.ItemRef{}}
 	body, err := easyjson.Marshal(&request)
--- a/internal/testbed/hollow/meter.go
+++ b/internal/testbed/hollow/meter.go
@@ -15,14 +15,14 @@
 	dialTimeout = time.Second
 )
 
-// Traffic counts what was transferred over connections, seen from the side that opened them.
+// Traffic counts bytes and requests of connections, as seen by the side that opened them.
 type Traffic struct {
-	Sent     int64 `json:"sent"`     // payload bytes of TCP, including the headers of HTTP
-	Received int64 `json:"received"` // payload bytes of TCP, including the headers of HTTP
+	Sent     int64 `json:"sent"`     // TCP payload bytes, including HTTP headers
+	Received int64 `json:"received"` // TCP payload bytes, including HTTP headers
 	Calls    int64 `json:"calls"`    // requests
 }
 
-// Add returns the sum of both.
+// Add returns the sum of two counts.
 func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{Sent: t.Sent + other.Sent, Received: t.Received + other.Received, Calls: t.Calls + other.Calls}
 }
@@ -53,12 +53,12 @@
 	return &meteredConn{Conn: conn, meter: m}, nil
 }
 
-// meteredConn counts its traffic. Requests and responses alternate in HTTP/1.1 without pipelining, so that the first
-// write after a read, or after the connection was opened, begins a request.
+// meteredConn counts the traffic of a connection. Without pipelining, requests and responses alternate in HTTP/1.1: the
+// first write after a read, or after the connection was opened, begins a request.
 type meteredConn struct {
 	net.Conn
 	meter      *Meter
-	requesting atomic.Bool // there was a write after the last read
+	requesting atomic.Bool // there has been a write since the last read
 }
 
 func (c *meteredConn) Write(data []byte) (int, error) {
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -17,17 +17,17 @@
 	"sagelever/internal/settings"
 )
 
-// Roles of real processes, as in their settings.
+// Roles of real processes, as written in their settings.
 const (
 	RoleController = "member"
 	RoleProxy      = "relay"
 )
 
-// stopTimeout is how long Process.Stop waits for the end of a process.
+// stopTimeout is how long Process.Stop waits for a process to exit.
 const stopTimeout = 10 * time.Second
 
-// Serve runs a real process of a testbed until the input ends: the role with its settings file. It replies to each line
-// of input with a line that has the traffic of the connections that it has opened, as JSON.
+// Serve runs a role with a settings file as a process of a testbed until the input ends. For each line of input it
+// writes a line with the traffic of the connections that the process has opened, as JSON.
 func Serve(role, settingsFile string, in io.Reader, out io.Writer) error {
 	nodeSettings, err := settings.Read(settingsFile)
 	if err != nil {
@@ -40,9 +40,10 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	// It ends with the input or the process: a read of the input cannot be interrupted.
+	// The goroutine may outlive ctx until the input or the process ends, because a read of the input cannot be
+	// interrupted.
 	go func() {
-		defer stop() // the testbed has ended
+		defer stop() // the testbed has closed the input
 		encoder := json.NewEncoder(out)
 		for lines := bufio.NewScanner(in); lines.Scan(); {
 			if encoder.Encode(meter.Read()) != nil {
@@ -70,9 +71,9 @@
 	return nil, errors.Errorf("unknown role %q", role)
 }
 
-// Process is a running process of a testbed, or a part of the testbed's own process that stands in for one.
+// Process is a running process of a testbed, or a role that runs within the process of the testbed.
 type Process struct {
-	PID     int // 0 if it is part of the testbed's process
+	PID     int // 0 if the role runs within the process of the testbed
 	in      io.WriteCloser
 	out     *bufio.Reader
 	stopped chan error // receives the result once
@@ -110,7 +111,7 @@
 	}
 }
 
-// InProcess is a LaunchFunc that runs the role within the calling process. It cannot be killed.
+// InProcess is a LaunchFunc that runs the role within the calling process. Such a role cannot be killed.
 func InProcess(role, settingsFile string) (*Process, error) {
 	inReader, inWriter := io.Pipe()
 	outReader, outWriter := io.Pipe()
@@ -132,11 +133,11 @@
 	return traffic, err
 }
 
-// ErrNotStopped is returned for a process that did not end by itself and was killed.
+// ErrNotStopped is returned if a process did not exit within stopTimeout and was killed.
 var ErrNotStopped = errors.New("process did not stop and was killed")
 
-// Stop ends the input of the process and waits for its end. After stopTimeout it kills the process and returns
-// ErrNotStopped.
+// Stop closes the input of the process and waits until the process exits. After stopTimeout it kills the process and
+// returns ErrNotStopped.
 func (p *Process) Stop() error {
 	p.in.Close()
 	timer := time.NewTimer(stopTimeout)
--- a/internal/testbed/hollow/proxy.go
+++ b/internal/testbed/hollow/proxy.go
@@ -15,22 +15,22 @@
 	"sagelever/internal/rpc"
 )
 
-// Timing of pulls, which is that of a real proxy.
+// Timing of pulls, equal to that of a real proxy.
 const (
-	retryInterval = 100 * time.Millisecond // before the next controller is asked
-	pullSlack     = time.Second            // by which the reply may be later than the pull waits
-	// firstPullSlack is pullSlack of the first pull, which brings the whole configuration: many proxies send theirs at the
-	// same time.
+	retryInterval = 100 * time.Millisecond // before the next controller is tried
+	pullSlack     = time.Second            // how much longer than its wait time a pull may take
+	// firstPullSlack replaces pullSlack for the first pull, which returns the whole configuration and which many proxies
+	// send at the same time.
 	firstPullSlack = 20 * time.Second
 )
 
-// Proxy is a hollow proxy. It pulls from the controllers as a real one does and holds a lease. Of what it receives it
-// only keeps its progress and some counts.
+// Proxy is a hollow proxy. It holds a lease and pulls from the controllers like a real proxy, but stores only its
+// progress and some counts.
 type Proxy struct {
 	Meter         Meter
-	member        message.Member // how it identifies itself
+	member        message.Member // identity in pull requests
 	listenAddress string
-	sources       []string // addresses of the controllers, that of its own zone first
+	sources       []string // addresses of the controllers, beginning with that of its own zone
 	wait          time.Duration
 	client        *http.Client
 	tracker       *PropagationTracker
@@ -38,9 +38,9 @@
 	// Used by the goroutine of run only, and by releaseLease after it.
 	progress    replication.Vector
 	incarnation uint64
-	surveyID    uint64 // of the last survey that it has replied to
+	surveyID    uint64 // of the last survey that the proxy has replied to
 
-	synced        atomic.Bool // has received the whole configuration
+	synced        atomic.Bool // the whole configuration was received
 	pulls         atomic.Int64
 	failures      atomic.Int64
 	items         atomic.Int64
@@ -65,7 +65,7 @@
 	return p
 }
 
-// run pulls until the context ends. The first pull takes a permit, so that a simultaneous start of all proxies does not
+// run pulls until the context ends. First pulls need a permit, so that the simultaneous start of all proxies does not
 // dominate the measurement.
 func (p *Proxy) run(ctx context.Context, permits chan struct{}) {
 	defer p.client.CloseIdleConnections()
@@ -81,14 +81,14 @@
 			sleep(ctx, retryInterval)
 			continue
 		}
-		repliedAtOnce := len(response.Items) == 0 && time.Since(started) < retryInterval
-		if repliedAtOnce { // such a controller must not be asked in a busy loop
+		emptyEarlyReply := len(response.Items) == 0 && time.Since(started) < retryInterval
+		if emptyEarlyReply { // prevents a busy loop with a controller that does not wait
 			sleep(ctx, retryInterval)
 		}
 	}
 }
 
-// pullOnce pulls once, with a permit if the proxy has not received the whole configuration yet.
+// pullOnce pulls once. It acquires a permit if the proxy has not received the whole configuration yet.
 func (p *Proxy) pullOnce(ctx context.Context, source string, permits chan struct{}) (*message.PullResponse, error) {
 	if p.synced.Load() {
 		return p.pull(ctx, source, p.wait, pullSlack)
@@ -102,7 +102,7 @@
 	return p.pull(ctx, source, 0, firstPullSlack)
 }
 
-// pull asks a controller for the items that the proxy lacks, and applies the response if the controller has a quorum.
+// pull requests new items from a controller, and applies the response if the controller has a quorum.
 func (p *Proxy) pull(ctx context.Context, source string, wait, slack time.Duration) (*message.PullResponse, error) {
 	request := p.newRequest()
 	request.WaitMs = wait.Milliseconds()
@@ -125,7 +125,7 @@
 	return response, nil
 }
 
-// newRequest returns a pull request with the fields that all have.
+// newRequest returns a pull request with the fields that all pull requests have in common.
 func (p *Proxy) newRequest() *message.PullRequest {
 	return &message.PullRequest{
 		From:            p.member,
@@ -163,7 +163,7 @@
 	p.synced.Store(true)
 }
 
-// releaseLease gives the lease back. If the message is lost, the lease expires.
+// releaseLease releases the lease. If the message is lost, the lease expires.
 func (p *Proxy) releaseLease() {
 	request := p.newRequest()
 	request.Ended = true
@@ -173,10 +173,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pullSlack)
 	defer cancel()
-	_ = rpc.Post(ctx, p.client, p.sources[0], message.PullPath, body, nil) // on an error the lease expires
+	_ = rpc.Post(ctx, p.client, p.sources[0], message.PullPath, body, nil) // if the call fails, the lease expires
 }
 
-// sleep waits for a duration or the end of the context.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testbed/hollow/report.go
+++ b/internal/testbed/hollow/report.go
@@ -9,8 +9,9 @@
 // kilobyte is the unit of memory in reports.
 const kilobyte = 1 << 10
 
-// String returns the report: a line for each part, with names and values. The names are stable, since measurements are
-// compared by them; member, relay, agent and appliance are a controller, a real proxy, a hollow proxy and a backend.
+// String returns the report as lines of key=value pairs. The keys are stable, because measurements of different
+// versions are compared by them. The roles member, relay, agent and appliance are controllers, real proxies, hollow
+// proxies and backends.
 func (r *Result) String() string {
 	var out strings.Builder
 	r.writeSize(&out)
@@ -43,7 +44,7 @@
 		meanMemoryKB(r.IdleUsage), meanMemoryKB(r.LoadedUsage), peakMemoryKB(r.LoadedUsage))
 }
 
-// writeStart writes the start of the proxies, if there were any.
+// writeStart writes the resource use of the start of the proxies, if there are any.
 func (r *Result) writeStart(out *strings.Builder) {
 	if r.Options.Proxies == 0 || r.StartDuration == 0 {
 		return
@@ -55,18 +56,18 @@
 		float64(r.InitialItems)/proxies, r.InitialBytes, float64(r.InitialTraffic.Received)/proxies)
 }
 
-// phase is the use of resources between two samples.
+// phase is a part of a run between two samples.
 type phase struct {
 	name    string
 	options Options
 	before  Sample
 	after   Sample
-	divisor float64 // seconds or changes
-	unit    string  // of the divisor
+	divisor float64 // number of seconds or changes
+	unit    string  // unit of the divisor
 }
 
-// writePhase writes what each role used between two samples: in each second or, if there were changes, for each of
-// them.
+// writePhase writes the resource use of each role between two samples, per change if changes is positive and per second
+// otherwise.
 func (r *Result) writePhase(out *strings.Builder, name string, samples [2]Sample, changes int) {
 	before, after := samples[0], samples[1]
 	if before.At.IsZero() || after.At.IsZero() {
@@ -88,12 +89,12 @@
 	}
 }
 
-// each returns a total divided by the number of nodes and by the divisor.
-func (p *phase) each(total int64, nodes int) float64 {
+// perNode returns a total per node and unit.
+func (p *phase) perNode(total int64, nodes int) float64 {
 	return float64(total) / float64(max(1, nodes)) / p.divisor
 }
 
-// cpuMillis converts seconds of processor time to milliseconds for each unit.
+// cpuMillis converts seconds of processor time to milliseconds per unit.
 func (p *phase) cpuMillis(seconds float64) float64 { return 1000 * seconds / p.divisor }
 
 func (p *phase) writeControllers(out *strings.Builder) {
@@ -104,12 +105,13 @@
 	fmt.Fprintf(out, "%s role=member cpu_ms_per_%s=%.2f busiest=%.2f",
 		p.name, p.unit, p.cpuMillis(mean), p.cpuMillis(busiest))
 	fmt.Fprintf(out, " core_calls=%.2f core_sent_b=%.0f rss_kb=%d peak_kb=%d\n",
-		p.each(internal.Calls, count), p.each(internal.Sent+internal.Received, count),
+		p.perNode(internal.Calls, count), p.perNode(internal.Sent+internal.Received, count),
 		meanMemoryKB(p.after.Controllers), peakMemoryKB(p.after.Controllers))
-	// What the callers sent is what the controllers received, and the other way round.
+	// The traffic is counted by the callers: the bytes that they sent are those that the controllers received, and vice
+	// versa.
 	served := p.proxyTraffic().Add(p.backendTraffic()).Add(p.realProxyTraffic())
 	fmt.Fprintf(out, "%s role=member served_calls=%.2f served_sent_b=%.0f served_received_b=%.0f\n",
-		p.name, p.each(served.Calls, count), p.each(served.Received, count), p.each(served.Sent, count))
+		p.name, p.perNode(served.Calls, count), p.perNode(served.Received, count), p.perNode(served.Sent, count))
 }
 
 func (p *phase) writeHollowProcess(out *strings.Builder) {
@@ -122,15 +124,16 @@
 	count := p.options.Proxies
 	traffic := p.proxyTraffic()
 	fmt.Fprintf(out, "%s role=agent pulls=%.3f sent_b=%.1f received_b=%.1f items=%.3f failures=%d\n", p.name,
-		p.each(p.after.Pulls-p.before.Pulls, count), p.each(traffic.Sent, count), p.each(traffic.Received, count),
-		p.each(p.after.Items-p.before.Items, count), p.after.FailedPulls-p.before.FailedPulls)
+		p.perNode(p.after.Pulls-p.before.Pulls, count), p.perNode(traffic.Sent, count), p.perNode(traffic.Received, count),
+		p.perNode(p.after.Items-p.before.Items, count), p.after.FailedPulls-p.before.FailedPulls)
 }
 
 func (p *phase) writeBackends(out *strings.Builder) {
 	count := p.options.Backends
 	traffic := p.backendTraffic()
 	fmt.Fprintf(out, "%s role=appliance pulses=%.3f sent_b=%.1f received_b=%.1f missed=%d\n", p.name,
-		p.each(p.after.Heartbeats-p.before.Heartbeats, count), p.each(traffic.Sent, count), p.each(traffic.Received, count),
+		p.perNode(p.after.Heartbeats-p.before.Heartbeats, count),
+		p.perNode(traffic.Sent, count), p.perNode(traffic.Received, count),
 		p.after.FailedHeartbeats-p.before.FailedHeartbeats)
 }
 
@@ -139,7 +142,7 @@
 	mean := meanCPUSeconds(p.after.RealProxies) - meanCPUSeconds(p.before.RealProxies)
 	traffic := p.realProxyTraffic()
 	fmt.Fprintf(out, "%s role=relay cpu_ms_per_%s=%.2f sent_b=%.1f received_b=%.1f rss_kb=%d peak_kb=%d\n", p.name, p.unit,
-		p.cpuMillis(mean), p.each(traffic.Sent, count), p.each(traffic.Received, count),
+		p.cpuMillis(mean), p.perNode(traffic.Sent, count), p.perNode(traffic.Received, count),
 		meanMemoryKB(p.after.RealProxies), peakMemoryKB(p.after.RealProxies))
 }
 
--- a/internal/testbed/hollow/report_test.go
+++ b/internal/testbed/hollow/report_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// exampleResult has a different value in each field of the report.
+// exampleResult returns a result with a different value in each field of the report.
 func exampleResult() *Result {
 	started := time.Unix(1_000, 0)
 	usage := func(cpu time.Duration, megabytes int64) []Usage {
@@ -68,7 +68,7 @@
 	}
 }
 
-// The keys and formats of the report stay as they are: earlier measurements are compared with later ones by them.
+// The keys and formats of the report must not change, because measurements of different versions are compared by them.
 func TestReportFormat(t *testing.T) {
 	t.Parallel()
 	want, err := os.ReadFile("testdata/report.txt")
--- a/internal/testbed/hollow/run.go
+++ b/internal/testbed/hollow/run.go
@@ -14,7 +14,7 @@
 	"sagelever/internal/control/config"
 )
 
-// Propagation is how long after it was sent a change was acknowledged, and how long until half, 99 % and all of the
+// Propagation holds the times from sending a change until it was acknowledged, and until half, 99 % and all of the
 // hollow proxies had received it.
 type Propagation struct {
 	Acknowledged time.Duration
@@ -23,7 +23,7 @@
 	All          time.Duration
 }
 
-// Change makes one change and waits until every hollow proxy has received it.
+// Change updates the probe route and waits until all hollow proxies have received the new version.
 func (b *Testbed) Change(ctx context.Context) (propagation Propagation, err error) {
 	b.version++
 	probe, err := b.probeItem(b.version)
@@ -54,26 +54,26 @@
 	return propagation, nil
 }
 
-// Result is what was measured in a run.
+// Result holds the measurements of a run.
 type Result struct {
 	Options              Options
 	Load                 LoadResult
-	IdleUsage            []Usage // of the controllers before anything is loaded
+	IdleUsage            []Usage // of the controllers before the configuration is loaded
 	LoadedUsage          []Usage // of the controllers after loading
-	StartedUsage         []Usage // of the controllers after the start of the proxies, whether it succeeded or timed out
+	StartedUsage         []Usage // of the controllers after the proxies have started or their start has timed out
 	StartDuration        time.Duration
-	InitialTraffic       Traffic // of the hollow proxies until each had the whole configuration
-	InitialItems         int64   // that all hollow proxies received until then
-	InitialBytes         int64   // of keys and bodies, uncompressed, that one hollow proxy received until then
+	InitialTraffic       Traffic // of the hollow proxies until all had the whole configuration
+	InitialItems         int64   // that all hollow proxies together received until then
+	InitialBytes         int64   // uncompressed keys and bodies that one hollow proxy received until then
 	Steady               [2]Sample
 	Changing             [2]Sample
 	Propagations         []Propagation
-	VersionVectorEntries int64 // of the progress of one hollow proxy
+	VersionVectorEntries int64 // in the progress of one hollow proxy
 	DiskBytes            int64 // of one controller
-	HollowBytes          int64 // of heap and stacks of the testbed's process
+	HollowBytes          int64 // heap and stacks of the testbed's process
 }
 
-// Run runs a testbed from start to end. If it fails, the result has what was measured before.
+// Run runs a testbed from start to end. If it fails, the result holds the measurements up to the failure.
 func Run(ctx context.Context, o Options) (r *Result, err error) {
 	r = &Result{Options: o}
 	b, err := Open(ctx, o)
@@ -105,8 +105,8 @@
 	return r, nil
 }
 
-// measureStart loads the configuration and starts the proxies. The usage of the controllers is also read if either
-// fails, because it tells what they were busy with.
+// measureStart loads the configuration and starts the proxies. It reads the resource usage of the controllers even if
+// either step fails, because the usage helps to find the cause.
 func (b *Testbed) measureStart(ctx context.Context, r *Result) (err error) {
 	r.IdleUsage, _, err = sampleProcesses(b.controllers)
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	r.StartDuration, err = b.StartProxies(ctx)
 	if err != nil {
-		r.StartedUsage, _, _ = sampleProcesses(b.controllers) // the first error is the one to return
+		r.StartedUsage, _, _ = sampleProcesses(b.controllers) // the error of the start is more useful
 		return err
 	}
 	return nil
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// directorySize returns the total size of the files in a directory. A controller may replace files meanwhile: those
-// that vanish are left out.
+// directorySize returns the total size of the files in a directory. It ignores files that a controller removes
+// concurrently.
 func directorySize(dir string) (size int64, err error) {
 	err = filepath.WalkDir(dir, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
--- a/internal/testbed/hollow/sample.go
+++ b/internal/testbed/hollow/sample.go
@@ -8,20 +8,20 @@
 	"github.com/go-faster/errors"
 )
 
-// Sample is the counters of a testbed at one moment.
+// Sample holds the counters of a testbed at one time.
 type Sample struct {
 	At                time.Time
 	Controllers       []Usage // by process; empty if they share the process of the testbed
 	RealProxies       []Usage // by process; empty if they share the process of the testbed
 	Hollow            Usage   // of the process of the testbed
-	ControllerTraffic Traffic // of the connections between controllers, all together
+	ControllerTraffic Traffic // of all connections between controllers
 	RealProxyTraffic  Traffic // of the connections that real proxies opened to controllers
 	ProxyTraffic      Traffic // of the connections that hollow proxies opened
 	BackendTraffic    Traffic
 	Pulls             int64 // of hollow proxies
 	FailedPulls       int64
-	Items             int64 // that hollow proxies received
-	Heartbeats        int64 // that were acknowledged
+	Items             int64 // received by hollow proxies
+	Heartbeats        int64 // acknowledged heartbeats of hollow backends
 	FailedHeartbeats  int64
 }
 
@@ -54,12 +54,12 @@
 	return s, nil
 }
 
-// sampleProcesses returns the usage of each process that is separate from the testbed's, and the traffic of all.
+// sampleProcesses returns the resource usage of each separate process, and the total traffic of all processes.
 func sampleProcesses(processes []*Process) (usages []Usage, total Traffic, err error) {
 	for _, process := range processes {
 		traffic, err := process.Traffic()
 		if err != nil {
-			return nil, total, errors.Wrap(err, "read the traffic of a process")
+			return nil, total, errors.Wrap(err, "read traffic of process")
 		}
 		total = total.Add(traffic)
 		if process.PID == 0 {
--- a/internal/testbed/hollow/start.go
+++ b/internal/testbed/hollow/start.go
@@ -13,8 +13,8 @@
 	"sagelever/internal/lease"
 )
 
-// StartProxies starts the real and the hollow proxies and the backends. It waits until each hollow proxy has the whole
-// configuration and each backend's heartbeat is acknowledged, and returns how long that took.
+// StartProxies starts the real and the hollow proxies and the backends. It waits until all hollow proxies have the
+// whole configuration and a heartbeat of each backend is acknowledged, and returns the time that this took.
 func (b *Testbed) StartProxies(ctx context.Context) (time.Duration, error) {
 	started := time.Now()
 	for i := range b.options.RealProxies {
@@ -45,7 +45,7 @@
 	}
 }
 
-// startBackends starts the backends with their heartbeats spread over the interval.
+// startBackends starts the backends. Their heartbeats are spread evenly over the heartbeat interval.
 func (b *Testbed) startBackends(ctx context.Context) {
 	for i := range b.options.Backends {
 		zone := i % len(b.zones)
--- a/internal/testbed/hollow/testbed.go
+++ b/internal/testbed/hollow/testbed.go
@@ -1,7 +1,7 @@
-// Package hollow is a testbed for control groups of sizes that one machine cannot run in full. Real controllers and, if
-// asked for, real proxies run as processes of their own on loopback, beside many hollow proxies and backends in one
+// Package hollow is a testbed for control groups that are too large to run in full on one machine. Real controllers and
+// optionally real proxies run as separate processes on loopback, together with many hollow proxies and backends in one
 // process. Like the hollow nodes of kubemark, these exchange the real messages over real connections but carry no
-// traffic. What each role sends, receives and uses is measured at its own connections and its own process.
+// traffic. The traffic and the resource usage of each role are measured at its own connections and its own process.
 package hollow
 
 import (
@@ -20,41 +20,41 @@
 	"sagelever/internal/control/config"
 )
 
-// Options are the size of a testbed.
+// Options configure a testbed.
 type Options struct {
-	Controllers       int // each a process in a zone of its own; at least three
+	Controllers       int // each a process in its own zone; at least three
 	RealProxies       int // each a process
-	Proxies           int // hollow ones
-	Backends          int // hollow ones
+	Proxies           int // hollow proxies
+	Backends          int // hollow backends
 	Routes            int
 	Tenants           int
-	BatchSize         int           // items in one call while the configuration is loaded
-	LoadTimeout       time.Duration // for all of these calls
-	Changes           int           // made one after another at the end
-	SettleTime        time.Duration // between the start and the steady phase; longer than a pull of a controller waits
-	SteadyTime        time.Duration // of the steady phase
+	BatchSize         int           // maximum number of items in a call that loads the configuration
+	LoadTimeout       time.Duration // for loading the whole configuration
+	Changes           int           // made sequentially at the end
+	SettleTime        time.Duration // from start to steady phase; must exceed the wait time of the controllers' pulls
+	SteadyTime        time.Duration // duration of the steady phase
 	HeartbeatInterval time.Duration // of the backends
-	DrainTimeout      time.Duration // as in the settings of the deployment; it bounds how long a pull waits
-	Launch            LaunchFunc    // starts the processes
-	Dir               string        // for the state and the settings files of the processes
+	DrainTimeout      time.Duration // as in the settings of the deployment; determines the wait time of pulls
+	Launch            LaunchFunc    // starts a process
+	Dir               string        // for the data and the settings files of the processes
 }
 
 const (
 	minControllers = 3
 	maxProcesses   = 100 // of each role
-	// concurrentFirstPulls is how many hollow proxies are sent the whole configuration at a time.
+	// concurrentFirstPulls is how many hollow proxies receive the whole configuration at the same time.
 	concurrentFirstPulls = 32
 	// startTimeout bounds the start of the controllers, that of the proxies and the propagation of a change.
 	startTimeout = 2 * time.Minute
 )
 
-// testbedCount is the number of testbeds of this process. Each uses loopback addresses of its own.
+// testbedCount is the number of testbeds of this process. Each uses its own loopback addresses.
 var testbedCount atomic.Uint32
 
 // Testbed is a running testbed. Its methods must not be called concurrently.
 type Testbed struct {
 	options     Options
-	network     string // the first three bytes of its addresses, with the dots
+	network     string // first three bytes of all addresses, with a trailing dot
 	zones       []string
 	regions     map[string]string // by zone
 	controllers []*Process
@@ -67,8 +67,8 @@
 	running     sync.WaitGroup     // of the hollow proxies and backends
 }
 
-// Open starts the controllers and waits until they take calls. If it fails after it has started a process, it returns
-// the testbed along with the error, and the caller must close it.
+// Open starts the controllers and waits until they accept calls. If it fails after it has started a process, it returns
+// the testbed along with the error, and the caller must close the testbed.
 func Open(ctx context.Context, o Options) (*Testbed, error) {
 	if o.Controllers < minControllers || o.Controllers > maxProcesses || o.RealProxies > maxProcesses || o.BatchSize < 1 {
 		return nil, errors.Errorf("want %d to %d controllers, at most %d real proxies and a batch size of 1 or more",
@@ -96,13 +96,14 @@
 	return b, b.waitReady(ctx)
 }
 
-// waitReady waits until every controller takes calls, which it does once it reaches a majority of the others.
+// waitReady waits until all controllers accept calls. A controller does so once it reaches a majority of the
+// others.
 func (b *Testbed) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, address := range b.controllerAddresses() {
 		if err := client.New([]string{address}).Call(ctx, calls.SettingsRead, "", nil, nil); err != nil {
-			return errors.Wrap(err, "the controllers do not take calls")
+			return errors.Wrap(err, "controllers do not accept calls")
 		}
 	}
 	return nil
@@ -120,7 +121,7 @@
 	}
 }
 
-// Close stops everything. It returns one of the errors of the processes.
+// Close stops all nodes and processes. If several processes fail, it returns one of their errors.
 func (b *Testbed) Close() error {
 	b.stop()
 	b.running.Wait()
--- a/internal/testbed/hollow/tracker.go
+++ b/internal/testbed/hollow/tracker.go
@@ -11,8 +11,8 @@
 	register string
 
 	mu        sync.Mutex
-	versions  map[string]uint64 // the highest that was received, by proxy
-	awaited   uint64            // version; 0 if none
+	versions  map[string]uint64 // highest received version by proxy
+	awaited   uint64            // version that expect waits for; 0 if none
 	expected  int               // number of proxies
 	reachedAt []time.Time       // when proxies received the awaited version, in order
 	done      chan struct{}     // closed when all expected proxies have received it
@@ -22,7 +22,7 @@
 	return &PropagationTracker{register: register, versions: map[string]uint64{}}
 }
 
-// expect begins to wait for a version. The channel is closed once the given number of proxies has received it.
+// expect sets the awaited version. The returned channel is closed when the given number of proxies has received it.
 func (t *PropagationTracker) expect(version uint64, proxies int) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,9 +37,9 @@
 func (t *PropagationTracker) record(proxy string, version uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.versions[proxy]
-	t.versions[proxy] = max(before, version)
-	if t.awaited == 0 || before >= t.awaited || version < t.awaited {
+	previous := t.versions[proxy]
+	t.versions[proxy] = max(previous, version)
+	if t.awaited == 0 || previous >= t.awaited || version < t.awaited {
 		return
 	}
 	t.reachedAt = append(t.reachedAt, now)
--- a/internal/testbed/hollow/usage.go
+++ b/internal/testbed/hollow/usage.go
@@ -10,24 +10,24 @@
 	"github.com/go-faster/errors"
 )
 
-// Usage is the resources that a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
 	CPU    time.Duration // user and system time
-	Memory int64         // resident bytes now
-	Peak   int64         // largest number of resident bytes
+	Memory int64         // resident set size in bytes
+	Peak   int64         // peak resident set size in bytes
 }
 
 // clockTick is the unit of processor times under /proc on Linux (USER_HZ is 100; see proc(5)).
 const clockTick = 10 * time.Millisecond
 
-// Indexes of the fields of /proc/PID/stat after the name of the program, which is in parentheses and may contain
-// anything.
+// Indexes of fields in /proc/PID/stat, counted after the program name. The name is in parentheses and may contain any
+// character, including spaces and parentheses.
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 )
 
-// ReadUsage reads the usage of a process from /proc. It fails where there is none.
+// ReadUsage reads the usage of a process from /proc. It fails on systems without /proc.
 func ReadUsage(pid int) (usage Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -63,7 +63,8 @@
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// parseMemoryField returns the bytes in a line of /proc/PID/status such as "VmRSS:   123 kB"; 0 if there is none.
+// parseMemoryField returns the value in bytes of a line of /proc/PID/status such as "VmRSS:   123 kB", or 0 if there is
+// no such line.
 func parseMemoryField(status, name string) int64 {
 	for line := range strings.Lines(status) {
 		rest, ok := strings.CutPrefix(line, name)
@@ -88,7 +89,7 @@
 	return sum / float64(max(1, len(usages)))
 }
 
-// maxCPUSeconds returns the processor time of the process that used the most between two samples.
+// maxCPUSeconds returns the largest processor time that any process used between two samples.
 func maxCPUSeconds(before, after []Usage) (busiest float64) {
 	for i := range min(len(before), len(after)) {
 		busiest = max(busiest, (after[i].CPU - before[i].CPU).Seconds())
