--- a/internal/testbed/fakes/backend.go
+++ b/internal/testbed/fakes/backend.go
@@ -1,6 +1,6 @@
-// Package fakes plays what surrounds an agent, on loopback and by the project's own protocol pages: backends that can
-// be told to misbehave, and discovery. They record what they have seen, so that a test can compare it with what clients
-// were told.
+// Package fakes provides fakes of the services around an agent, on loopback: backends with configurable faults, and a
+// discovery service. They implement the documented protocols. The backends record the requests that they execute, so
+// that a test can compare them with the responses that clients received.
 package fakes
 
 import (
@@ -16,16 +16,16 @@
 	"sagelever/internal/agent/ws"
 )
 
-// Behavior is how a backend behaves.
+// Behavior determines how a backend handles requests and pings.
 type Behavior int
 
-// Behaviors.
+// The behaviors of a backend.
 const (
 	Healthy    Behavior = iota
-	Silent              // accepts connections and runs requests, and answers neither requests nor pings
-	PingOnly            // answers pings, and runs requests without answering them
-	Failing             // answers with an error
-	Overloaded          // rejects requests before it looks at them
+	Silent              // accepts connections and executes requests, but responds neither to requests nor to pings
+	PingOnly            // responds to pings, and executes requests without responding
+	Failing             // executes requests and responds with an error
+	Overloaded          // rejects requests without executing them
 )
 
 const (
@@ -34,7 +34,7 @@
 	writeTimeout = time.Second
 )
 
-// Backend is a backend that speaks WebSocket. For comparing rates it answers plain HTTP, too.
+// Backend is a fake backend for WebSocket. It also serves plain HTTP, to compare the rates of both.
 type Backend struct {
 	Name    string
 	Address string
@@ -45,11 +45,11 @@
 	latency   time.Duration
 	conns     map[*websocket.Conn]bool
 	runsByID  map[string]int
-	lastRun   time.Time // when the last request that it ran came
-	truncated int       // requests that were cut short, and not run
+	lastRun   time.Time // when the last executed request arrived
+	truncated int       // incomplete requests, which were not executed
 }
 
-// NewBackend starts a healthy backend whose responses take a latency.
+// NewBackend starts a healthy backend that delays each response by a latency.
 func NewBackend(name string, latency time.Duration) (*Backend, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -67,18 +67,18 @@
 	return b, nil
 }
 
-// serve serves until the server is closed.
+// serve accepts requests until the server is closed.
 func serve(server *http.Server, listener net.Listener) {
-	_ = server.Serve(listener) // it always returns an error, which says that the server was closed
+	_ = server.Serve(listener) // always returns an error, which is ErrServerClosed after Close
 }
 
-// Close ends the backend as a kill would: its connections break.
+// Close stops the backend abruptly, as a kill would, and closes its connections.
 func (b *Backend) Close() {
-	_ = b.server.Close() // it fails only if the listener is closed already
+	_ = b.server.Close() // fails only if the listener is already closed
 	b.BreakConnections()
 }
 
-// BreakConnections breaks all connections.
+// BreakConnections closes all connections without a closing handshake.
 func (b *Backend) BreakConnections() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,32 +88,33 @@
 }
 
 func closeNow(conn *websocket.Conn) {
-	_ = conn.CloseNow() // it fails only if it is closed already
+	_ = conn.CloseNow() // fails only if the connection is already closed
 }
 
-// SetBehavior changes the behavior, and the latency of responses.
+// SetBehavior sets the behavior and the latency of responses.
 func (b *Backend) SetBehavior(behavior Behavior, latency time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.behavior, b.latency = behavior, latency
 }
 
-// Observed returns how often the backend ran each id, when the last request that it ran came, and how many requests
-// were cut short.
+// Observed returns how often the backend executed each request by its ID, when the last executed request arrived, and
+// how many requests were incomplete.
 func (b *Backend) Observed() (runs map[string]int, last time.Time, truncated int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.runsByID), b.lastRun, b.truncated
 }
 
-// current returns the present behavior and latency.
+// current returns the current behavior and latency.
 func (b *Backend) current() (Behavior, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.behavior, b.latency
 }
 
-// ServeHTTP upgrades a connection and serves it until it breaks.
+// ServeHTTP upgrades a connection to WebSocket and serves it until it is closed. It handles other requests as plain
+// HTTP.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") == "" {
 		b.serveHTTP(w, r)
@@ -177,7 +178,7 @@
 	b.lastRun = time.Now()
 }
 
-// handle runs a request, by the behavior at this moment.
+// handle handles a request according to the current behavior.
 func (b *Backend) handle(conn *websocket.Conn, request ws.BackendRequest) {
 	behavior, latency := b.current()
 	response := ws.BackendResponse{
@@ -201,10 +202,10 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), writeTimeout)
 	defer stop()
-	_ = conn.Write(ctx, websocket.MessageBinary, response.Encode()) // the agent may have gone
+	_ = conn.Write(ctx, websocket.MessageBinary, response.Encode()) // fails if the agent has closed the connection
 }
 
-// serveHTTP answers a plain request well, and does not record it.
+// serveHTTP responds to a plain HTTP request with success and does not record it.
 func (b *Backend) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	_, latency := b.current()
 	time.Sleep(latency)
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// heartbeatInterval is how long a watch is silent at most.
+// heartbeatInterval is the maximum time between two lines of a watch.
 const heartbeatInterval = time.Second
 
-// Entry is a backend as discovery lists it.
+// Entry is a backend in the list of the discovery service.
 type Entry struct {
 	Name     string
 	Address  string
@@ -20,7 +20,7 @@
 	Draining bool
 }
 
-// instance is an entry as discovery writes it.
+// instance is the wire format of an entry.
 type instance struct {
 	ID          string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -33,25 +33,25 @@
 	Build       int     `json:"build"`
 }
 
-// catalog is a list as discovery writes it.
+// catalog is the wire format of the list.
 type catalog struct {
 	Generation int        `json:"generation"`
 	Instances  []instance `json:"instances"`
 	Reset      bool       `json:"reset"`
 }
 
-// Discovery lists backends, and sends each change to those who watch.
+// Discovery is a fake discovery service. It lists backends and sends each change of the list to its watches.
 type Discovery struct {
 	Address string
 	server  *http.Server
 
 	mu      sync.Mutex // guards the following
 	version int
-	body    string        // the list as it is written
+	body    string        // encoded list
 	changed chan struct{} // closed when the list changes
 }
 
-// NewDiscovery starts a discovery that lists no backend yet.
+// NewDiscovery starts a discovery service with an empty list.
 func NewDiscovery() (*Discovery, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -64,12 +64,12 @@
 	return d, nil
 }
 
-// Close ends the discovery; its watches break.
+// Close stops the discovery service and breaks its watches.
 func (d *Discovery) Close() {
-	_ = d.server.Close() // it fails only if the listener is closed already
+	_ = d.server.Close() // fails only if the listener is already closed
 }
 
-// SetEntries replaces the list. When it returns, the list is there to be written to those who watch.
+// SetEntries replaces the list and notifies the watches. Requests that arrive after it returns get the new list.
 func (d *Discovery) SetEntries(entries []Entry) {
 	list := catalog{Instances: []instance{}, Reset: true}
 	for _, entry := range entries {
@@ -93,14 +93,14 @@
 	list.Generation = d.version
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(fmt.Sprintf("a list that cannot be written: %v", err)) // it has nothing that JSON cannot write
+		panic(fmt.Sprintf("encode list: %v", err)) // cannot happen: all fields can be encoded
 	}
 	d.body = string(body)
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// ServeHTTP writes the list once or, for a watch, whenever it changes. A watch gets an empty line as a heartbeat.
+// ServeHTTP writes the list once or, for a watch, whenever it changes. A watch receives empty lines as heartbeats.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	watch := r.URL.Query().Get("watch") != ""
@@ -123,7 +123,7 @@
 	}
 }
 
-// current returns the list as it is written, and the channel that is closed when it changes.
+// current returns the encoded list and a channel that is closed when the list changes.
 func (d *Discovery) current() (body string, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
