--- a/cmd/loadtest/agent.go
+++ b/cmd/loadtest/agent.go
@@ -15,7 +15,8 @@
 	"sagelever/internal/agent/ws"
 )
 
-// agentSettings are the deployment settings of the agents under test: three workloads, one of each effect.
+// agentSettings are the deployment settings of the agents under test, with one workload for each of the three
+// semantics.
 const agentSettings = `{"balancers":1,"position":0,"tick":5,"registryMode":"automatic","classes":[
 	{"name":"look","semantics":"free","goalTime":300,"giveUp":750,"worth":1},
 	{"name":"keep","semantics":"guarded","group":"all","keyTtl":2000,"goalTime":600,"giveUp":2000,"worth":5},
@@ -25,44 +26,44 @@
 	"safety":{"answerSlack":50,"drainGrace":500},"familyInfo":{"voteWait":1000,"mostShares":[1]},
 	"telemetry":{"fields":["queue"],"source":"answers"}}`
 
-// webSocketPath is where clients upgrade, and where backends accept the upgrade.
+// webSocketPath is the path for WebSocket upgrades, both of clients at the agent and of the agent at backends.
 const webSocketPath = "/ws"
 
-// readyTimeout bounds the wait for an agent to start, and readyInterval is how often it is checked.
+// readyTimeout bounds the wait for an agent to start. Its health is polled every readyInterval.
 const (
 	readyTimeout  = 5 * time.Second
 	readyInterval = 10 * time.Millisecond
 )
 
-var errNotReady = errors.New("the agent does not start")
+var errNotReady = errors.New("agent did not become ready")
 
-// runningAgent is an agent in this process.
+// runningAgent is an agent that runs in this process.
 type runningAgent struct {
-	address string // host:port for clients
-	ended   <-chan error
+	address string       // host:port for clients
+	ended   <-chan error // receives the result of the agent once
 	cancel  context.CancelFunc
 }
 
-// stop ends the agent and returns the error that it ended with.
+// stop stops the agent and returns its error.
 func (a *runningAgent) stop() error {
 	a.cancel()
 	return <-a.ended
 }
 
-// startAgent starts an agent with a WebSocket listener beside HTTP, and waits until it is ready.
+// startAgent starts an agent that serves HTTP and WebSocket, and waits until it is ready.
 func startAgent(discoveryAddress string, seed uint64, log *slog.Logger) (*runningAgent, error) {
 	station, err := newStation(discoveryAddress, firstBuild, log)
 	if err != nil {
 		return nil, err
 	}
 	agent := httpagent.New(station)
-	// Connections to backends end after the agent has shut down.
+	// The connections to backends stay open until the agent has shut down.
 	backendsCtx, closeBackends := context.WithCancel(context.Background())
 	mountWebSocket(backendsCtx, agent, seed, log)
 	return runAgent(agent, station.Listen, closeBackends)
 }
 
-// mountWebSocket adds a listener for clients over WebSocket to an agent.
+// mountWebSocket adds a handler for WebSocket clients to an agent.
 func mountWebSocket(ctx context.Context, agent *httpagent.Agent, seed uint64, log *slog.Logger) {
 	backends := ws.NewBackendPool(ctx, webSocketPath, connpool.DefaultConfig, seed, log)
 	agent.OnBackends(func(endpoints []httpagent.BackendEndpoint) {
@@ -75,7 +76,7 @@
 	agent.Mount(webSocketPath, ws.NewServer(agent, backends, ws.DefaultLimits, log))
 }
 
-// runAgent runs an agent until stop, and waits until it is ready. It calls cleanUp when the agent has ended.
+// runAgent starts an agent and waits until it is ready. It calls cleanUp after the agent has stopped.
 func runAgent(agent *httpagent.Agent, address string, cleanUp func()) (*runningAgent, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -91,7 +92,7 @@
 	return running, nil
 }
 
-// newStation returns the configuration of an agent on a free port, to which a build has been released.
+// newStation returns the configuration of an agent on a free port for which a build is released.
 func newStation(discoveryAddress string, build int, log *slog.Logger) (*httpagent.Station, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,7 +111,7 @@
 	return station, station.Check()
 }
 
-// waitReady waits until an agent answers its health check.
+// waitReady waits until the health check of an agent succeeds.
 func waitReady(address string) error {
 	for range readyTimeout / readyInterval {
 		response, err := http.Get("http://" + address + "/_health")
--- a/cmd/loadtest/backends.go
+++ b/cmd/loadtest/backends.go
@@ -14,16 +14,18 @@
 const (
 	// firstBuild is the build of the backends at the start of an experiment.
 	firstBuild = 7
-	// backendLatency is how long a fake backend works on a request.
+	// backendLatency is how long a fake backend takes to respond.
 	backendLatency = 5 * time.Millisecond
-	// drainGrace is how long after the notice of its drain a backend may still receive requests. The settings of the
-	// agents name the same time.
+	// drainGrace is how long after the announcement of its drain a backend may still receive requests. It must equal
+	// safety.drainGrace in agentSettings.
 	drainGrace = 500 * time.Millisecond
-	// faultDuration is how long a backend misbehaves.
+	// faultDuration is how long a temporary fault lasts.
 	faultDuration = 700 * time.Millisecond
+	// faultStream selects the random number stream of the faults; those of the clients begin at 0.
+	faultStream = 1 << 32
 )
 
-// backendSet holds the backends of a run, and the discovery service that lists them.
+// backendSet holds the backends of a run and the discovery service that lists them.
 type backendSet struct {
 	discovery *fakes.Discovery
 
@@ -33,7 +35,7 @@
 	drainedAt  map[*fakes.Backend]time.Time // when the drain was announced
 }
 
-// newBackendSet starts a number of backends and the discovery service.
+// newBackendSet starts the discovery service and the given number of backends.
 func newBackendSet(count int) (*backendSet, error) {
 	discovery, err := fakes.NewDiscovery()
 	if err != nil {
@@ -49,7 +51,7 @@
 	return set, nil
 }
 
-// close ends the discovery service and all backends.
+// close stops the discovery service and all backends.
 func (s *backendSet) close() {
 	s.discovery.Close()
 	for _, backend := range s.all {
@@ -57,7 +59,7 @@
 	}
 }
 
-// add starts a backend and announces it.
+// add starts a backend and registers it with the discovery service.
 func (s *backendSet) add() error {
 	backend, err := fakes.NewBackend(fmt.Sprintf("box-%d", len(s.all)), backendLatency)
 	if err != nil {
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// announce makes discovery list the registered backends. If one of them is to drain, it is announced as draining, and
-// missing from later announcements.
+// announce updates the list of the discovery service to the registered backends. The backend draining, if not nil, is
+// listed as draining and removed from the registered backends, so that later updates omit it.
 func (s *backendSet) announce(draining *fakes.Backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,14 +94,14 @@
 	}
 }
 
-// observation is what the backends of a run have seen.
+// observation holds the records of all backends of a run.
 type observation struct {
-	runs           map[string]int // how often each message was run, by id
-	truncated      int            // messages that arrived incomplete and were not run
-	lateAfterDrain int            // backends that ran a message later than drainGrace after their drain was announced
+	runs           map[string]int // number of executions by message ID
+	truncated      int            // messages that arrived incomplete and were not executed
+	lateAfterDrain int            // backends that executed a message more than drainGrace after their drain was announced
 }
 
-// observe collects what all backends have seen.
+// observe collects the records of all backends.
 func (s *backendSet) observe() observation {
 	result := observation{runs: map[string]int{}}
 	for _, backend := range s.all {
@@ -115,25 +117,25 @@
 	return result
 }
 
-// faultKind is a fault that is injected into one backend.
+// faultKind is a kind of fault that is injected into a backend.
 type faultKind int
 
 const (
-	faultSilent     faultKind = iota // answers nothing for a while
-	faultPingOnly                    // answers pings only for a while
-	faultOverloaded                  // rejects everything for a while
-	faultKilled                      // breaks all its connections
-	faultDrained                     // drains, and another backend takes its place
+	faultSilent     faultKind = iota // responds to nothing for faultDuration
+	faultPingOnly                    // responds only to pings for faultDuration
+	faultOverloaded                  // rejects all messages for faultDuration
+	faultKilled                      // closes all its connections
+	faultDrained                     // drains and is replaced by another backend
 )
 
-// behaviors are those of the faults that last for a while.
+// behaviors are the backend behaviors of the temporary faults.
 var behaviors = map[faultKind]fakes.Behavior{
 	faultSilent:     fakes.Silent,
 	faultPingOnly:   fakes.PingOnly,
 	faultOverloaded: fakes.Overloaded,
 }
 
-// faultSchedule returns the faults of a run in an order that the random source determines.
+// faultSchedule returns the faults of a run in random order.
 func faultSchedule(rng *rand.Rand) []faultKind {
 	kinds := []faultKind{
 		faultSilent, faultPingOnly, faultKilled, faultDrained, faultOverloaded,
@@ -143,10 +145,10 @@
 	return kinds
 }
 
-// injectFaults injects one fault after another while clients send a number of messages, at even intervals of the count
+// injectFaults injects the faults of a run one after another while clients send messages, evenly spaced by the number
 // of sent messages. The seed determines the order and the backends. It returns how often each fault was injected.
 func (s *backendSet) injectFaults(messages int, seed uint64, sent *atomic.Int64) (map[faultKind]int, error) {
-	rng := rand.New(rand.NewPCG(seed, 1<<32))
+	rng := rand.New(rand.NewPCG(seed, faultStream))
 	injected := map[faultKind]int{}
 	kinds := faultSchedule(rng)
 	for i, kind := range kinds {
--- a/cmd/loadtest/client.go
+++ b/cmd/loadtest/client.go
@@ -18,37 +18,46 @@
 const (
 	// inFlightPerClient bounds the unanswered messages of one connection.
 	inFlightPerClient = 16
-	// answerTimeout bounds the wait for the last answers. The workloads give up after 2 s.
+	// answerTimeout bounds the wait for the last answers. It exceeds the deadlines of the workloads, which are 2 s or
+	// less.
 	answerTimeout = 3 * time.Second
-	// answerPollInterval is how often a client checks whether all its messages are answered.
+	// answerPollInterval is how often a client checks whether all its messages have been answered.
 	answerPollInterval = 5 * time.Millisecond
-	// secondAnswerWait is how long a client waits in the end for a wrong second answer to a message.
+	// secondAnswerWait is how long a client waits at the end to detect duplicate answers.
 	secondAnswerWait = 100 * time.Millisecond
 	// maxAnswerSize bounds a message to a client.
 	maxAnswerSize = 1 << 20
+	// rolloutPercent and idempotentPercent are the shares of messages of the workloads rollout-step and keep.
+	rolloutPercent    = 15
+	idempotentPercent = 25
+	// distinctKeys is the number of keys of messages.
+	distinctKeys = 500
+	// maxRolloutBody bounds the body of a rollout-step message in bytes.
+	maxRolloutBody = 20000
 )
 
-// answerRecord is what a client knows of one message.
+// answerRecord records the answers to one message.
 type answerRecord struct {
-	rollout bool // of the workload that must run at most once
+	rollout bool // of the workload that must be executed at most once
 	sentAt  time.Time
-	types   []string // of all answers
-	bodyOK  bool     // the last answer had the right body
+	types   []string // type of each answer
+	bodyOK  bool     // the last answer had the expected body
 	latency time.Duration
 }
 
 // client sends messages over one WebSocket connection and records the answers.
 type client struct {
-	number int // distinguishes the ids of its messages from those of other clients
+	number int // prefix of the message IDs; unique among the clients of a run
 	conn   *websocket.Conn
-	slots  chan struct{} // holds an element for each unanswered message
+	slots  chan struct{} // semaphore with an element for each unanswered message
 
 	mu      sync.Mutex
-	records map[string]*answerRecord // by message id
+	records map[string]*answerRecord // by message ID
 }
 
-// sendMessages sends messages over one connection, some in flight at once, until each is answered or its time is over.
-// It counts them in sent. It returns the records of all messages; there are none if the connection fails.
+// sendMessages sends messages over one connection, with up to inFlightPerClient in flight, and counts them in sent. It
+// waits until all are answered or answerTimeout has passed. It returns the records of all messages, or none if it
+// cannot connect.
 func sendMessages(address string, number, messages int, rng *rand.Rand, sent *atomic.Int64) map[string]*answerRecord {
 	c := &client{
 		number:  number,
@@ -77,24 +86,24 @@
 	time.Sleep(secondAnswerWait)
 	stop()
 	receiving.Wait()
-	_ = conn.CloseNow() // the end of the context has closed it
+	_ = conn.CloseNow() // already closed by the end of the context
 	return c.records
 }
 
-// newRequest draws a request: 15 of 100 of the workload that must run at most once, 25 of the idempotent one.
+// newRequest draws a request: 15 % are of the workload that must be executed at most once, 25 % of the idempotent one.
 func (c *client) newRequest(index int, rng *rand.Rand) ws.ClientRequest {
 	request := ws.ClientRequest{
 		Type: "ask",
 		ID:   fmt.Sprintf("%d-%d", c.number, index),
 		Path: "/look/x",
-		Key:  fmt.Sprint("k", rng.IntN(500)),
+		Key:  fmt.Sprint("k", rng.IntN(distinctKeys)),
 	}
 	switch n := rng.IntN(100); {
-	case n < 15:
+	case n < rolloutPercent:
 		request.Method = http.MethodPost
 		request.Path = "/rollout-step/x"
-		request.Body = []byte(strings.Repeat("r", rng.IntN(20000)))
-	case n < 40:
+		request.Body = []byte(strings.Repeat("r", rng.IntN(maxRolloutBody)))
+	case n < rolloutPercent+idempotentPercent:
 		request.Method = http.MethodPost
 		request.Path = "/keep/x"
 		request.Idempotency = request.ID
@@ -103,7 +112,7 @@
 	return request
 }
 
-// send records and sends a request. It returns false if the connection has failed.
+// send records and sends a request. It reports whether the request was written to the connection.
 func (c *client) send(ctx context.Context, request ws.ClientRequest) bool {
 	record := &answerRecord{rollout: strings.HasPrefix(request.Path, "/rollout"), sentAt: time.Now()}
 	c.mu.Lock()
@@ -112,7 +121,7 @@
 	return c.conn.Write(ctx, websocket.MessageBinary, request.Encode()) == nil
 }
 
-// receive records answers until the connection or the context ends.
+// receive records answers until the connection fails or the context ends.
 func (c *client) receive(ctx context.Context) {
 	for {
 		_, message, err := c.conn.Read(ctx)
@@ -125,7 +134,7 @@
 	}
 }
 
-// record records an answer, and frees the slot of its message with the first one.
+// record records an answer. The first answer to a message releases the slot of the message.
 func (c *client) record(answer ws.ClientMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +150,7 @@
 	}
 }
 
-// awaitAnswers waits until each message has an answer, or until answerTimeout has passed.
+// awaitAnswers waits until all messages are answered or answerTimeout has passed.
 func (c *client) awaitAnswers() {
 	for range answerTimeout / answerPollInterval {
 		if c.unanswered() == 0 {
@@ -151,7 +160,7 @@
 	}
 }
 
-// unanswered returns how many messages have no answer.
+// unanswered returns the number of messages without an answer.
 func (c *client) unanswered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -16,9 +16,9 @@
 	nodes    int
 	backends int
 	seed     uint64
-	calm     time.Duration
+	baseline time.Duration
 	load     float64
-	disrupt  bool
+	stress   bool
 	showLog  bool
 	fault    string
 }
@@ -38,16 +38,16 @@
 	flags.IntVar(&options.nodes, "nodes", 12, "nodes that carry traffic, over six zones")
 	flags.IntVar(&options.backends, "backends", 30, "backends, half of each of two services")
 	flags.Uint64Var(&options.seed, "seed", 1, "of the requests")
-	flags.DurationVar(&options.calm, "calm", 8*time.Second, "how long the undisturbed part is")
+	flags.DurationVar(&options.baseline, "calm", 8*time.Second, "how long the undisturbed part is")
 	flags.Float64Var(&options.load, "load", 0.9, "share of the capacity that is used")
-	flags.BoolVar(&options.disrupt, "storm", true,
+	flags.BoolVar(&options.stress, "storm", true,
 		"then replace a service while a zone is cleared out and nodes and a controller restart")
 	flags.BoolVar(&options.showLog, "log", false, "show the nodes' logs")
 	flags.StringVar(&options.fault, "fault", "", "inject one: forgets, doubles, breaks, strays")
 	return command
 }
 
-// cluster returns the options of the testbed: work of 150 ms, and backends that serve for 0.8 s while they drain.
+// cluster returns the options of the testbed. Requests take 150 ms on average, and draining backends serve for 0.8 s.
 func (o drainOptions) cluster(dir string) (cluster.Options, error) {
 	log := zap.NewNop()
 	if o.showLog {
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-// runDrain runs the experiment and prints its report. It fails if a guarantee was broken.
+// runDrain runs the experiment and prints its report. It fails if a guarantee was violated.
 func runDrain(command *cobra.Command, options drainOptions) error {
 	dir, removeDir, err := makeTempDir()
 	if err != nil {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	report, err := cluster.RunDrain(context.Background(), clusterOptions, options.calm, options.disrupt)
+	report, err := cluster.RunDrain(context.Background(), clusterOptions, options.baseline, options.stress)
 	if err != nil {
 		return err
 	}
@@ -92,11 +92,11 @@
 	return report.Check()
 }
 
-// makeTempDir creates a directory for the data of one run, and returns a function that removes it.
+// makeTempDir creates a temporary directory for the data of a run and returns a function that removes it.
 func makeTempDir() (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "loadtest")
 	if err != nil {
 		return "", nil, err
 	}
-	return dir, func() { _ = os.RemoveAll(dir) }, nil // what is left lies in the system's temporary directory
+	return dir, func() { _ = os.RemoveAll(dir) }, nil // the system cleans up its temporary directory if this fails
 }
--- a/cmd/loadtest/hollow.go
+++ b/cmd/loadtest/hollow.go
@@ -13,7 +13,8 @@
 // hollowProcessName is the hidden command by which the testbed starts its real processes.
 const hollowProcessName = "hollow-process"
 
-// newHollowCommand returns the command that measures a control group of real controllers under simulated nodes.
+// newHollowCommand returns the command that measures a control group of real controllers with hollow proxies and
+// backends.
 func newHollowCommand() *cobra.Command {
 	var options hollow.Options
 	command := &cobra.Command{
@@ -44,7 +45,7 @@
 	return command
 }
 
-// runHollow runs the experiment and prints its report, also if it was interrupted.
+// runHollow runs the experiment and prints its report, even if it was interrupted.
 func runHollow(command *cobra.Command, options hollow.Options) error {
 	dir, removeDir, err := makeTempDir()
 	if err != nil {
@@ -55,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	// An interrupted run ends its processes and removes its files too.
+	// An interrupt ends the run early, so that its processes are stopped and its files are removed.
 	ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt)
 	defer stop()
 	options.Dir = dir
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,5 +1,5 @@
-// Command loadtest runs the project's own experiments on loopback: agents, proxies and controllers with fake backends,
-// faults that a seed determines, and a check of what clients were answered against what backends saw.
+// Command loadtest runs load tests on loopback. It runs agents, proxies and controllers with fake backends, injects
+// faults that a seed determines, and compares the responses of clients with the records of backends.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitUsage is the exit status of a command whose flags or files are wrong.
+// exitUsage is the exit status for invalid flags or files.
 const exitUsage = 2
 
 func main() {
--- a/cmd/loadtest/rate.go
+++ b/cmd/loadtest/rate.go
@@ -15,10 +15,12 @@
 )
 
 const (
-	// rateBackends, rateClients and rateRounds are the size of the experiment.
+	// rateBackends, rateClients and rateRounds are the numbers of backends, WebSocket connections and rounds.
 	rateBackends = 3
 	rateClients  = 4
 	rateRounds   = 2
+	// clientsPerRound separates the client numbers of two rounds.
+	clientsPerRound = 1000
 )
 
 func newRateCommand() *cobra.Command {
@@ -39,21 +41,21 @@
 	return command
 }
 
-// rateReport is messages a second on one core, which clients, agent and backends share.
+// rateReport holds the rates in messages per second on one core, which clients, agent and backends share.
 type rateReport struct {
 	http         float64
 	webSocket    float64
 	webSocketP99 time.Duration
 }
 
-// String returns the figures as one line of key=value.
+// String returns the report as one line of key=value pairs.
 func (r rateReport) String() string {
 	return fmt.Sprintf("http=%.0f websocket=%.0f ratio=%.2f p99_websocket=%s",
 		r.http, r.webSocket, r.webSocket/r.http, r.webSocketP99)
 }
 
-// runRate sends as many messages over HTTP as over WebSocket, with as many in flight, one after the other. Of the
-// rounds the best rate counts.
+// runRate measures HTTP and then WebSocket in each round, with the same number of messages and of messages in flight.
+// It reports the best rate of all rounds.
 func runRate(messages int, log *slog.Logger) (rateReport, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	backends, err := newBackendSet(rateBackends)
@@ -76,14 +78,15 @@
 	return report, agent.stop()
 }
 
-// measureHTTP returns the satisfied messages a second over HTTP.
+// measureHTTP returns the rate of successful messages per second over HTTP.
 func measureHTTP(address string, messages, round int) float64 {
 	start := time.Now()
 	satisfied := sendOverHTTP(address, messages, rateClients*inFlightPerClient, round)
 	return float64(satisfied) / time.Since(start).Seconds()
 }
 
-// measureWebSocket returns the satisfied messages a second over WebSocket, and the 99th percentile of their latency.
+// measureWebSocket returns the rate of satisfied messages per second over WebSocket, and the 99th percentile of their
+// latency.
 func measureWebSocket(address string, messages, round int) (rate float64, p99 time.Duration) {
 	var sent atomic.Int64
 	recordsByClient := make([]map[string]*answerRecord, rateClients)
@@ -91,7 +94,7 @@
 	start := time.Now()
 	for i := range rateClients {
 		clients.Go(func() {
-			number := (round+1)*1000 + i
+			number := (round+1)*clientsPerRound + i
 			rng := rand.New(rand.NewPCG(1, uint64(i)))
 			recordsByClient[i] = sendMessages(address, number, messages/rateClients, rng, &sent)
 		})
@@ -107,7 +110,7 @@
 	return float64(satisfied) / elapsed.Seconds(), p99
 }
 
-// sendOverHTTP sends messages over HTTP, some at once, and returns how many were satisfied.
+// sendOverHTTP sends messages over HTTP with the given concurrency, and returns how many were successful.
 func sendOverHTTP(address string, messages, concurrency, round int) int64 {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrency}}
 	defer client.CloseIdleConnections()
@@ -130,7 +133,7 @@
 	return satisfied.Load()
 }
 
-// sendOneOverHTTP sends one message and reports whether it was satisfied.
+// sendOneOverHTTP sends one message and reports whether it was successful.
 func sendOneOverHTTP(client *http.Client, address, id string) bool {
 	request, err := http.NewRequest(http.MethodGet, "http://"+address+"/look/x", nil)
 	if err != nil {
--- a/cmd/loadtest/soak_system.go
+++ b/cmd/loadtest/soak_system.go
@@ -16,11 +16,11 @@
 	"sagelever/internal/testbed/soak"
 )
 
-// usageError is the error of a command whose flags or plan are wrong. Nothing was started.
+// usageError is the error of a command with invalid flags or an invalid plan. The command has started nothing.
 type usageError struct{ error }
 
-// errFindings is the error of a soak that has found something.
-var errFindings = errors.New("the soak has found something")
+// errFindings is the error of a soak run with findings.
+var errFindings = errors.New("soak run has findings")
 
 // soakSystemOptions are the flags of the commands soak system, show and replay.
 type soakSystemOptions struct {
@@ -55,11 +55,11 @@
 			failed := false
 			for i := range options.seeds {
 				plan := soak.GeneratePlan(options.seed+uint64(i), options.duration, options.proxies, options.backends)
-				found, err := options.play(command, plan)
+				runFailed, err := options.play(command, plan)
 				if err != nil {
 					return err
 				}
-				failed = failed || found
+				failed = failed || runFailed
 			}
 			return verdict(failed)
 		},
@@ -99,17 +99,18 @@
 			if err != nil {
 				return usageError{err}
 			}
-			found, err := options.play(command, plan)
+			failed, err := options.play(command, plan)
 			if err != nil {
 				return err
 			}
-			return verdict(found)
+			return verdict(failed)
 		},
 	}
 	options.addPlayFlags(command)
 	return command
 }
 
+// verdict returns errFindings if a run has failed.
 func verdict(failed bool) error {
 	if failed {
 		return errFindings
@@ -134,7 +135,7 @@
 	flags.BoolVar(&o.timeline, "timeline", false, "print troubles, answers and the age of the configuration by second")
 }
 
-// check returns a usageError if no plan can be drawn with the flags.
+// check returns a usageError if the flags are invalid for a plan.
 func (o *soakSystemOptions) check() error {
 	zones := len(cluster.ZoneNames())
 	if o.controllers != zones || o.zones != zones {
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// play plays a plan and prints its report. It ends early, and orderly, at an interrupt.
-func (o *soakSystemOptions) play(command *cobra.Command, plan soak.Plan) (found bool, err error) {
+// play runs a plan and prints its report. SIGINT and SIGTERM end the run early with an orderly shutdown.
+func (o *soakSystemOptions) play(command *cobra.Command, plan soak.Plan) (failed bool, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	out := command.OutOrStdout()
@@ -166,13 +167,13 @@
 		report.PrintTimeline(out)
 	}
 	if o.report != "" {
-		err = errors.Join(err, o.keep(report))
+		err = errors.Join(err, o.save(report))
 	}
 	return report.Failed(), err
 }
 
-// keep appends the report to its file, and keeps the plan of a run that has found something.
-func (o *soakSystemOptions) keep(report *soak.Report) error {
+// save appends the report to the report file, and saves the plan of a run with findings.
+func (o *soakSystemOptions) save(report *soak.Report) error {
 	file, err := os.OpenFile(o.report, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
--- a/cmd/loadtest/websocket.go
+++ b/cmd/loadtest/websocket.go
@@ -14,10 +14,11 @@
 	"github.com/spf13/cobra"
 )
 
-// webSocketBackends is the number of backends of the experiment.
+// webSocketBackends is the number of backends at the start of a run.
 const webSocketBackends = 5
 
-var errRuleBroken = errors.New("a rule was broken")
+// errViolation is the error of a run that violated a guarantee.
+var errViolation = errors.New("a guarantee was violated")
 
 // webSocketOptions are the flags of the command websocket.
 type webSocketOptions struct {
@@ -60,16 +61,16 @@
 	deferred       int
 	brokenOff      int
 	errors         int
-	notExecuted    int // satisfied, though no backend had run it, or with a wrong body
-	maxRolloutRuns int // most runs of one message that must run at most once
+	notExecuted    int // satisfied without an execution or with an unexpected body
+	maxRolloutRuns int // maximum executions of a message that must be executed at most once
 	observed       observation
-	faults         map[faultKind]int // injected
+	faults         map[faultKind]int // number of injected faults
 	p50            time.Duration
 	p99            time.Duration
 	elapsed        time.Duration
 }
 
-// String returns the figures as one line of key=value.
+// String returns the report as one line of key=value pairs.
 func (r webSocketReport) String() string {
 	return fmt.Sprintf("messages=%d answers=%d missing=%d double=%d satisfied=%d deferred=%d broken_off=%d errors=%d "+
 		"unrun=%d rollout_step_runs_max=%d late_after_drain=%d silent=%d deaf=%d killed=%d drained=%d full=%d cut=%d "+
@@ -81,15 +82,15 @@
 		r.p50, r.p99, r.elapsed.Round(time.Millisecond))
 }
 
-// check returns an error if a guarantee was broken.
+// check returns an error if a guarantee was violated.
 func (r webSocketReport) check() error {
 	if r.missing+r.duplicated+r.notExecuted+r.observed.lateAfterDrain > 0 || r.maxRolloutRuns > 1 {
-		return errRuleBroken
+		return errViolation
 	}
 	return nil
 }
 
-// addAnswer counts one answer to a message that backends have run a number of times.
+// addAnswer counts one answer to a message. runs is how often backends executed the message.
 func (r *webSocketReport) addAnswer(answerType string, record *answerRecord, runs int) {
 	switch answerType {
 	case "satisfied":
@@ -106,7 +107,7 @@
 	}
 }
 
-// summarize compares the answers that clients received with the runs that backends saw.
+// summarize compares the answers that clients received with the executions that backends recorded.
 func summarize(records map[string]*answerRecord, observed observation) webSocketReport {
 	report := webSocketReport{observed: observed}
 	var latencies []time.Duration
