--- a/cmd/loadtest/agent.go
+++ b/cmd/loadtest/agent.go
@@ -94,18 +94,18 @@
 
 // newStation returns the configuration of an agent on a free port for which a build is released.
 func newStation(discoveryAddress string, build int, log *slog.Logger) (*httpagent.Station, error) {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	station := &httpagent.Station{
 		Name:      "lab",
-		Listen:    free.Addr().String(),
+		Listen:    listener.Addr().String(),
 		Discovery: discoveryAddress,
 		Settings:  json.RawMessage(agentSettings),
 		Log:       log,
 	}
-	free.Close()
+	listener.Close()
 	station.Platform.News = fmt.Appendf(nil,
 		`{"image":%d,"ring":0,"progress":"released","ceiling":1,"lag_ms":0}`, build)
 	return station, station.Check()
--- a/cmd/loadtest/client.go
+++ b/cmd/loadtest/client.go
@@ -90,7 +90,8 @@
 	return c.records
 }
 
-// newRequest draws a request: 15 % are of the workload that must be executed at most once, 25 % of the idempotent one.
+// newRequest draws a request. Of 100 requests, about 15 are of the workload that must be executed at most once and 25
+// of the idempotent one.
 func (c *client) newRequest(index int, rng *rand.Rand) ws.ClientRequest {
 	request := ws.ClientRequest{
 		Type: "ask",
--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -98,5 +98,5 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return dir, func() { _ = os.RemoveAll(dir) }, nil // the system cleans up its temporary directory if this fails
+	return dir, func() { _ = os.RemoveAll(dir) }, nil // if this fails, files remain in the system's temporary directory
 }
--- a/cmd/loadtest/soak_agent.go
+++ b/cmd/loadtest/soak_agent.go
@@ -82,7 +82,7 @@
 	deferred            int64
 	other               int64
 	builds              int                   // number that replaced an earlier build
-	memoryByQuarter     [quarterCount]float64 // heap and stacks in bytes at its end, after a garbage collection
+	memoryByQuarter     [quarterCount]float64 // bytes of heap and stacks at the end of each quarter, after a GC
 	goroutinesByQuarter [quarterCount]int     // at the end of each quarter
 }
 
--- a/cmd/loadtest/websocket.go
+++ b/cmd/loadtest/websocket.go
@@ -163,8 +163,8 @@
 	faults, faultErr := backends.injectFaults(options.messages, options.seed, &sent)
 	senders.Wait()
 	records := map[string]*answerRecord{}
-	for _, ofClient := range recordsByClient {
-		maps.Copy(records, ofClient)
+	for _, clientRecords := range recordsByClient {
+		maps.Copy(records, clientRecords)
 	}
 	report := summarize(records, backends.observe())
 	report.faults = faults
--- a/internal/testbed/cluster/attempt.go
+++ b/internal/testbed/cluster/attempt.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return false, 0
 	}
-	request.GetBody = nil // without GetBody net/http cannot resend the request
+	request.GetBody = nil // net/http must not retry the request, which it cannot do without GetBody
 	setHeaders(request, a.service, a.id, max(time.Millisecond, time.Until(deadline)))
 	response, err := httpClient.Do(request)
 	inTime := time.Until(deadline) > deadlineMargin
--- a/internal/testbed/fakes/backend.go
+++ b/internal/testbed/fakes/backend.go
@@ -100,7 +100,7 @@
 
 // Observed returns how often the backend executed each request by its ID, when the last executed request arrived, and
 // how many requests were incomplete.
-func (b *Backend) Observed() (runs map[string]int, last time.Time, truncated int) {
+func (b *Backend) Observed() (runs map[string]int, lastRun time.Time, truncated int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.runsByID), b.lastRun, b.truncated
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -32,7 +32,7 @@
 	heartbeatInterval = 600 * time.Millisecond
 	startTimeout      = 20 * time.Second
 	clientsPerProxy   = 2
-	firstVersion      = 100 // the operators' orders follow; the initial configuration has version 1
+	firstVersion      = 100 // the first order has the next version; the initial configuration has version 1
 
 	// recoveryTime is how long the system may take to recover after the last trouble.
 	recoveryTime = 5 * time.Second
