--- a/internal/sim/linear/operation_set.go
+++ b/internal/sim/linear/operation_set.go
@@ -7,7 +7,7 @@
 
 const wordBits = 64
 
-// operationSet is a set of operations, given by their indexes, as a bitmap.
+// operationSet is a bitmap of operation indexes.
 //
 // Invariant: all indexes below prefix are in the set, and prefix itself is not.
 type operationSet struct {
@@ -33,8 +33,8 @@
 	return operationSet{prefix: s.prefix, words: slices.Clone(s.words)}
 }
 
-// key returns a string that identifies the configuration of this set and a register. It leaves out what the prefix
-// implies.
+// key returns a string that identifies the configuration that consists of this set and a register value. Words that
+// the prefix implies are omitted.
 func (s *operationSet) key(register Value) string {
 	first := s.prefix / wordBits
 	last := len(s.words)
--- a/internal/sim/linear/violation.go
+++ b/internal/sim/linear/violation.go
@@ -8,19 +8,20 @@
 	"strings"
 )
 
-// Violation explains why the history of an item is not linearizable: it is up to the return of the conflicting
-// operation, and is not with it.
+// Violation explains why the history of an item is not linearizable. The history is linearizable up to the return of
+// the conflicting operation, but not if it includes that return.
 type Violation struct {
 	Item string
-	// Linearization is a linearization of the history before the conflicting operation returned. It may include writes
-	// that had not returned yet.
+	// Linearization is a linearization of the history up to the return of the conflicting operation. It may include
+	// writes that had not returned by then.
 	Linearization []Operation
-	// Register is the register after the linearization.
+	// Register is the value of the register after the linearization.
 	Register    Value
 	Conflicting Operation
 }
 
-// maxShownOperations is how many operations of a linearization are shown: the last ones are the most telling.
+// maxShownOperations limits how many operations of a linearization are printed. The last ones are printed, because they
+// are the closest to the conflict.
 const maxShownOperations = 20
 
 func (v Violation) String() string {
@@ -38,12 +39,12 @@
 	return out.String()
 }
 
-// findViolation finds the first return with which a history is no longer linearizable.
+// findViolation finds the first return that makes a history non-linearizable.
 func findViolation(operations []Operation, maxConfigurations int) Violation {
 	returned := slices.DeleteFunc(slices.Clone(operations), func(o Operation) bool { return o.Outcome == Unknown })
 	slices.SortStableFunc(returned, func(a, b Operation) int { return cmp.Compare(a.Return, b.Return) })
-	// A linearizable history stays so when returns are left out, so that a binary search is right. An undecided part
-	// counts as linearizable.
+	// A linearizable history remains linearizable if returns are removed, so a binary search is valid. A part of the
+	// history for which the search is undecided counts as linearizable.
 	conflicting := sort.Search(len(returned), func(count int) bool {
 		return newSearch(historyUntil(operations, returned, count+1), maxConfigurations).run() == NotLinearizable
 	})
@@ -59,8 +60,8 @@
 	return v
 }
 
-// historyUntil returns the history as it was after the first count returns: the outcome of operations that had been
-// called by then and returned later is unknown.
+// historyUntil returns the history as of the first count returns. Operations that were called by then but returned
+// later have an unknown outcome.
 func historyUntil(operations, returned []Operation, count int) (history []Operation) {
 	history = slices.Clone(returned[:count])
 	if count == 0 {
