--- a/internal/sim/explore/activation_steps.go
+++ b/internal/sim/explore/activation_steps.go
@@ -1,6 +1,6 @@
 package explore
 
-// activationSteps appends the steps by which a member becomes active in a later epoch.
+// activationSteps appends the steps in which a member becomes active in a later epoch, and those that prepare it.
 func (m *model) activationSteps(s *state, member int, out []successor) []successor {
 	current := &s.members[member]
 	for epoch := uint8(2); epoch <= maxEpochs; epoch++ {
@@ -37,12 +37,12 @@
 	return out
 }
 
-// mayFetch reports whether the state of one member suffices to become active in an epoch.
+// mayFetch reports whether the state of the member from is sufficient to become active in an epoch.
 func (m *model) mayFetch(from *memberState, epoch uint8) bool {
 	return from.memory.epoch == epoch || m.fault == FetchFromUnsealed && from.memory.epoch == epoch-1
 }
 
-// sealedSteps appends the activations from the states of sealed members of the epoch before.
+// sealedSteps appends the activations from the reports of sealed members of the previous epoch.
 func (m *model) sealedSteps(s *state, member int, epoch uint8, out []successor) []successor {
 	required := prepareQuorum
 	if m.fault == TooFewSealedMembers {
--- a/internal/sim/explore/fault.go
+++ b/internal/sim/explore/fault.go
@@ -26,7 +26,7 @@
 	SkipsEpoch
 	NewestEpochOnly
 
-	// The remaining ones are variants of the design that are safe: no violation is expected.
+	// The following faults are safe variants of the design: no violation is expected.
 
 	MergeDropsOwnState
 	MergeByVersionThenProposal
--- a/internal/sim/explore/invariants.go
+++ b/internal/sim/explore/invariants.go
@@ -6,12 +6,12 @@
 	"sagelever/internal/control/quorum"
 )
 
-// violation returns which invariant a state violates; empty if none:
+// violation returns a description of an invariant that a state violates, or an empty string. The invariants are:
 //
-//   - Of two chosen rounds on a register, that with the higher proposal has a higher version or the same value.
-//   - The newest value that was chosen is on the disk of a remaining member.
-//   - Every quorum read finds it, or a newer one.
-//   - With Bounds.Recovery, the remaining members can still acknowledge a write that includes it.
+//   - Of two chosen rounds on a register, the one with the higher proposal has a higher version or the same value.
+//   - The newest chosen value, or a newer one, is on the disk of a remaining member.
+//   - Every quorum read returns the newest chosen value or a newer one.
+//   - With Bounds.Recovery, the remaining members can still acknowledge a write that includes the newest chosen value.
 func (m *model) violation(s *state) string {
 	for first := range m.roundSpecs {
 		for second := range m.roundSpecs {
@@ -38,7 +38,8 @@
 	return ""
 }
 
-// conflictingRounds compares two chosen rounds, of which the first has the lower proposal.
+// conflictingRounds returns a description of the conflict between two chosen rounds of which the first has the lower
+// proposal, or an empty string.
 func (m *model) conflictingRounds(s *state, first, second int) string {
 	lower, higher := s.rounds[first], s.rounds[second]
 	key := m.roundSpecs[first].key
@@ -60,7 +61,7 @@
 		lower.epoch, first+1, before.Version, key, higher.epoch, second+1, after.Version)
 }
 
-// includes reports whether a value may be found after another one was chosen.
+// includes reports whether a value may be found after another one has been chosen.
 func includes(chosen, found quorum.Value) bool {
 	return found.Version > chosen.Version || found == chosen
 }
--- a/internal/sim/explore/memo.go
+++ b/internal/sim/explore/memo.go
@@ -6,7 +6,7 @@
 	"sagelever/internal/control/quorum"
 )
 
-// memo caches the results of members and rounds. They are pure functions, and few different arguments occur.
+// memo caches the results of calls to members and rounds. These are pure functions, and few different arguments occur.
 type memo struct {
 	calls     map[memberCall]callResult
 	proposals map[proposalKey]valueID
@@ -33,15 +33,15 @@
 	callLearn
 )
 
-// memberCall is a call of a Member, with everything on which the result depends.
+// memberCall is a call of a Member with all inputs that determine its result.
 type memberCall struct {
 	disk            diskState
 	kind            callKind
 	epoch           uint8
 	proposal        proposalID
-	onConfiguration bool // the call is on the configuration rather than the item
+	onConfiguration bool // the call is for the configuration rather than the item
 	value           valueID
-	merged          [prepareQuorum]itemReport // by an activation
+	merged          [prepareQuorum]itemReport // reports that an activation merges
 }
 
 func (c *memberCall) key() string {
@@ -51,14 +51,14 @@
 	return ItemKey
 }
 
-// callResult is the reply of a member, and what it has stored then.
+// callResult is the reply of a member, and the state that it has stored by then.
 type callResult struct {
 	ok    bool
 	reply registerState
 	disk  diskState
 }
 
-// invoke calls a member.
+// invoke returns the result of a call, which is cached.
 func (m *model) invoke(c memberCall) callResult {
 	if cached, ok := m.memo.calls[c]; ok {
 		return cached
@@ -132,7 +132,7 @@
 	return d
 }
 
-// proposalKey is everything on which the value of a round depends.
+// proposalKey holds the inputs that determine the value that a round proposes.
 type proposalKey struct {
 	round    int
 	epoch    uint8
@@ -170,29 +170,29 @@
 	return id
 }
 
-// chosenKey is everything on which it depends whether a round is chosen.
+// chosenKey holds the inputs that determine whether a round is chosen.
 type chosenKey struct {
-	round    int
-	epoch    uint8
-	members  int
-	accepted memberMask
+	round      int
+	epoch      uint8
+	members    int
+	acceptedBy memberMask
 }
 
-// isChosen reports whether the members that have accepted are an accept quorum.
+// isChosen reports whether the members that have accepted form an accept quorum.
 func (m *model) isChosen(s *state, round int) (chosen bool) {
 	current := &s.rounds[round]
 	key := chosenKey{
-		round:    round,
-		epoch:    current.epoch,
-		members:  m.configurationMask(s, current.epoch).count(),
-		accepted: current.accepted,
+		round:      round,
+		epoch:      current.epoch,
+		members:    m.configurationMask(s, current.epoch).count(),
+		acceptedBy: current.acceptedBy,
 	}
 	if cached, ok := m.memo.chosen[key]; ok {
 		return cached
 	}
 	r := m.newRound(round, key.epoch, key.members, nil)
 	for member := range memberCount {
-		if current.accepted.has(member) && r.HandleAccepted(memberName(member)) {
+		if current.acceptedBy.has(member) && r.HandleAccepted(memberName(member)) {
 			chosen = true
 		}
 	}
@@ -200,7 +200,7 @@
 	return chosen
 }
 
-// newRound returns the round of package quorum with the proposal number of a round in an epoch.
+// newRound returns the quorum.Round with the proposal number of a round in an epoch.
 func (m *model) newRound(round int, epoch uint8, members int, update quorum.UpdateFunc) *quorum.Round {
 	if m.fault == TooFewAcceptances {
 		members--
--- a/internal/sim/explore/reads.go
+++ b/internal/sim/explore/reads.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// readReply returns what a member replies to a read of an epoch; an invalid report if it does not reply.
+// readReply returns the reply of a member to a read of an epoch. The report is invalid if the member does not reply.
 func (m *model) readReply(s *state, member int, epoch uint8) itemReport {
 	current := &s.members[member]
 	if current.lost || current.memory.epoch != epoch || !m.participates(s, epoch, member) {
@@ -15,7 +15,7 @@
 	return result.reply.report()
 }
 
-// latest returns the value that was accepted under the higher proposal.
+// latest returns the value of the report with the higher proposal.
 func (m *model) latest(a, b itemReport) valueID {
 	if m.proposals[a.accepted].Less(m.proposals[b.accepted]) {
 		return b.value
@@ -23,7 +23,8 @@
 	return a.value
 }
 
-// staleRead checks each read of an epoch whose replies are sent in this state. It returns the violation, if any.
+// staleRead checks all quorum reads of an epoch whose replies are sent in this state. It returns a description of the
+// violation, or an empty string.
 func (m *model) staleRead(s *state, epoch uint8, required valueID) string {
 	var replies [memberCount]itemReport
 	for member := range memberCount {
@@ -44,8 +45,8 @@
 	return ""
 }
 
-// readSteps appends the first replies to reads whose replies are sent at different moments. A read that begins before a
-// value is chosen may find anything and is left out.
+// readSteps appends the first replies to reads whose replies are sent at different times. A read that begins before a
+// value is chosen may return any value and is omitted.
 func (m *model) readSteps(s *state, out []successor) []successor {
 	required := m.newestChosen(s)
 	if required == 0 || s.reader.epoch != 0 {
@@ -66,8 +67,8 @@
 	return out
 }
 
-// staleSlowRead checks the read that has begun, if its second reply is sent in this state. It returns the violation, if
-// any, and the step that shows it.
+// staleSlowRead checks the read that has begun, assuming that its second reply is sent in this state. It returns a
+// description of the violation and the step that shows it, or an empty string.
 func (m *model) staleSlowRead(s *state) (violation string, finalSteps []Step) {
 	reader := s.reader
 	if reader.epoch == 0 {
--- a/internal/sim/explore/recovery.go
+++ b/internal/sim/explore/recovery.go
@@ -1,7 +1,7 @@
 package explore
 
-// cannotRecover reports whether the remaining members, all of them reachable, can no longer acknowledge a write, or
-// would acknowledge one that lacks what was acknowledged before.
+// cannotRecover reports whether the remaining members can no longer acknowledge a write even if all of them are
+// reachable, or would acknowledge one that does not include the newest chosen value.
 func (m *model) cannotRecover(s *state) bool {
 	recovered := *s
 	recovered.reader = readerState{}
@@ -18,15 +18,17 @@
 	return required != 0 && !m.itemIncludes(required, recovered.rounds[round].value)
 }
 
-// advanceEpoch lets all remaining members become active in the newest epoch, or completes the configuration of a later
-// one. It reports whether it has to be called again.
+// advanceEpoch activates all remaining members in the newest epoch. If too few of them can become active, it seals the
+// remaining members of the previous epoch; if a member is already sealed, it completes the configuration of the next
+// epoch. It reports whether it has to be called again.
 func (m *model) advanceEpoch(s *state) bool {
 	epoch := m.newestEpoch(s)
 	m.activateAll(s, epoch)
 	members := m.configurationMask(s, epoch).count()
 	if epoch > 1 && m.activeMembers(s, epoch) < members-maxFailures {
-		// Members of the old configuration that never became active in it do so now, and are sealed there. Otherwise two
-		// consecutive changes, of which not all members have seen the first, and one loss leave too few sealed members.
+		// Activates the members of the old configuration that have not become active in it yet, so that they can be sealed.
+		// Otherwise, if not all members have seen the first of two consecutive changes, one disk loss would leave too few
+		// sealed members.
 		if m.fault != NewestEpochOnly {
 			m.activateAll(s, epoch-1)
 		}
@@ -46,13 +48,13 @@
 	return !current.lost && m.invoke(memberCall{disk: current.memory, kind: callReadSealed, epoch: epoch}).ok
 }
 
-// activateAll lets as many members as possible become active in an epoch.
+// activateAll activates as many members as possible in an epoch.
 func (m *model) activateAll(s *state, epoch uint8) {
 	for m.activateOne(s, epoch) {
 	}
 }
 
-// activateOne lets one more member become active in an epoch. It returns false if none can.
+// activateOne activates one more member in an epoch. It returns false if no other member can become active.
 func (m *model) activateOne(s *state, epoch uint8) bool {
 	reports := m.activationReports(s, epoch)
 	if m.activeMembers(s, epoch) == 0 && len(reports) < prepareQuorum {
@@ -69,8 +71,8 @@
 	return false
 }
 
-// activationReports returns the states of the item from which a member can become active in an epoch: that of one
-// active member or, if there is none, those of at most a prepare quorum of sealed members of the epoch before.
+// activationReports returns the reports of the item from which a member can become active in an epoch: the report of
+// one active member or, if there is none, those of at most a prepare quorum of sealed members of the previous epoch.
 func (m *model) activationReports(s *state, epoch uint8) (reports []itemReport) {
 	for i := range s.members {
 		member := &s.members[i]
@@ -85,7 +87,7 @@
 	return reports
 }
 
-// runRound lets all remaining members reply to a round, and reports whether its value is chosen.
+// runRound applies the replies of all remaining members to a round, and reports whether its value is chosen.
 func (m *model) runRound(s *state, round int, epoch uint8) bool {
 	s.rounds[round] = roundState{}
 	current := &s.rounds[round]
@@ -103,8 +105,8 @@
 }
 
 // itemRecoveryRound returns the round that tests whether a write can be acknowledged. Its proposal number is higher
-// than those of all stepRounds in an epoch.
-func (m *model) itemRecoveryRound() int { return m.stepRounds }
+// than those of all explored rounds in an epoch.
+func (m *model) itemRecoveryRound() int { return m.exploredRounds }
 
 // configurationRecoveryRound returns the round that completes a configuration.
-func (m *model) configurationRecoveryRound() int { return m.stepRounds + 1 }
+func (m *model) configurationRecoveryRound() int { return m.exploredRounds + 1 }
--- a/internal/sim/explore/reference.go
+++ b/internal/sim/explore/reference.go
@@ -4,8 +4,8 @@
 
 // referenceMember implements sealing and activation as described in docs/model.md, on the registers of package quorum.
 //
-// A member that has accepted a configuration of the next epoch is sealed: it rejects everything on the item, including
-// reads, but continues to reply to rounds on the configuration.
+// A member that has accepted a configuration of the next epoch is sealed: it rejects all messages for the item,
+// including reads, but continues to reply to rounds on the configuration.
 type referenceMember struct {
 	fault     Fault
 	epoch     uint64
@@ -100,8 +100,8 @@
 	return higherProposal
 }
 
-// overwrite replaces an entry. Without a fault this is what quorum.Acceptor.Learn does, which merges by proposal
-// number; the faults also replace entries of higher proposals.
+// overwrite replaces an entry. Without a fault it calls quorum.Acceptor.Learn, which merges by proposal number; with a
+// fault it also replaces entries of higher proposals.
 func (r *referenceMember) overwrite(e quorum.Entry) {
 	own := r.registers.Get(e.Key)
 	if own.Accepted.Less(e.Accepted) {
--- a/internal/sim/explore/round_steps.go
+++ b/internal/sim/explore/round_steps.go
@@ -1,6 +1,6 @@
 package explore
 
-// roundSteps appends the replies to messages of a round that may come next.
+// roundSteps appends the steps in which a member replies to a message of a round.
 func (m *model) roundSteps(s *state, round int, out []successor) []successor {
 	current := &s.rounds[round]
 	for epoch := uint8(1); epoch <= maxEpochs; epoch++ {
@@ -31,15 +31,14 @@
 	return out
 }
 
-// mayRunIn reports whether a round may run in an epoch. Once it has begun, it may only run in that one.
+// mayRunIn reports whether a round may run in an epoch. A round that has begun stays in its epoch.
 func (m *model) mayRunIn(s *state, round int, epoch uint8) bool {
 	begunIn := s.rounds[round].epoch
 	specified := m.roundSpecs[round].epoch
 	return (begunIn == 0 || begunIn == epoch) && (specified == 0 || specified == epoch)
 }
 
-// countsRemoved reports whether a member that was removed by the configuration of an epoch counts there, which is a
-// fault.
+// countsRemoved reports whether the injected fault makes a member count in an epoch whose configuration has removed it.
 func (m *model) countsRemoved(s *state, epoch uint8, member int) bool {
 	if m.fault != RemovedMemberCounts || epoch == 1 {
 		return false
@@ -67,8 +66,8 @@
 	}
 }
 
-// promise lets a member reply to the prepare message of a round. The promise that completes the prepare quorum also
-// makes the round propose its value. It returns false if the member does not promise.
+// promise applies the reply of a member to the prepare message of a round. The promise that completes the prepare
+// quorum also makes the round propose its value. It returns false if the member does not promise.
 func (m *model) promise(s *state, round, member int, epoch uint8) bool {
 	current := &s.rounds[round]
 	if current.promisedBy.has(member) {
@@ -97,10 +96,11 @@
 	return true
 }
 
-// accept lets a member reply to the accept message of a round. It returns false if the member does not accept.
+// accept applies the reply of a member to the accept message of a round. It returns false if the member does not
+// accept.
 func (m *model) accept(s *state, round, member int) bool {
 	current := &s.rounds[round]
-	if current.accepted.has(member) {
+	if current.acceptedBy.has(member) {
 		return false
 	}
 	memory := s.members[member].memory
@@ -113,7 +113,7 @@
 		value:           current.value,
 	}
 	removed := m.countsRemoved(s, current.epoch, member)
-	if removed { // it accepts as if it were active in the epoch
+	if removed { // the member accepts as if it were active in the epoch
 		call.disk.epoch = current.epoch
 		call.disk.configuration = registerState{}
 	}
@@ -126,7 +126,7 @@
 		result.disk.configuration = memory.configuration
 	}
 	m.persist(s, member, result.disk)
-	current.accepted = current.accepted.with(member)
+	current.acceptedBy = current.acceptedBy.with(member)
 	current.chosen = m.isChosen(s, round)
 	return true
 }
