--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -8,7 +8,7 @@
 	"sagelever/internal/sim/protocol"
 )
 
-// instance is one running policy.
+// instance is a running instance of the policy.
 type instance struct {
 	startedAt time.Duration    // on the simulator's clock
 	policy    *policy.Balancer // nil if its creation failed
@@ -21,8 +21,8 @@
 
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
-// run handles the events of a batch in order. It returns one reply for each instance, in the order of their first
-// events.
+// run handles the events of a batch in order. It returns one reply for each instance, in the order of the instances'
+// first events.
 func (h *host) run(batch *protocol.Batch) []protocol.Reply {
 	var replies []protocol.Reply
 	replyIndex := map[string]int{}
@@ -38,8 +38,9 @@
 	return replies
 }
 
-// handle applies one event and adds the instance's actions to its reply. A start or a stop voids the actions of an
-// earlier instance of the name in the same batch. Events for an instance that does not run are ignored.
+// handle applies an event and adds the resulting actions to the reply of the instance. A start or a stop discards the
+// actions that an earlier instance with the same name returned in the same batch. Events for an instance that is not
+// running are ignored.
 func (h *host) handle(event protocol.InstanceEvent, clock time.Duration, reply *protocol.Reply) {
 	switch {
 	case event.Start != nil:
@@ -62,7 +63,7 @@
 	}
 }
 
-// reportPanic calls a function of the policy, and reports a panic in it to the simulator.
+// reportPanic calls a function of the policy. If the function panics, it adds a PolicyFailure to the reply.
 func reportPanic(reply *protocol.Reply, call func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
 // Command simadapter runs many instances of the agent's policy for the simulator. It reads batches of events from
-// standard input and writes a batch of replies to each to standard output, in the simulator's protocol.
+// standard input and writes the replies to each batch to standard output, in the simulator's protocol.
 package main
 
 import (
@@ -12,8 +12,8 @@
 	"sagelever/internal/sim/protocol"
 )
 
-// outputBuffer is the size of the buffer for one batch of replies.
-const outputBuffer = 1 << 20
+// outputBufferSize is the size of the buffer for the replies to a batch, in bytes.
+const outputBufferSize = 1 << 20
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
@@ -22,10 +22,10 @@
 	}
 }
 
-// serve answers batches until the input ends between two of them.
+// serve answers batches until the input ends after a complete batch.
 func serve(in io.Reader, out io.Writer) error {
 	reader := protocol.NewReader(in)
-	writer := bufio.NewWriterSize(out, outputBuffer)
+	writer := bufio.NewWriterSize(out, outputBufferSize)
 	host := newHost()
 	for {
 		batch, err := reader.Read()
--- a/internal/sim/protocol/events.go
+++ b/internal/sim/protocol/events.go
@@ -7,11 +7,11 @@
 	"sagelever/internal/settings/deployment"
 )
 
-// outcomeWords are the simulator's words for outcomes, in the order of api.Outcome.
+// outcomeWords lists the simulator's words for outcomes, indexed by api.Outcome.
 var outcomeWords = []string{"pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"}
 
-// eventParsers read what follows the instance in the line of an event. The parts of a line come in the order in which
-// they are read here.
+// eventParsers parse the parts of an event's line that follow the instance. Each parser must read them in the order in
+// which they are on the line, which is therefore the order of the fields in the struct literals.
 var eventParsers = map[string]func(*fieldParser) api.Event{
 	"DEMAND": func(p *fieldParser) api.Event { return p.transactionAccepted() },
 	"OPENED": func(p *fieldParser) api.Event {
@@ -62,7 +62,7 @@
 	},
 }
 
-// parseEvent reads the line of one event.
+// parseEvent parses the line of an event.
 func (r *Reader) parseEvent(line string, clock time.Duration) (InstanceEvent, error) {
 	parser := r.newFieldParser(line)
 	name := parser.word("message")
@@ -97,21 +97,21 @@
 	return event, nil
 }
 
-// start reads what a new instance is given.
+// start reads the seed and the settings of a new instance.
 func (f *fieldParser) start() (*Start, error) {
 	start := &Start{Seed: f.unsigned("randomSeed")}
 	settings, err := deployment.Parse([]byte(f.remainder()))
 	if err != nil {
 		return nil, f.reader.errorf("HELLO config: %v", err)
 	}
-	settings["trial.unseen"] = false     // the simulator's rule on keys goes by the answers that the agent has received
-	settings["discovery.unsure"] = false // each call is answered
+	settings["trial.unseen"] = false     // the simulator's rule for keys considers only answers that the agent has received
+	settings["discovery.unsure"] = false // the simulator answers each call
 	start.Settings = settings
 	return start, nil
 }
 
-// backendUpdate reads a list of backends, whose entries are in a table that was sent before. Their starts count from
-// that of the instance.
+// backendUpdate reads a list of backends whose entries are in a table that was sent before. The start times of the
+// backends are converted to times since the start of the instance.
 func (f *fieldParser) backendUpdate(startedAt time.Duration) (api.Event, error) {
 	update := api.BackendUpdate{Kind: api.UpdateKind(f.enum("kind", "diff", "snapshot", "disk", "error"))}
 	update.Version = f.integer("index")
@@ -134,7 +134,7 @@
 	return update, nil
 }
 
-// Bits of a transaction's attributes.
+// Bits of the attributes of a transaction.
 const (
 	attributeCostKnown = 1 << iota
 	attributeIsRetry
