--- a/internal/proxy/balancer/canary.go
+++ b/internal/proxy/balancer/canary.go
@@ -150,7 +150,7 @@
 	return true
 }
 
-// recordOutcome counts the outcome of an attempt. The payoff is 1 if the attempt succeeded within the route's latency
+// recordOutcome counts the outcome of an attempt. The reward is 1 if the attempt succeeded within the route's latency
 // target, and 0 otherwise.
 func (c *canaryRelease) recordOutcome(request *Request, outcome Outcome, now time.Time) {
 	if !outcome.reflectsBuild() {
--- a/internal/proxy/balancer/canaryvote.go
+++ b/internal/proxy/balancer/canaryvote.go
@@ -19,9 +19,9 @@
 	// toleratedRegression is the difference of means by which a canary that is voted to finish may be worse than the
 	// stable build.
 	toleratedRegression = 0.15
-	// promotionCutoff is the fraction of the release's duration after which no vote to finish is cast, since finishing
+	// finishCutoff is the fraction of the release's duration after which no vote to finish is cast, since finishing
 	// takes time too.
-	promotionCutoff = 0.94
+	finishCutoff = 0.94
 	// minCanaryOutcomes is the number of outcomes of the canary, over all proxies, that a vote to finish requires.
 	// minLoadedOutcomes is how many of these must be from the load phase.
 	minCanaryOutcomes = 50
@@ -71,9 +71,9 @@
 
 // releaseCounts holds the counts of a release, summed over all proxies.
 type releaseCounts struct {
-	payoffs   [2]bestarm.Arm // by arm; a successful response within the latency target has reward 1
+	rewards   [2]bestarm.Arm // by arm; a successful response within the latency target has reward 1
 	successes [2]bestarm.Arm // by arm; a response that is not a failure has reward 1
-	loaded    bestarm.Arm    // the canary's payoffs in its load phase
+	loaded    bestarm.Arm    // the canary's rewards in its load phase
 }
 
 // collectCounts sums this proxy's counts and those of the other proxies.
@@ -81,11 +81,11 @@
 	var counts releaseCounts
 	var failures [2]float64
 	add := func(tally *replication.ReleaseTally) {
-		for arm := range counts.payoffs {
+		for arm := range counts.rewards {
 			armCounts := tallyArm(tally, arm)
-			counts.payoffs[arm].Pulls += armCounts.Pulls
-			counts.payoffs[arm].Observations += armCounts.Observations
-			counts.payoffs[arm].Reward += armCounts.Reward
+			counts.rewards[arm].Pulls += armCounts.Pulls
+			counts.rewards[arm].Observations += armCounts.Observations
+			counts.rewards[arm].Reward += armCounts.Reward
 			failures[arm] += tally.Failures[arm]
 		}
 		counts.loaded.Observations += tally.SingleBackend[0]
@@ -98,7 +98,7 @@
 			add(tally)
 		}
 	}
-	counts.successes = counts.payoffs
+	counts.successes = counts.rewards
 	for arm := range counts.successes {
 		counts.successes[arm].Reward = counts.successes[arm].Observations - failures[arm]
 	}
@@ -109,15 +109,15 @@
 // release.VoteFinish or "" for none.
 func (b *Balancer) vote(serviceName string, canary *canaryRelease, incarnation string, now time.Time) string {
 	counts := b.collectCounts(serviceName, canary, incarnation)
-	decisions := counts.payoffs[stableArm].Pulls + counts.payoffs[canaryArm].Pulls
+	decisions := counts.rewards[stableArm].Pulls + counts.rewards[canaryArm].Pulls
 	threshold := bestarm.StoppingThreshold(decisions, float64(b.proxies), errorProbability)
-	if isInferior(counts.payoffs, threshold) || isInferior(counts.successes, threshold) {
+	if isInferior(counts.rewards, threshold) || isInferior(counts.successes, threshold) {
 		return release.VoteRevert
 	}
 	if !canary.inFinishWindow(now) || !counts.supportFinish() {
 		return ""
 	}
-	if isNonInferior(counts.payoffs, threshold) && isNonInferior(counts.successes, threshold) {
+	if isNonInferior(counts.rewards, threshold) && isNonInferior(counts.successes, threshold) {
 		return release.VoteFinish
 	}
 	return ""
@@ -144,13 +144,13 @@
 	duration := time.Duration(c.release.DurationMs) * time.Millisecond
 	elapsed := now.Sub(c.startedAt)
 	return elapsed >= time.Duration(loadPhaseEnd*float64(duration)) &&
-		elapsed <= time.Duration(promotionCutoff*float64(duration))
+		elapsed <= time.Duration(finishCutoff*float64(duration))
 }
 
 // supportFinish reports whether the canary has enough outcomes, overall and in the load phase, and is not worse in the
 // load phase than the stable build by more than toleratedRegression.
 func (c *releaseCounts) supportFinish() bool {
-	return c.payoffs[canaryArm].Observations >= minCanaryOutcomes &&
+	return c.rewards[canaryArm].Observations >= minCanaryOutcomes &&
 		c.loaded.Observations >= minLoadedOutcomes &&
-		c.loaded.Mean() >= c.payoffs[stableArm].Mean()-toleratedRegression
+		c.loaded.Mean() >= c.rewards[stableArm].Mean()-toleratedRegression
 }
--- a/internal/proxy/balancer/warmup.go
+++ b/internal/proxy/balancer/warmup.go
@@ -13,8 +13,7 @@
 	defaultWarmUpInterval = time.Second
 )
 
-// Slow start: a backend that warms up gets requests only from the proxies of its own zone. These share the service's
-// warm-up rate.
+// A backend that warms up gets requests only from the proxies of its own zone. These share the service's warm-up rate.
 
 // updateWarmUp applies the end of the warm-up from a backend's update. It ignores a report that the backend is warm
 // unless the report is newer than the last refused connection, because the backend may have restarted after that.
