--- a/internal/proxy/retry/event.go
+++ b/internal/proxy/retry/event.go
@@ -4,7 +4,7 @@
 type Event uint8
 
 // The events. Those up to MalformedResponse are responses or invalid bytes in place of one (see IsResponse). A response
-// belongs to this attempt if it carries the attempt's ID.
+// belongs to this attempt if it carries the try ID that the client has given the request.
 const (
 	ResponseReceived     Event = iota // a response to this attempt: a success with its seal, or a status below 500
 	ServerError                       // a response to this attempt with a status of 500 or more: the request was executed
@@ -12,8 +12,8 @@
 	Misdirected                       // a response to this attempt with status 421: the address belongs to another backend
 	RequestRejected                   // a 4xx response to this attempt: the request was invalid and not executed
 	UnconfirmedRefusal                // a status that means "not executed" to clients, without the backend's statement
-	ForeignResponse                   // a response with the ID of another attempt
-	UnidentifiedResponse              // a response without an attempt ID
+	ForeignResponse                   // a response with the try ID of another request
+	UnidentifiedResponse              // a response without a try ID
 	UnsealedResponse                  // a success for this attempt without the backend's seal
 	MalformedResponse                 // bytes that are not a response, or a response whose end can't be determined
 	ConnectionReset                   // the connection is reset or refused, or the peer acknowledges nothing
--- a/internal/proxy/retry/execution.go
+++ b/internal/proxy/retry/execution.go
@@ -1,4 +1,4 @@
-// Package retry determines the consequences of the end of an attempt, that is of one send of a request to a backend:
+// Package retry determines the consequences of an event that ends or affects an attempt to send a request to a backend:
 // whether the request may have been executed, what the client gets, whether the request may be sent again, and whether
 // the connection may be reused.
 //
@@ -10,7 +10,7 @@
 // Execution is what is known about the execution of a request. The zero value is the safe assumption.
 type Execution uint8
 
-// The states of execution. A response counts as evidence only if it carries the ID of this attempt.
+// The states of execution. A response counts as evidence only if it carries the try ID of the request.
 const (
 	MaybeExecuted Execution = iota // the request was written, at least in part, and no response shows the outcome
 	NotExecuted                    // nothing was written, or a response states that the request was not executed
--- a/internal/proxy/retry/table.go
+++ b/internal/proxy/retry/table.go
@@ -81,8 +81,8 @@
 	return row
 }
 
-// awaitingResponseRules returns the rules of AwaitingResponse. Only a response with the ID of this attempt is evidence
-// of its execution.
+// awaitingResponseRules returns the rules of AwaitingResponse. Only a response with the try ID of the request is
+// evidence of its execution.
 func awaitingResponseRules() (row [eventCount]Rule) {
 	row[ResponseReceived] = responseRule
 	row[ServerError] = serverErrorRule
