--- a/internal/proxy/source/selector.go
+++ b/internal/proxy/source/selector.go
@@ -1,6 +1,6 @@
 // Package source selects the controller that a proxy pulls from. It determines the next controller to call in a search,
-// the delay between the calls of a search, and whether to switch to a nearer controller than the current one. The
-// package does no I/O: callers make the calls and pass in the time and random numbers.
+// the delay between the calls of a search, and whether to switch to a nearer controller than the current one. A call is
+// one pull by the proxy. The package does no I/O: callers make the calls and pass in the time and random numbers.
 package source
 
 import (
