--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,11 +14,11 @@
 	"sagelever/internal/upstream"
 )
 
-// attempt is one send of a request to one backend, with its progress. Its phase may be read concurrently.
+// attempt is the state of one attempt to send a request to a backend. Its phase may be read concurrently.
 type attempt struct {
 	exchange   upstream.Exchange
 	method     string
-	tryID      string                      // the client's id of the try, which the response must repeat
+	tryID      string                      // the client's id of the request, which the response must repeat
 	withheldBy atomic.Pointer[retry.Event] // the event that forbade writing; nil if writing was permitted
 
 	// State of the current connection and of the request on it.
@@ -125,8 +125,8 @@
 	return retry.AwaitingResponse
 }
 
-// failureEvent returns the event that ended an attempt without a complete response. ctx is the context of the send, and
-// err is the error of the transport or of reading the body.
+// failureEvent returns the event that ended an attempt without a complete response. ctx is the context of the attempt,
+// and err is the error of the transport or of reading the body.
 func (a *attempt) failureEvent(ctx context.Context, err error) retry.Event {
 	if event := a.withheldBy.Load(); event != nil {
 		return *event
--- a/internal/proxy/backendrequest.go
+++ b/internal/proxy/backendrequest.go
@@ -13,7 +13,7 @@
 )
 
 // newBackendRequest returns the request for a backend, with the client's method, path, query and body. roundTrip sets a
-// completely buffered body before each send.
+// completely buffered body before each use of the request.
 func newBackendRequest(r *http.Request, request *balancer.Request, body requestBody) *http.Request {
 	outbound := &http.Request{
 		Method: r.Method,
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -25,7 +25,7 @@
 	queued       atomic.Int64 // requests that waited for a backend
 	aborted      atomic.Int64 // responses aborted before their end
 	healthChecks atomic.Int64 // health checks sent to backends
-	withheld     atomic.Int64 // sends moved to another backend because the first began to drain during the dial
+	withheld     atomic.Int64 // attempts withheld because the backend began to drain during the dial
 
 	pullsAnswered atomic.Int64 // pulls with a response from a controller
 	pullsFailed   atomic.Int64 // pulls without a response
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -85,7 +85,7 @@
 // forward sends a request to a backend, retries it on other backends while the retry rules allow it, and responds to
 // the client.
 //
-// The send is bounded by the request's deadline. If the client disconnects, an idempotent request is cancelled. A
+// All attempts are bounded by the request's deadline. If the client disconnects, an idempotent request is cancelled. A
 // non-idempotent request continues once it has been written, as it may already have had effects.
 func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, request *balancer.Request, body requestBody) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), request.Deadline)
@@ -100,7 +100,7 @@
 	for {
 		backend, event := p.acquireBackend(ctx, r, request, queueUntil)
 		if backend == nil {
-			p.respond(w, request, &sendResult{rule: retry.Decide(retry.Queued, event)})
+			p.respond(w, request, &attemptResult{rule: retry.Decide(retry.Queued, event)})
 			return
 		}
 		result := p.send(ctx, r, request, backend, body)
@@ -114,8 +114,8 @@
 	}
 }
 
-// acquireBackend returns the backend for the next send, or nil and the event that ended the wait for one. The event is
-// only valid if the backend is nil.
+// acquireBackend returns the backend for the next attempt, or nil and the event that ended the wait for one. The event
+// is only valid if the backend is nil.
 func (p *Proxy) acquireBackend(ctx context.Context, r *http.Request, request *balancer.Request,
 	queueUntil time.Time) (*balancer.Backend, retry.Event) {
 	now := time.Now()
@@ -162,10 +162,10 @@
 	return <-request.Granted, event // granted after the wait ended and before the lock was taken
 }
 
-// reportOutcome reports the outcome of a send to the balancer and returns whether the request is sent again. That
+// reportOutcome reports the outcome of an attempt to the balancer and returns whether the request is sent again. That
 // requires a replayable body, a retry rule that allows it, and balancer limits on attempts, time and the retry budget
 // that are not exhausted.
-func (p *Proxy) reportOutcome(request *balancer.Request, backend *balancer.Backend, result *sendResult,
+func (p *Proxy) reportOutcome(request *balancer.Request, backend *balancer.Backend, result *attemptResult,
 	replayable bool) (retryAllowed bool) {
 	now := time.Now()
 	p.mu.Lock()
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -119,8 +119,8 @@
 // handOver hands a connection to the current server. If that server was replaced in the meantime, the connection goes
 // to its successor. If the successor is closed too, the proxy is shutting down and the connection is closed.
 func (l *listener) handOver(conn net.Conn) {
-	const tries = 2
-	for range tries {
+	const maxOffers = 2
+	for range maxOffers {
 		if l.currentServer().offer(conn) {
 			return
 		}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -35,9 +35,9 @@
 	http.Error(w, reason, status)
 }
 
-// respond responds to the client according to the retry rule of the last send. A response that promises that the
-// request was not executed is only sent if that holds for all sends of the request.
-func (p *Proxy) respond(w http.ResponseWriter, request *balancer.Request, result *sendResult) {
+// respond responds to the client according to the retry rule of the last attempt. A response that promises that the
+// request was not executed is only sent if that holds for all attempts.
+func (p *Proxy) respond(w http.ResponseWriter, request *balancer.Request, result *attemptResult) {
 	defer result.close()
 	rule := result.rule
 	neverExecuted := request.Execution == retry.NotExecuted
@@ -62,9 +62,9 @@
 	p.replyUnavailable(w, "no backend has capacity", max(minRetryAfter, retryAfter))
 }
 
-// forwardResponse forwards the response of the last send to the client. If that fails midway, it panics with
-// http.ErrAbortHandler to close the connection, because a truncated response must not look complete.
-func (p *Proxy) forwardResponse(w http.ResponseWriter, result *sendResult) {
+// forwardResponse forwards the response of the last attempt to the client. If that fails midway, it panics
+// with http.ErrAbortHandler to close the connection, because a truncated response must not look complete.
+func (p *Proxy) forwardResponse(w http.ResponseWriter, result *attemptResult) {
 	copyResponseHeader(w.Header(), result)
 	control := http.NewResponseController(w)
 	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // irrelevant if the connection is closed
@@ -82,7 +82,7 @@
 }
 
 // copyResponseHeader copies the end-to-end headers of a backend's response.
-func copyResponseHeader(header http.Header, result *sendResult) {
+func copyResponseHeader(header http.Header, result *attemptResult) {
 	for name, values := range result.header {
 		if !hopByHopHeaders[name] && name != "Date" {
 			header[name] = values
@@ -96,7 +96,7 @@
 
 // writeResponse writes a response to the client, streaming a long one as it arrives. Each write has the idle timeout as
 // its deadline, so that a client that stops reading does not keep the request open.
-func (p *Proxy) writeResponse(w http.ResponseWriter, control *http.ResponseController, result *sendResult) error {
+func (p *Proxy) writeResponse(w http.ResponseWriter, control *http.ResponseController, result *attemptResult) error {
 	idleTimeout := p.clientIdleTimeout()
 	extendDeadline := func() {
 		_ = control.SetWriteDeadline(time.Now().Add(idleTimeout)) // if the connection is closed, the write fails
--- a/internal/proxy/scenario_early_test.go
+++ b/internal/proxy/scenario_early_test.go
@@ -11,7 +11,8 @@
 	"sagelever/internal/proxy/retry"
 )
 
-// checkRunsIfContinues checks that the scripted backend ran the request if and only if the rule lets the send continue.
+// checkRunsIfContinues checks that the scripted backend ran the request if and only if the rule lets the attempt
+// continue.
 func (s *scenario) checkRunsIfContinues() {
 	s.t.Helper()
 	runs := s.backend.runs(scenarioTryID)
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -14,12 +14,12 @@
 	"sagelever/internal/upstream"
 )
 
-// maxNewConns bounds the new connections that one send may try. It is above 1 because the first may have been opened
+// maxNewConns bounds the new connections that one attempt may use. It is above 1 because the first may have been opened
 // ahead of time and closed by the backend since.
 const maxNewConns = 2
 
-// sendResult is the result of one send.
-type sendResult struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	balancer.Outcome
 	rule      retry.Rule // the retry rule of the outcome
 	attempt   *attempt   // nil if the request was never sent
@@ -30,12 +30,12 @@
 
 	releaseBuffer func() // releases the memory reserved for body; nil if none is reserved
 
-	// cancelOnDisconnect cancels the send once the client has disconnected, until stop is called.
+	// cancelOnDisconnect cancels the attempt once the client has disconnected, until stop is called.
 	cancelOnDisconnect func() (stop func() bool)
 }
 
 // close releases the response's remainder and the reserved memory. It may be called more than once.
-func (r *sendResult) close() {
+func (r *attemptResult) close() {
 	if r.remainder != nil {
 		_ = r.remainder.Close() // the remainder is no longer needed
 	}
@@ -45,16 +45,16 @@
 	}
 }
 
-// send sends a request to a backend once and reads the response, up to maxBufferedBody bytes of its body. It never
-// retries; the caller decides on retries by the rule in the result.
+// send makes one attempt: it sends a request to a backend and reads the response, up to maxBufferedBody bytes of its
+// body. It never retries; the caller decides on retries by the rule in the result.
 func (p *Proxy) send(ctx context.Context, r *http.Request, request *balancer.Request, backend *balancer.Backend,
-	body requestBody) *sendResult {
+	body requestBody) *attemptResult {
 	startedAt := time.Now()
 	attempt := newAttempt(r, func() (retry.Event, bool) { return p.checkWrite(r, backend) })
 	if p.onAttempt != nil {
 		p.onAttempt(r, attempt)
 	}
-	result := &sendResult{attempt: attempt, length: -1}
+	result := &attemptResult{attempt: attempt, length: -1}
 	defer func() { result.Latency = time.Since(startedAt) }()
 	resp, err := p.roundTrip(ctx, attempt, newBackendRequest(r, request, body), body)
 	result.Connected = attempt.connected.Load() && attempt.exchange.WriteStarted()
@@ -79,7 +79,7 @@
 	return result
 }
 
-// checkWrite is called immediately before the first byte of a send is written. It forbids the write and returns the
+// checkWrite is called immediately before the first byte of an attempt is written. It forbids the write and returns the
 // event that forbids it if, since the backend was picked, the client has disconnected or the permission to send to the
 // backend was revoked.
 func (p *Proxy) checkWrite(r *http.Request, backend *balancer.Backend) (event retry.Event, forbidden bool) {
@@ -118,7 +118,7 @@
 
 // readResponseBody reads a response's body if it is short, and the first part of a longer one. It reserves the memory
 // in p.bufferedBytes before reading.
-func (p *Proxy) readResponseBody(result *sendResult, resp *http.Response) error {
+func (p *Proxy) readResponseBody(result *attemptResult, resp *http.Response) error {
 	result.length = resp.ContentLength
 	if result.attempt.method == http.MethodHead {
 		return resp.Body.Close()
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// recordFailure records the outcome of a send that ended with event and without a complete response.
-func (r *sendResult) recordFailure(ctx context.Context, event retry.Event) {
+// recordFailure records the outcome of an attempt that ended with event and without a complete response.
+func (r *attemptResult) recordFailure(ctx context.Context, event retry.Event) {
 	r.rule = retry.Decide(r.attempt.phase(), event)
 	r.Execution = r.rule.Execution
 	r.Withheld = r.attempt.withheldBy.Load() != nil
@@ -160,8 +160,8 @@
 	r.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// recordResponse records the outcome of a send whose response has the given event.
-func (r *sendResult) recordResponse(event retry.Event) {
+// recordResponse records the outcome of an attempt whose response has the given event.
+func (r *attemptResult) recordResponse(event retry.Event) {
 	phase := r.attempt.phase()
 	if !r.attempt.requestWritten.Load() { // the backend responded before the request was complete
 		phase = retry.WritingBody
--- a/internal/proxy/subscription.go
+++ b/internal/proxy/subscription.go
@@ -138,7 +138,7 @@
 	inProgress := 0
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for attempts := 0; ; {
+	for pulls := 0; ; {
 		select {
 		case <-ctx.Done():
 			return ""
@@ -150,10 +150,10 @@
 		case <-timer.C:
 			if next, ok := s.nextSource(); ok && inProgress < maxSearchPulls {
 				inProgress++
-				attempts++
+				pulls++
 				go func() { results <- s.pullAndRecord(ctx, next, 0) }()
 			}
-			timer.Reset(s.searchDelay(attempts))
+			timer.Reset(s.searchDelay(pulls))
 		}
 	}
 }
@@ -227,10 +227,10 @@
 }
 
 // searchDelay returns the pause before the next pull of a search that has started the given number of pulls.
-func (s *subscription) searchDelay(attempts int) time.Duration {
+func (s *subscription) searchDelay(pulls int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sources.SearchDelay(attempts)
+	return s.sources.SearchDelay(pulls)
 }
 
 // nearerSource returns a nearer controller to try instead of the one at addr, if there is one.
