--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -6,8 +6,9 @@
 // a request.
 //
 // The proxy receives the configuration, the backends and the releases from the controllers by long polling (see
-// subscription). The same pulls renew two leases: the one by which clients find the proxy, and the send lease. Without
-// a valid send lease the proxy sends to a backend only if a health check confirms that the backend serves.
+// subscription). The same pulls renew two leases: the membership lease, by which clients find the proxy, and the send
+// lease. Without a valid send lease the proxy sends to a backend only if a health check confirms that the backend
+// serves.
 //
 // Lock order: connPool.mu may be taken while Proxy.mu is held, but not vice versa. subscription.mu is never held
 // together with either of them.
@@ -130,8 +131,8 @@
 	}
 }
 
-// Run serves until ctx ends. It then drains: it withdraws the client address from the lease, lets requests in flight
-// finish within the shutdown grace period, and releases the lease at the controllers. Run returns an error only if it
+// Run serves until ctx ends. It then drains: it withdraws the client address from the membership lease, lets requests
+// in flight finish within the shutdown grace period, and releases the membership lease. Run returns an error only if it
 // cannot listen on an address.
 func (p *Proxy) Run(ctx context.Context) error {
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -100,8 +100,8 @@
 	return message.Member{Node: s.proxy.settings.Node, Zone: s.proxy.settings.Zone}
 }
 
-// advertise sets the client address in the lease. A changed address gets a version above all previous ones, including
-// those of earlier runs of this proxy. The caller must hold s.mu.
+// advertise sets the client address in the membership lease. A changed address gets a version above all previous ones,
+// including those of earlier runs of this proxy. The caller must hold s.mu.
 func (s *subscription) advertise(clientAddr string) {
 	if clientAddr == s.advertisedAddr {
 		return
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -16,15 +16,15 @@
 	releaseTimeout = 300 * time.Millisecond
 )
 
-// announceLease starts a pull immediately, without waiting for its result, to inform the controllers that the lease has
-// changed.
+// announceLease starts a pull immediately, without waiting for its result, to inform the controllers that the
+// membership lease has changed.
 func (s *subscription) announceLease(ctx context.Context) {
 	if addr := s.source(); addr != "" {
 		go func() { _, _ = s.pull(ctx, addr, 0) }() // on failure the next pull sends the same lease
 	}
 }
 
-// releaseLease ends the lease at the controllers and prevents further pulls from renewing it.
+// releaseLease ends the membership lease and prevents further pulls from renewing it.
 func (s *subscription) releaseLease(ctx context.Context) {
 	s.mu.Lock()
 	addr := s.sourceAddr
--- a/internal/proxy/subscription.go
+++ b/internal/proxy/subscription.go
@@ -38,9 +38,9 @@
 	fullSyncAfter = 30 * time.Second
 )
 
-// subscription pulls updates from one controller at a time by long polling, which also renews the lease of the proxy.
-// Each pull contains the proxy's position in the log of every origin, so that any controller can continue where another
-// stopped.
+// subscription pulls updates from one controller at a time by long polling, which also renews the membership lease and
+// the send lease. Each pull contains the proxy's position in the log of every origin, so that any controller can
+// continue where another stopped.
 type subscription struct {
 	proxy       *Proxy
 	client      *http.Client
@@ -60,9 +60,9 @@
 	legacyProgress map[string]uint64 // position by controller name
 	legacySources  map[string]string // controller name by address
 
-	advertisedAddr string // the client address in the lease; empty while the proxy accepts no clients
+	advertisedAddr string // the client address in the membership lease; empty while the proxy accepts no clients
 	advertVersion  uint64 // increases with each change of advertisedAddr
-	leaseReleased  bool   // the lease is released, and no pull may renew it
+	leaseReleased  bool   // the membership lease is released, and no pull may renew it
 
 	reportedTallies map[string]string // the last reported tally, by service
 	tallyVersion    uint64            // increases with each reported tally
@@ -241,7 +241,7 @@
 }
 
 // recordFailure records a failed pull and logs the first of consecutive failures of a controller. A pull that failed
-// because ctx ended or the lease was released is neither counted nor logged.
+// because ctx ended or the membership lease was released is neither counted nor logged.
 func (s *subscription) recordFailure(ctx context.Context, addr string, err error) {
 	s.mu.Lock()
 	first := s.sources.CallFailed(addr, time.Now())
