--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -10,8 +10,8 @@
 )
 
 // RuleLimits holds the limits that the platform's rules set. A limit that is missing from the settings is zero, the
-// most restrictive value: no retries, no requests to a release on trial. Limits that this program does not apply are
-// parsed as well, so that invalid values are reported.
+// most restrictive value: no retries, no requests to the new build of a release. Limits that this program does not
+// apply are parsed as well, so that invalid values are reported.
 type RuleLimits struct {
 	ContactTimeout    time.Duration // inTouch: not applied
 	ConfirmTimeout    time.Duration // confirm: how long an operator may repeat an order
@@ -36,8 +36,8 @@
 // defaultTimeout is used for a contact timeout or a shutdown grace that is missing from the settings.
 const defaultTimeout = 5 * time.Second
 
-// maxRatio bounds the numbers without a unit in the table.
-const maxRatio = 1e9
+// maxNumber bounds the numbers without a unit in the table.
+const maxNumber = 1e9
 
 // durationFields returns the fields of durations, by their names in the table.
 func (l *RuleLimits) durationFields() map[string]*time.Duration {
@@ -92,13 +92,13 @@
 	return limits, nil
 }
 
-// parseNumber parses a number that is at least zero and less than maxRatio.
+// parseNumber parses a number that is at least zero and less than maxNumber.
 func parseNumber(text string) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, err
 	}
-	if !(number >= 0 && number < maxRatio) { // false for NaN too
+	if !(number >= 0 && number < maxNumber) { // false for NaN too
 		return 0, errOutOfRange
 	}
 	return number, nil
