--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -7,7 +7,7 @@
 
 // Headers of the protocol between client, proxy and backend.
 const (
-	headerTryID        = "X-Sagelever-Try-Id"       // id that a client gives a request; the response repeats it
+	headerTryID        = "X-Sagelever-Try-Id"       // id of a client's request or retry; the response repeats it
 	headerTimeLeft     = "X-Sagelever-Time-Left-Ms" // time for which the sender of a request waits for the response
 	headerTargetServer = "X-Sagelever-Meant-Server" // id of the backend to which a request is addressed
 	headerServerSeal   = "X-Sagelever-Server-Seal"  // proof in a 2xx response that a backend made it
