--- a/internal/proxy/subscription.go
+++ b/internal/proxy/subscription.go
@@ -38,9 +38,9 @@
 	fullSyncAfter = 30 * time.Second
 )
 
-// subscription pulls updates from one controller at a time by long polling, which also renews the lease of the proxy.
-// Each pull contains the proxy's position in the log of every origin, so that any controller can continue where another
-// stopped.
+// subscription pulls updates from one controller at a time by long polling, which also renews the membership lease and
+// the send lease. Each pull contains the proxy's position in the log of every origin, so that any controller can
+// continue where another stopped.
 type subscription struct {
 	proxy       *Proxy
 	client      *http.Client
@@ -60,9 +60,9 @@
 	legacyProgress map[string]uint64 // position by controller name
 	legacySources  map[string]string // controller name by address
 
-	advertisedAddr string // the client address in the lease; empty while the proxy accepts no clients
+	advertisedAddr string // the client address in the membership lease; empty while the proxy accepts no clients
 	advertVersion  uint64 // increases with each change of advertisedAddr
-	leaseReleased  bool   // the lease is released, and no pull may renew it
+	leaseReleased  bool   // the membership lease is released, and no pull may renew it
 
 	reportedTallies map[string]string // the last reported tally, by service
 	tallyVersion    uint64            // increases with each reported tally
@@ -138,7 +138,7 @@
 	inProgress := 0
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for attempts := 0; ; {
+	for pulls := 0; ; {
 		select {
 		case <-ctx.Done():
 			return ""
@@ -150,10 +150,10 @@
 		case <-timer.C:
 			if next, ok := s.nextSource(); ok && inProgress < maxSearchPulls {
 				inProgress++
-				attempts++
+				pulls++
 				go func() { results <- s.pullAndRecord(ctx, next, 0) }()
 			}
-			timer.Reset(s.searchDelay(attempts))
+			timer.Reset(s.searchDelay(pulls))
 		}
 	}
 }
@@ -227,10 +227,10 @@
 }
 
 // searchDelay returns the pause before the next pull of a search that has started the given number of pulls.
-func (s *subscription) searchDelay(attempts int) time.Duration {
+func (s *subscription) searchDelay(pulls int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sources.SearchDelay(attempts)
+	return s.sources.SearchDelay(pulls)
 }
 
 // nearerSource returns a nearer controller to try instead of the one at addr, if there is one.
@@ -241,7 +241,7 @@
 }
 
 // recordFailure records a failed pull and logs the first of consecutive failures of a controller. A pull that failed
-// because ctx ended or the lease was released is neither counted nor logged.
+// because ctx ended or the membership lease was released is neither counted nor logged.
 func (s *subscription) recordFailure(ctx context.Context, addr string, err error) {
 	s.mu.Lock()
 	first := s.sources.CallFailed(addr, time.Now())
