--- a/internal/agent/api/events.go
+++ b/internal/agent/api/events.go
@@ -87,9 +87,9 @@
 	Age         time.Duration // since the end of the counted period
 }
 
-// Complaint reports that a client found a successful answer wrong.
+// Complaint reports that a client found a successful response wrong.
 type Complaint struct {
 	Backend  BackendID
 	Workload Workload
-	Age      time.Duration // of the answer
+	Age      time.Duration // of the response
 }
--- a/internal/agent/api/types.go
+++ b/internal/agent/api/types.go
@@ -63,14 +63,14 @@
 // Outcomes of an attempt.
 const (
 	Succeeded         Outcome = iota
-	ErrorResponse             // answered with an error; may have run
+	ErrorResponse             // the backend responded with an error; may have run
 	Rejected                  // rejected before it was processed; never ran
 	TimedOut                  // no response in time; may have run
 	Unreachable               // no connection; never ran
 	ConnectionLost            // the connection broke; may have run
 	Canceled                  // canceled by the agent; may have run
 	NotSent                   // never left the agent; never ran
-	MalformedResponse         // answered with a malformed response; may have run
+	MalformedResponse         // the response was malformed; may have run
 	InvalidRequest            // rejected as invalid; may have run
 )
 
--- a/internal/agent/policy/arms.go
+++ b/internal/agent/policy/arms.go
@@ -122,7 +122,7 @@
 	backend.counts.add(counts, 1)
 }
 
-// applyComplaint subtracts the payoff of an answer that a client found wrong, and of unreported wrong answers.
+// applyComplaint subtracts the payoff of a response that a client found wrong, and of unreported wrong ones.
 func (b *Balancer) applyComplaint(event api.Complaint) {
 	if backend := b.backends[event.Backend]; backend != nil && b.now-event.Age >= backend.Started {
 		b.addOutcomes(backend, arm{payoff: -min(1/b.settings.complaintShare, backend.counts.payoff)})
--- a/internal/agent/policy/backends.go
+++ b/internal/agent/policy/backends.go
@@ -16,7 +16,7 @@
 	stage          api.Stage // of the rollout when the backend was first listed
 	inFlight       int
 	awaitingSince  time.Duration // start of the oldest wait for a response, if attempts are in flight
-	lastAnswer     time.Duration
+	lastResponseAt time.Duration
 	slowness       decay.Mean // ratio of its latency to the workload's mean latency
 	backlog        float64    // work in progress by the last load report
 	loadReportedAt time.Duration
--- a/internal/agent/policy/balancer.go
+++ b/internal/agent/policy/balancer.go
@@ -41,8 +41,8 @@
 	// The exposure rule.
 	accepted    decay.SlidingWindow // transactions
 	exposure    map[exposureKey]*decay.SlidingWindow
-	keyBuilds   map[api.AffinityKey]api.Build  // newest build that answered a key
-	unconfirmed map[api.AffinityKey][]*attempt // attempts in flight whose answers may bind the key
+	keyBuilds   map[api.AffinityKey]api.Build  // newest build that served a key
+	unconfirmed map[api.AffinityKey][]*attempt // attempts in flight whose responses may bind the key
 	boundShare  decay.Mean                     // share of transactions whose key is bound
 	trialQuota  float64                        // first attempts that the trial may get
 
--- a/internal/agent/policy/decide.go
+++ b/internal/agent/policy/decide.go
@@ -44,7 +44,7 @@
 	}
 }
 
-const heartbeatInterval = 20 * time.Millisecond // a few ticks of the wire, far below any goal time
+const heartbeatInterval = 20 * time.Millisecond // a few clock ticks, far below any goal
 
 const silenceLatencies, minSilence = 4, 300 * time.Millisecond // multiple of the recent latency; minimum
 
@@ -53,7 +53,7 @@
 func (b *Balancer) heartbeat() {
 	b.schedule(heartbeatInterval, b.heartbeat)
 	for _, backend := range b.ordered {
-		silence := b.now - max(backend.lastAnswer, backend.awaitingSince)
+		silence := b.now - max(backend.lastResponseAt, backend.awaitingSince)
 		if backend.inFlight > 0 && silence > max(silenceLatencies*b.recentLatency(), minSilence) {
 			b.advanceHealth(backend, foundUnhealthy)
 		}
--- a/internal/agent/policy/health.go
+++ b/internal/agent/policy/health.go
@@ -19,7 +19,8 @@
 	return backend.paceTokens >= 1
 }
 
-// Multiples of the even share, as fleets run below 0.7 of capacity, and of the load at which a backend fails.
+// The first is a multiple of the even share, as fleets run below 0.7 of their capacity. The second is a share
+// of the load at which a backend fails.
 const slowStartMultiple, overloadShare = 1.4, 0.7
 
 // slowStartAllows paces attempts at a warming backend, which agents without coordination could overload. A
@@ -41,7 +42,7 @@
 		backend.backlog, backend.loadReportedAt = event.Load["queue"]+event.Load["inflight"], b.now
 	}
 	if backendResponded(event.Outcome) {
-		backend.lastAnswer, backend.failureStreak = b.now, 0
+		backend.lastResponseAt, backend.failureStreak = b.now, 0
 	}
 	ratio := min(event.Elapsed.Seconds()/tx.workload.goal.Seconds(), maxLatencyRatio)
 	switch event.Outcome {
@@ -99,7 +100,7 @@
 	b.handleUnhealthyReport(backend, b.peerNumber())
 }
 
-const healthReportWindow = 500 * time.Millisecond // all users of an unhealthy backend detect it in that time
+const healthReportWindow = 500 * time.Millisecond // agents using an unhealthy backend detect it in that time
 
 const healthReportReceivers = 6 // agents
 
@@ -137,12 +138,12 @@
 }
 
 // Ejections on reports last longer than the reporting agents' own, so that those probe the backend first.
-const peerEjection, peerEjectionJitterMS, recentAnswer = time.Second, 1000, 150 * time.Millisecond
+const peerEjection, peerEjectionJitterMS, recentResponse = time.Second, 1000, 150 * time.Millisecond
 
-// ejectOnReports ejects a backend reported by peers, unless it answered recently or half of all are ejected.
+// ejectOnReports ejects a backend reported by peers unless it responded recently or half of all are ejected.
 func (b *Balancer) ejectOnReports(backend *backend) {
 	backend.broadcastAt = b.now
-	if b.now-backend.lastAnswer > recentAnswer && 2*b.ejectedCount() < b.listedCount {
+	if b.now-backend.lastResponseAt > recentResponse && 2*b.ejectedCount() < b.listedCount {
 		b.advanceHealth(backend, peersFoundUnhealthy)
 		jitter := time.Duration(b.randomBelow(peerEjectionJitterMS)) * time.Millisecond
 		backend.ejectedUntil = b.now + peerEjection + jitter
--- a/internal/agent/policy/rollout.go
+++ b/internal/agent/policy/rollout.go
@@ -191,9 +191,9 @@
 	return 0
 }
 
-// bindKey binds a key to the build that answered it or, if unconfirmed answers bind, may have answered it.
+// bindKey binds a key to the build that served it or, if unconfirmed responses bind, may have served it.
 func (b *Balancer) bindKey(tx *transaction, attempt *attempt, outcome api.Outcome) {
-	binds := outcome == api.Succeeded || b.bindsUnconfirmed() && mayHaveAnswered(outcome)
+	binds := outcome == api.Succeeded || b.bindsUnconfirmed() && mayHaveResponded(outcome)
 	if tx.Key != "" && b.settings.bindKeys && binds && attempt.backend.Build >= b.oldestBuild() {
 		b.keyBuilds[tx.Key] = max(b.keyBuilds[tx.Key], attempt.backend.Build)
 	}
--- a/internal/agent/policy/route.go
+++ b/internal/agent/policy/route.go
@@ -40,14 +40,14 @@
 
 const latencyHalfLife, retryHalfLife = 5 * time.Second, 10 * time.Second
 
-const minRetryShare, retryShareRange = 0.05, 0.25  // retries earned by one transaction
-const priorRetries, priorWon, retryBurst = 4, 2, 3 // retries; of those succeeded; retries
+const minRetryShare, retryShareRange = 0.05, 0.25      // retries earned by one transaction
+const priorRetries, priorSuccess, retryBurst = 4, 2, 3 // retries; of those succeeded; retries
 
 // retryShare returns how many retries a transaction earns. It rises with the success rate of recent retries,
 // from 0.05, so that retries are still sampled, to 0.3, so that a retry storm cannot double the load.
 func (b *Balancer) retryShare() float64 {
 	started := b.retries.started.Value(b.now, retryHalfLife) + priorRetries
-	return minRetryShare + retryShareRange*(b.retries.succeeded.Value(b.now, retryHalfLife)+priorWon)/started
+	return minRetryShare + retryShareRange*(b.retries.succeeded.Value(b.now, retryHalfLife)+priorSuccess)/started
 }
 
 func (b *Balancer) mayRetry(tx *transaction) bool {
@@ -70,15 +70,15 @@
 	}
 }
 
-// hedge starts a second attempt while the first is slow. Without permission for two attempts in flight it
-// cancels the first instead, if its backend has answered nothing since and so is not merely busy.
+// hedge starts a second attempt while the first is slow. If two attempts in flight are not allowed, it
+// cancels the first instead, unless the backend has responded to others since and so is merely busy.
 func (b *Balancer) hedge(tx *transaction) {
 	if !b.mayRetry(tx) || len(b.queue) > 0 ||
 		b.now-tx.acceptedAt > tx.workload.goal-b.meanLatency(tx.workload)/2 {
 		return
 	}
 	if first := tx.attempts[0]; !b.settings.mayHedge {
-		if first.backend.lastAnswer < first.startedAt && b.settings.mayCancel {
+		if first.backend.lastResponseAt < first.startedAt && b.settings.mayCancel {
 			b.emit(api.CancelAttempt{Transaction: tx.ID})
 		}
 		return
--- a/internal/agent/policy/route_test.go
+++ b/internal/agent/policy/route_test.go
@@ -99,7 +99,7 @@
 }
 
 // A malformed response is no evidence against the build, since any backend may send one. It shows that the backend is
-// alive, may have run, and binds its key, because an answer was written.
+// alive, may have run, and binds its key, because a response was written.
 func TestMalformedResponse(t *testing.T) {
 	b := newTestBalancer(0.5, map[string]any{"trial.oneway": true, "trial.allowance": 9.0})
 	trial, other := b.addBackend(2, 2), b.addBackend(3, 2)
--- a/internal/agent/policy/settings.go
+++ b/internal/agent/policy/settings.go
@@ -31,9 +31,9 @@
 	exposureScope   string        // scopePerWorkload if each workload is counted separately
 	guardedStages   float64       // first stages, in which the build on trial gets only pure workloads
 	trialControl    string        // what advances stages: controlByClock, controlBySingleVote, or a share of all votes
-	bindKeys        bool          // keys answered by the build on trial must not go to earlier builds
-	bindUnconfirmed bool          // answers that may not have reached the agent bind keys, too
-	complaintShare  float64       // share of wrong answers that clients report
+	bindKeys        bool          // keys served by the build on trial must not go to earlier builds
+	bindUnconfirmed bool          // responses that may not have reached the agent bind keys, too
+	complaintShare  float64       // share of wrong responses that clients report
 	voteTimeout     time.Duration // for the platform's answer to a vote
 	voteLifetime    time.Duration // period in which a vote counts
 	tallyInterval   time.Duration // between the platform's tallies, 0 if there are none
@@ -112,6 +112,6 @@
 // usesTallies reports whether the platform's tallies replace the agent's own outcomes, which are too few.
 func (b *Balancer) usesTallies() bool { return b.sparse() && b.settings.tallyInterval > 0 }
 
-// bindsUnconfirmed reports whether an answer that may not have reached the agent binds its key. That is needed
+// bindsUnconfirmed reports whether a response that may not have reached the agent binds its key. That is needed
 // on networks but not in the simulator. It confines hedges to the few trial backends, which then look slow.
 func (b *Balancer) bindsUnconfirmed() bool { return b.settings.bindKeys && b.settings.bindUnconfirmed }
--- a/internal/agent/policy/transactions.go
+++ b/internal/agent/policy/transactions.go
@@ -203,13 +203,13 @@
 	return false
 }
 
-// unanswered reports whether an attempt was sent but got no response.
-func unanswered(o api.Outcome) bool {
+// gotNoResponse reports whether an attempt was sent but got no response.
+func gotNoResponse(o api.Outcome) bool {
 	return o == api.TimedOut || o == api.ConnectionLost || o == api.Canceled
 }
 
-// mayHaveAnswered reports whether the backend may have written a valid answer.
-func mayHaveAnswered(o api.Outcome) bool {
+// mayHaveResponded reports whether the backend may have written a valid response.
+func mayHaveResponded(o api.Outcome) bool {
 	return mayHaveRun(o) && o != api.ErrorResponse && o != api.InvalidRequest
 }
 
--- a/internal/agent/policy/trial_exposure_test.go
+++ b/internal/agent/policy/trial_exposure_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A key answered by the trial is not sent to an earlier build unless the trial is rolled back.
+// A key served by the trial is not sent to an earlier build unless the trial is rolled back.
 func TestKeysBoundToBuild(t *testing.T) {
 	b := newTestBalancer(1, map[string]any{"trial.oneway": true, "trial.allowance": 99.0})
 	x, early, trial := b.addTransaction("x", "pure"), b.addBackend(1, 1), b.addBackend(2, 2)
@@ -110,7 +110,7 @@
 	}
 }
 
-// If only received answers bind, a slow or canceled attempt at the trial does not bind its key, and its hedge goes to
+// If only received responses bind, a slow or canceled attempt at the trial does not bind its key, and its hedge goes to
 // the baseline. Otherwise good builds were rolled back in large fleets.
 func TestOnlyReceivedAnswersBind(t *testing.T) {
 	b := newTestBalancer(1, map[string]any{"trial.oneway": true, "trial.unseen": false, "trial.allowance": 99.0})
