--- a/internal/agent/ws/backends.go
+++ b/internal/agent/ws/backends.go
@@ -10,7 +10,8 @@
 	"sagelever/internal/agent/connpool"
 )
 
-// BackendPool holds the connections to backends. Package connpool makes the decisions, which BackendPool carries out.
+// BackendPool holds the connections to backends. Its manager, a connpool.Pool, decides when to dial, ping or
+// close one, and BackendPool performs these actions.
 type BackendPool struct {
 	startedAt   time.Time
 	log         *slog.Logger
