--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// With any number of failures the longest pause grows up to the bound, and no pause is below half of it.
+// The maximum delay grows with the number of failures up to Max, and no delay is below half of the maximum.
 func TestDelayGrowsUpToMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{
--- a/internal/stats/bestarm/bestarm.go
+++ b/internal/stats/bestarm/bestarm.go
@@ -2,8 +2,8 @@
 //
 // It follows Garivier and Kaufmann, "Optimal Best Arm Identification with Fixed Confidence" (COLT 2016): the optimal
 // sampling proportion between two Bernoulli arms, the D-Tracking sampling rule that follows it, and the generalized
-// likelihood-ratio statistic of Chernoff's stopping rule. The agent and the load balancer both use it; docs/design.md
-// says with which parameters. The package holds no tuned value.
+// likelihood-ratio statistic of Chernoff's stopping rule. Agents and proxies use it with the parameters given in
+// docs/design.md.
 package bestarm
 
 import "math"
@@ -17,15 +17,15 @@
 	minProbability = 1e-9
 )
 
-// Arm holds the counts of one arm, that is of one build. They are floating-point numbers because those of several
-// nodes, some of them decayed, are added up.
+// Arm holds the counts of one arm, which stands for one build. They are floating-point numbers because they are
+// sums over several nodes, some of them decayed.
 type Arm struct {
 	Pulls        float64 // times that the arm was chosen, whether or not an outcome is known yet
-	Observations float64 // outcomes seen
+	Observations float64 // pulls with a known outcome
 	Reward       float64 // sum of the rewards of these outcomes, each between 0 and 1
 }
 
-// Mean returns the mean reward, and one half where there are no observations.
+// Mean returns the mean reward, or one half if there are no observations.
 func (a Arm) Mean() float64 {
 	if a.Observations == 0 {
 		return 0.5
@@ -91,8 +91,8 @@
 	return firstCount*KLDivergence(firstMean, pooledMean) + secondCount*KLDivergence(secondMean, pooledMean)
 }
 
-// StoppingThreshold returns log(2t·n/δ): the value of the likelihood ratio from which one of n balancers may decide
-// after t decisions so that the probability of a wrong decision of any of them is at most δ.
+// StoppingThreshold returns log(2t·n/δ): the likelihood ratio above which one of n balancers may stop the test after
+// t decisions, so that the probability that any of them stops with a wrong result is at most δ.
 func StoppingThreshold(decisions, balancers, errorProbability float64) float64 {
 	return math.Log(2 * max(decisions, 1) * max(balancers, 1) / errorProbability)
 }
--- a/internal/stats/decay/decay.go
+++ b/internal/stats/decay/decay.go
@@ -1,8 +1,8 @@
-// Package decay provides statistics over recent time: sums and means whose past fades with a half-life, and exact
-// counts over a sliding window.
+// Package decay provides statistics over recent time: exponentially decaying sums and means, and exact counts over
+// a sliding window.
 //
-// Time is passed in as a duration since an origin of the caller's choice, so that simulations can drive the package. It
-// holds no tuned value: callers name windows and half-lives, and must use the same half-life throughout for one value.
+// Times are durations since an origin of the caller's choice, so that simulations can use the package. Callers must
+// always pass the same half-life for one value.
 package decay
 
 import (
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Sum is an exponentially decaying sum: what was added halves with every half-life. It is brought up to date when it is
-// read. Its zero value is an empty sum. It is not safe for concurrent use.
+// Sum is an exponentially decaying sum: each added value halves with every half-life. The decay is applied when the sum
+// is read. The zero value is an empty sum. A Sum is not safe for concurrent use, not even for reading.
 type Sum struct {
 	total     float64
 	updatedAt time.Duration
@@ -22,7 +22,8 @@
 	s.total = s.Value(now, halfLife) + value
 }
 
-// Value returns the sum as of now. A moment before the last update counts as that update's.
+// Value returns the sum as of now. If now is before the last update, it returns the sum as of that
+// update.
 func (s *Sum) Value(now, halfLife time.Duration) float64 {
 	if now > s.updatedAt {
 		s.total *= math.Exp2(-float64(now-s.updatedAt) / float64(halfLife))
@@ -31,7 +32,7 @@
 	return s.total
 }
 
-// Mean is an exponentially decaying mean. Its zero value has seen nothing.
+// Mean is an exponentially decaying mean. The zero value is a mean without observations.
 type Mean struct{ sum, weight Sum }
 
 // Add adds one observation.
@@ -40,8 +41,8 @@
 	m.weight.Add(now, halfLife, 1)
 }
 
-// Estimate returns the mean as of now, drawn towards prior as if prior had been observed priorWeight times. It returns
-// prior where neither has any weight.
+// Estimate returns the mean as of now, with prior counted as priorWeight additional observations. It returns prior if
+// there are neither observations nor a prior weight.
 func (m *Mean) Estimate(now, halfLife time.Duration, prior, priorWeight float64) float64 {
 	totalWeight := m.weight.Value(now, halfLife) + priorWeight
 	if totalWeight == 0 {
--- a/internal/stats/decay/decay_test.go
+++ b/internal/stats/decay/decay_test.go
@@ -10,7 +10,7 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// A sum halves with every half-life, and a moment before the last update does not change it.
+// A sum halves with every half-life, and reading it as of a time before the last update does not change it.
 func TestSum(t *testing.T) {
 	var sum Sum
 	sum.Add(0, halfLife, 8)
@@ -27,7 +27,7 @@
 	}
 }
 
-// A mean is drawn towards its prior by the prior's weight, the more the longer nothing was observed.
+// The prior counts with its weight, which gains influence as the observations decay.
 func TestMean(t *testing.T) {
 	var mean Mean
 	if got := mean.Estimate(0, halfLife, 7, 0); got != 7 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A window counts the events since its begin, and keeps no more than twice the events of the retention.
+// A window counts the events since its start, and stores at most twice the events within the retention.
 func TestSlidingWindow(t *testing.T) {
 	var window SlidingWindow
 	const retention = 10 * time.Second
