--- a/internal/agent/connpool/pool.go
+++ b/internal/agent/connpool/pool.go
@@ -157,7 +157,7 @@
 	Reject                 // there is no connection, and none can be opened now
 )
 
-// Acquire selects a connection to a backend for a request. After Use, the request counts as in flight until Release.
+// Acquire selects a connection to a backend for a request. After Use, the request counts as open until Release.
 func (p *Pool) Acquire(now time.Duration, id api.BackendID) (Decision, ConnID, []Action) {
 	p.now = now
 	target := p.backends[id]
