--- a/httpagent/backends.go
+++ b/httpagent/backends.go
@@ -75,8 +75,8 @@
 }
 
 // update adds, replaces and removes clients according to a list. A backend whose address, build or start time has
-// changed gets a new client with new connections, so that late bytes of the previous process cannot answer its
-// requests.
+// changed gets a new client with new connections, so that late bytes of the previous process are not taken for
+// responses.
 func (c *backendClients) update(list *backendList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
