--- a/internal/stats/decay/window.go
+++ b/internal/stats/decay/window.go
@@ -14,7 +14,7 @@
 // Add records one event and discards those older than retention. Events must be added in order of time.
 func (s *SlidingWindow) Add(now, retention time.Duration) {
 	expired := s.countBefore(now - retention)
-	if 2*expired > len(s.moments) { // only when more than half are expired, so that a moment is moved at most once
+	if 2*expired > len(s.moments) { // so that fewer moments are moved than discarded
 		s.moments = append(s.moments[:0], s.moments[expired:]...)
 	}
 	s.moments = append(s.moments, now)
