--- a/internal/agent/policy/arms.go
+++ b/internal/agent/policy/arms.go
@@ -48,7 +48,7 @@
 // faultsOnly returns the arm with full payoff for every outcome except faults.
 func (a *arm) faultsOnly() arm { return arm{outcomes: a.outcomes, payoff: a.outcomes - a.faults} }
 
-// forStatistic converts the arm to the type of package bestarm.
+// forStatistic converts the arm to the type of package bestarm, which calls a payoff a reward.
 func (a *arm) forStatistic() bestarm.Arm {
 	return bestarm.Arm{Pulls: a.pulls, Observations: a.outcomes, Reward: a.payoff}
 }
--- a/internal/stats/bestarm/bestarm.go
+++ b/internal/stats/bestarm/bestarm.go
@@ -91,8 +91,8 @@
 	return firstCount*KLDivergence(firstMean, pooledMean) + secondCount*KLDivergence(secondMean, pooledMean)
 }
 
-// StoppingThreshold returns log(2t·n/δ): the likelihood ratio above which one of n balancers may stop the test after
-// t decisions, so that the probability that any of them stops with a wrong result is at most δ.
+// StoppingThreshold returns log(2t·n/δ): the likelihood ratio from which on one of n balancers may stop the test
+// after t decisions, so that the probability that any of them stops with a wrong result is at most δ.
 func StoppingThreshold(decisions, balancers, errorProbability float64) float64 {
 	return math.Log(2 * max(decisions, 1) * max(balancers, 1) / errorProbability)
 }
