--- a/internal/agent/ws/backendconn.go
+++ b/internal/agent/ws/backendconn.go
@@ -27,7 +27,7 @@
 	closed    chan struct{} // closed when the connection has ended
 
 	mu            sync.Mutex                      // guards the following
-	lastSend      uint64                          // number of the last request
+	lastNumber    uint64                          // number of the last request
 	waiting       map[uint64]chan BackendResponse // receives the response, by request number
 	subscriptions map[uint64]*Subscription        // by request number
 }
@@ -99,10 +99,10 @@
 // deliver passes a response or a push to its request or subscription. Messages for unknown requests are dropped.
 func (c *backendConn) deliver(response BackendResponse) {
 	c.mu.Lock()
-	waiting := c.waiting[response.Send]
-	subscription := c.subscriptions[response.Send]
+	waiting := c.waiting[response.Number]
+	subscription := c.subscriptions[response.Number]
 	if response.Type == typeDone {
-		delete(c.waiting, response.Send)
+		delete(c.waiting, response.Number)
 	}
 	c.mu.Unlock()
 	switch {
--- a/internal/agent/ws/protocol.go
+++ b/internal/agent/ws/protocol.go
@@ -87,7 +87,7 @@
 // truncated request never runs.
 type BackendRequest struct {
 	Type        string              `json:"type"` // run, cancel
-	Send        uint64              `json:"send"` // number of the request on its connection
+	Number      uint64              `json:"send"` // number of the request on its connection
 	ID          string              `json:"id,omitempty"`
 	Method      string              `json:"method,omitempty"`
 	Path        string              `json:"path,omitempty"`
@@ -104,7 +104,7 @@
 // BackendResponse is a response or a push from a backend.
 type BackendResponse struct {
 	Type        string `json:"type"`                  // done, push
-	Send        uint64 `json:"send"`                  // number of the request
+	Number      uint64 `json:"send"`                  // number of the request
 	Status      int    `json:"status"`                // HTTP status
 	NotStarted  bool   `json:"not_started,omitempty"` // rejected before it was started, so it has not run
 	Load        string `json:"load,omitempty"`        // load report, as in the Server-Load header
--- a/internal/agent/ws/send.go
+++ b/internal/agent/ws/send.go
@@ -72,21 +72,21 @@
 	Done     <-chan struct{} // closed when the connection has ended
 	Draining <-chan struct{} // closed when the backend begins to drain and the subscription should move to another one
 
-	pool *BackendPool
-	conn *backendConn
-	send uint64
-	once sync.Once
-	push func(BackendResponse)
+	pool   *BackendPool
+	conn   *backendConn
+	number uint64
+	once   sync.Once
+	push   func(BackendResponse)
 }
 
 // Close ends the subscription and notifies the backend. It may be called more than once.
 func (s *Subscription) Close() {
 	s.once.Do(func() {
 		s.conn.mu.Lock()
-		delete(s.conn.subscriptions, s.send)
+		delete(s.conn.subscriptions, s.number)
 		s.conn.mu.Unlock()
 		s.pool.notifyManager(s.conn, (*connpool.Pool).Release)
-		go s.pool.cancel(s.conn, s.send)
+		go s.pool.cancel(s.conn, s.number)
 	})
 }
 
@@ -127,14 +127,14 @@
 	responses := make(chan BackendResponse, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastSend++
+	c.lastNumber++
 	request.Type = typeRun
-	request.Send = c.lastSend
+	request.Number = c.lastNumber
 	request.Size = len(request.Body)
-	c.waiting[request.Send] = responses
+	c.waiting[request.Number] = responses
 	if subscription != nil {
-		subscription.send = request.Send
-		c.subscriptions[request.Send] = subscription
+		subscription.number = request.Number
+		c.subscriptions[request.Number] = subscription
 	}
 	return responses
 }
@@ -146,7 +146,7 @@
 ) (BackendResponse, error) {
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, request.Send)
+		delete(c.waiting, request.Number)
 		c.mu.Unlock()
 	}()
 	w := &requestWriter{ctx: ctx, conn: c, draining: draining}
@@ -164,7 +164,7 @@
 			return BackendResponse{}, &transaction.AttemptError{Stage: transaction.Written, Cause: errConnectionLost}
 		}
 	case <-ctx.Done():
-		go p.cancel(c, request.Send)
+		go p.cancel(c, request.Number)
 		return BackendResponse{}, &transaction.AttemptError{Stage: transaction.Written, Cause: context.Cause(ctx)}
 	}
 }
@@ -276,13 +276,13 @@
 }
 
 // cancel notifies a backend that a response is no longer needed, unless the write takes longer than fragmentTimeout.
-func (p *BackendPool) cancel(c *backendConn, send uint64) {
+func (p *BackendPool) cancel(c *backendConn, number uint64) {
 	ctx, stop := context.WithTimeout(p.ctx, fragmentTimeout)
 	defer stop()
 	select {
 	case c.writeLock <- struct{}{}:
 		defer func() { <-c.writeLock }()
-		message := encodeMessage(BackendRequest{Type: typeCancel, Send: send}, nil)
+		message := encodeMessage(BackendRequest{Type: typeCancel, Number: number}, nil)
 		_ = c.socket.Write(ctx, websocket.MessageBinary, message) // best effort: it only saves the backend work
 	case <-ctx.Done():
 	case <-c.closed:
--- a/internal/testbed/fakes/backend.go
+++ b/internal/testbed/fakes/backend.go
@@ -183,7 +183,7 @@
 	behavior, latency := b.current()
 	response := ws.BackendResponse{
 		Type:   "done",
-		Send:   request.Send,
+		Number: request.Number,
 		Status: http.StatusOK,
 		Load:   "queue=0",
 		Body:   []byte(request.ID),
