--- a/internal/control/server/clear_out.go
+++ b/internal/control/server/evacuation.go
@@ -14,19 +14,19 @@
 // reliably. A caller gives up after a second and repeats the order at another controller.
 const ackDeliveryTime = 700 * time.Millisecond
 
-// handleClearOutBegin takes all backends of a zone out of service.
-func (s *Server) handleClearOutBegin(w http.ResponseWriter, r *http.Request) error {
-	return s.changeClearOut(w, r, calls.EvacuationBegin)
+// handleEvacuationBegin orders the evacuation of a zone: no backend there gets traffic.
+func (s *Server) handleEvacuationBegin(w http.ResponseWriter, r *http.Request) error {
+	return s.changeEvacuation(w, r, calls.EvacuationBegin)
 }
 
-// handleClearOutFinish withdraws one order to clear out a zone. The zone returns to service once all such orders have
-// been withdrawn.
-func (s *Server) handleClearOutFinish(w http.ResponseWriter, r *http.Request) error {
-	return s.changeClearOut(w, r, calls.EvacuationEnd)
+// handleEvacuationEnd withdraws one evacuation order. The zone returns to service once all its orders have been
+// withdrawn.
+func (s *Server) handleEvacuationEnd(w http.ResponseWriter, r *http.Request) error {
+	return s.changeEvacuation(w, r, calls.EvacuationEnd)
 }
 
-// changeClearOut executes calls.EvacuationBegin or calls.EvacuationEnd.
-func (s *Server) changeClearOut(w http.ResponseWriter, r *http.Request, call calls.Name) error {
+// changeEvacuation executes calls.EvacuationBegin or calls.EvacuationEnd.
+func (s *Server) changeEvacuation(w http.ResponseWriter, r *http.Request, call calls.Name) error {
 	zone, err := readTarget(r)
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 	defer cancel()
 	begin := call == calls.EvacuationBegin
 	version, err := s.operations.join(ctx, operationKey(call, zone), 0, func(ctx context.Context) (uint64, error) {
-		return s.proposeClearOut(ctx, zone, begin)
+		return s.proposeEvacuation(ctx, zone, begin)
 	})
 	if err != nil {
 		return err
@@ -58,9 +58,10 @@
 	return nil
 }
 
-// proposeClearOut commits an order on a zone and returns the resulting version of the zone's register. Orders are
-// counted, but repeating an order that has not been acknowledged has no effect.
-func (s *Server) proposeClearOut(ctx context.Context, zone string, begin bool) (version uint64, err error) {
+// proposeEvacuation commits an evacuation order, or its withdrawal if begin is not set, and returns the resulting
+// version of the zone's register. Orders are counted, but repeating an order that has not been acknowledged has no
+// effect.
+func (s *Server) proposeEvacuation(ctx context.Context, zone string, begin bool) (version uint64, err error) {
 	now := s.now()
 	err = s.newRetryPolicy(callTimeout).run(ctx, func(ctx context.Context) error {
 		acknowledgedKey := drain.AcknowledgedKey(zone)
