--- a/internal/control/membership/reconfigure.go
+++ b/internal/control/membership/reconfigure.go
@@ -12,8 +12,8 @@
 // MemberStatus is the state of a member of the configuration as observed by the member that decides.
 type MemberStatus struct {
 	Member
-	// SinceLastHeartbeat is the time since the last heartbeat, or zero while the member is reachable.
-	SinceLastHeartbeat time.Duration
+	// SinceLastResponse is the time since the member last responded to a pull, or zero while the member is reachable.
+	SinceLastResponse time.Duration
 	// Leaving is set once the member has announced its shutdown.
 	Leaving bool
 }
@@ -36,7 +36,7 @@
 // Size returns the number of members that the group should have.
 func (t Target) Size() int { return t.MembersPerZone * t.Zones }
 
-// Timeouts are the durations without a heartbeat after which a member is replaced or removed.
+// Timeouts are the durations without a response after which a member is replaced or removed.
 type Timeouts struct {
 	// ReplaceAfter applies if there is a candidate in the same zone that has caught up.
 	ReplaceAfter time.Duration
@@ -95,7 +95,7 @@
 			continue
 		}
 		membersInZone++
-		if m.Leaving || m.SinceLastHeartbeat >= r.timeouts.ReplaceAfter {
+		if m.Leaving || m.SinceLastResponse >= r.timeouts.ReplaceAfter {
 			return r.replace(m.Node, candidate), ReasonMemberReplaced
 		}
 	}
@@ -121,7 +121,7 @@
 		return Configuration{}, reasonNone, false
 	}
 	for _, m := range r.members {
-		if m.SinceLastHeartbeat < r.timeouts.RemoveAfter {
+		if m.SinceLastResponse < r.timeouts.RemoveAfter {
 			continue
 		}
 		members := slices.DeleteFunc(slices.Clone(r.current.Members), m.SameReplica)
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -88,7 +88,7 @@
 		member := membership.MemberStatus{Member: peer.Member, Leaving: peer.leaving}
 		if !r.reachable(node, now) {
 			sinceResponse := now.Sub(latestOf(peer.lastResponseAt, peer.memberSince, r.startedAt))
-			member.SinceLastHeartbeat = max(1, sinceResponse) // 0 means that the member is reachable
+			member.SinceLastResponse = max(1, sinceResponse) // 0 means that the member is reachable
 		}
 		members = append(members, member)
 	}
