--- a/internal/control/replica/doc.go
+++ b/internal/control/replica/doc.go
@@ -4,7 +4,7 @@
 //
 // A replica keeps three kinds of state:
 //
-//   - Registers: configuration items, releases, cleared zones and the like. Each register is decided independently by
+//   - Registers: configuration items, releases, evacuated zones and the like. Each register is decided independently by
 //     Paxos rounds among the members (package quorum). Every member accepts writes; there is neither a leader nor a
 //     log.
 //   - The configuration: which replicas are members. It is itself the value of a register, and its version is the epoch
--- a/internal/control/replica/peers.go
+++ b/internal/control/replica/peers.go
@@ -111,7 +111,7 @@
 	peer.leaving = request.Leaving
 }
 
-// pullingPeer returns the member that sent a pull, or nil where the sender is a proxy or a candidate.
+// pullingPeer returns the member that sent a pull, or nil if the sender is a proxy or a candidate.
 func (r *Replica) pullingPeer(request *message.PullRequest) *peerState {
 	peer := r.peers[request.From.Node]
 	if request.Role != message.RoleController || peer == nil || !peer.SameReplica(request.From) {
@@ -177,7 +177,7 @@
 }
 
 // Leave announces that the process is about to end: pending pulls are answered immediately, so that their senders
-// switch to other members, and a configuration with a successor is proposed if possible. See AwaitingReplacement.
+// switch to other members, and a configuration with a replacement is proposed if possible. See AwaitingReplacement.
 func (r *Replica) Leave(now time.Time) {
 	r.leaving = true
 	r.notifyAfter(0)
--- a/internal/control/replica/reconfigure.go
+++ b/internal/control/replica/reconfigure.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// CandidateReady reports whether the last pull of a candidate said that it is ready to become a member.
+// CandidateReady reports whether a candidate was ready to become a member as of its last pull.
 func (r *Replica) CandidateReady(node string) bool {
 	candidate := r.candidates[node]
 	return candidate != nil && candidate.CaughtUp
@@ -172,7 +172,7 @@
 	r.startInternalWrite(now, updates, func() { local.proposing = false })
 }
 
-// AwaitingReplacement reports whether a leaving process should keep running: until it is replaced if a successor in its
+// AwaitingReplacement reports whether a leaving process should keep running: until it is replaced if a candidate in its
 // zone is ready, and until more than MaxFailures other members are active in the new epoch, so that the failures that
 // the configuration tolerates can't lose values that only this replica holds besides them.
 func (r *Replica) AwaitingReplacement(now time.Time) bool {
--- a/internal/control/replica/timing.go
+++ b/internal/control/replica/timing.go
@@ -111,7 +111,7 @@
 	// over yet.
 	takeoverTimeout = 10 * time.Second
 
-	// removalTimeout is how long a member must be unreachable before it is removed without a successor, provided that
+	// removalTimeout is how long a member must be unreachable before it is removed without a replacement, provided that
 	// the remaining members tolerate as many failures as before. It exceeds the usual length of a partition between
 	// regions.
 	removalTimeout = 5 * time.Minute
--- a/internal/control/server/run.go
+++ b/internal/control/server/run.go
@@ -23,13 +23,12 @@
 	// shutdownTimeout bounds how long requests in progress may take after the servers have stopped listening.
 	shutdownTimeout = time.Second
 
-	// handoverTimeout bounds how long a member that shuts down waits for its successor to replace it. It is well below
-	// the time that the platform grants a process after SIGTERM.
-	handoverTimeout = 2 * time.Second
+	// replacementTimeout bounds how long a member that shuts down waits until it is replaced. It is well below the time
+	// that the platform grants a process after SIGTERM.
+	replacementTimeout = 2 * time.Second
 
-	// handoverPollInterval is the interval at which a member that shuts down checks whether its successor has replaced
-	// it.
-	handoverPollInterval = 20 * time.Millisecond
+	// replacementPollInterval is the interval at which a member that shuts down checks whether it has been replaced.
+	replacementPollInterval = 20 * time.Millisecond
 
 	// listenUserTimeout is TCP_USER_TIMEOUT of accepted connections.
 	listenUserTimeout = tcp.UserTimeout(1500 * time.Millisecond)
@@ -39,8 +38,8 @@
 	idleTimeout       = 30 * time.Second
 )
 
-// Run serves until ctx ends. It then announces that this member is leaving, continues to serve while a successor
-// replaces it, and closes the store. Run returns once the listeners and loops that it has started have ended.
+// Run serves until ctx ends. It then announces that this member is leaving, continues to serve until a candidate
+// has replaced it, if one is ready, and closes the store. Run returns once the listeners and loops that it has started have ended.
 // Operations and requests to other controllers that are still in progress end by their own timeouts.
 func (s *Server) Run(ctx context.Context) error {
 	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -57,7 +56,7 @@
 
 	<-ctx.Done()
 	s.step(s.replica.Leave)
-	s.awaitHandover(workCtx)
+	s.awaitReplacement(workCtx)
 	shutdown(workCtx, servers)
 	cancelWork()
 	background.Wait()
@@ -141,11 +140,11 @@
 	}
 }
 
-// awaitHandover waits until the successor has replaced this member, if one is ready to do so.
-func (s *Server) awaitHandover(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, min(handoverTimeout, s.settings.RuleLimits.ShutdownGrace/2))
+// awaitReplacement waits until a candidate has replaced this member, if one is ready to do so.
+func (s *Server) awaitReplacement(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, min(replacementTimeout, s.settings.RuleLimits.ShutdownGrace/2))
 	defer cancel()
-	poll(ctx, handoverPollInterval, func() bool {
+	poll(ctx, replacementPollInterval, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return !s.replica.AwaitingReplacement(s.now())
