--- a/internal/control/membership/configuration.go
+++ b/internal/control/membership/configuration.go
@@ -6,7 +6,7 @@
 // replica), so that neither a log nor a leader is needed. docs/control-hardening.md shows that the quorums intersect
 // across epochs.
 //
-// The package does no input or output: the caller passes in the state of members and candidates.
+// The package does no I/O: the caller passes in the state of members and candidates.
 package membership
 
 import (
--- a/internal/control/message/doc.go
+++ b/internal/control/message/doc.go
@@ -1,8 +1,8 @@
 // Package message defines the messages that controllers and proxies exchange, in their wire format: the pulls that
 // replicate items, the requests of Paxos rounds between controllers, and the survey of requests in flight.
 //
-// The one-letter JSON names are the wire format. Fields are only ever added; receivers ignore
-// unknown names. The *_easyjson.go files are generated from the types.
+// The one-letter JSON names are the wire format. Fields are only ever added; receivers ignore unknown names. The
+// *_easyjson.go files are generated from the types.
 package message
 
 import "sagelever/internal/control/membership"
--- a/internal/control/message/peer.go
+++ b/internal/control/message/peer.go
@@ -29,7 +29,8 @@
 	Generation uint64 `json:"g,omitempty"`
 }
 
-// PeerResponse is the response to a PeerRequest.
+// PeerResponse is the response to a PeerRequest. In its comments, the sender is that of the request, and the responder
+// is the controller that responds.
 //
 //easyjson:json
 type PeerResponse struct {
@@ -50,7 +51,8 @@
 	ActiveEpoch uint64 `json:"e,omitempty"`
 	// DiskID identifies the responder's disk (StatePath, GenerationPath).
 	DiskID string `json:"d,omitempty"`
-	// DiskGenerations has the disks of other controllers that the responder knows, by node (StatePath).
+	// DiskGenerations are the generations of other controllers' disks that the responder has recorded, by node
+	// (StatePath).
 	DiskGenerations map[string]DiskGeneration `json:"x,omitempty"`
 	// Generation is the last known generation of the sender's disk (GenerationPath).
 	Generation uint64 `json:"g,omitempty"`
--- a/internal/control/message/pull.go
+++ b/internal/control/message/pull.go
@@ -52,7 +52,8 @@
 // ConfigurationEntry is the chosen value of the register that stores the membership configuration.
 type ConfigurationEntry = quorum.Entry
 
-// PullResponse is the response to a PullRequest.
+// PullResponse is the response to a PullRequest. In its comments, the sender is that of the request, and the source is
+// the controller that responds.
 //
 //easyjson:json
 type PullResponse struct {
@@ -62,7 +63,7 @@
 	Items           []replication.Item `json:"i"`
 	// Origins are the origins that Item.OriginIndex refers to. The first one is the source itself.
 	Origins []string `json:"j,omitempty"`
-	// Progress is the receiver's progress after it has merged the items. Unless Complete is set, it has only the
+	// Progress is the sender's progress after it has merged the items. Unless Complete is set, it has only the
 	// entries that exceed those of the request.
 	Progress replication.Vector `json:"u,omitempty"`
 	// DroppedOrigins lists origins that a proxy can remove from its progress, as they have no items any more.
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/quorum/quorum.go
@@ -2,8 +2,8 @@
 // Lamport 2001) run independently for each named register, with the flexible quorums of Howard, Malkhi and Spiegelman
 // ("Flexible Paxos", 2016). Any member may propose; there is no leader and no replicated log.
 //
-// The package is a pure state machine without input or output. The caller passes messages in, and persists the entries
-// that are reported as changed before it sends the reply.
+// The package is a pure state machine without I/O. The caller passes messages in, and persists the entries that are
+// reported as changed before it sends the reply.
 //
 // Quorums. A group has n members, of which up to f may lose their disks at the same time.
 //
--- a/internal/control/rangesync/doc.go
+++ b/internal/control/rangesync/doc.go
@@ -19,5 +19,5 @@
 // holds for the registers of package quorum. Entries that change during a session may be sent redundantly or not at
 // all.
 //
-// The package does no input or output and does not block.
+// The package does no I/O and does not block.
 package rangesync
--- a/internal/control/replica/confirm.go
+++ b/internal/control/replica/confirm.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// endConfirmation ends a confirmation and schedules rounds for the values that are still undecided. These start only
-// after the original round has had time to end, later if no operation waits for the value, and one member after the
-// other, so that the rounds of one member can end before those of the next one begin.
+// endConfirmation ends a confirmation and schedules rounds for the values that are still undecided. The rounds start
+// once the original round has had time to end, or later if no operation waits for the value. The members take turns, so
+// that the rounds of one member can end before those of the next one begin.
 func (r *Replica) endConfirmation(now time.Time, op *operation) {
 	r.finish(op, nil, nil)
 	turn := r.repairTurnDelay(now)
