--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -56,7 +56,7 @@
 	tombstones    map[string]time.Time // when to drop obsolete items, by key
 
 	// Proxies and backends.
-	liveness         *replication.MemberTable
+	liveness         *replication.LivenessTable
 	backends         map[string]*replication.Backend // by ID, as of their last heartbeats, which they send to this replica
 	departedOwners   map[string]time.Time            // owners of backends that are not members, and since when
 	decidingReleases map[string]bool                 // services for which the end of a release is being written
@@ -85,7 +85,7 @@
 		decidingReleases: map[string]bool{},
 	}
 	r.items = replication.NewItemStore(cfg.Source, newOrigin(cfg.Self.Node, now, cfg.Random()))
-	r.liveness = replication.NewMemberTable(LeaseTerm, proxyRetention)
+	r.liveness = replication.NewLivenessTable(LeaseTerm, proxyRetention)
 	r.loadMembership(now, persisted)
 	r.restoreItems(now, persisted)
 	r.restoreRegisters(now)
