--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -12,7 +12,7 @@
 	"sagelever/internal/telemetry"
 )
 
-// targetParam is the query parameter that names the target of an operation: a backend, a service, a zone or a drain.
+// targetParam is the query parameter that names the target of an API call: a backend, a service, a zone or a drain.
 const targetParam = "of"
 
 // Limits on the size of requests, in bytes.
@@ -26,7 +26,7 @@
 // retryAfter is the Retry-After header of a 503 response, in seconds. Callers may try another controller sooner.
 const retryAfter = "0.2"
 
-// apiFunc handles an operation. If it returns an error, it has written nothing, and the error determines the response.
+// apiFunc handles an API call. If it returns an error, it has written nothing, and the error determines the response.
 type apiFunc func(w http.ResponseWriter, r *http.Request) error
 
 // ServeHTTP implements http.Handler.
@@ -41,9 +41,9 @@
 	router := mux.NewRouter()
 	router.UseEncodedPath()
 	router.Path(telemetry.Path).Methods(http.MethodGet).Handler(s.metricsPage())
-	operations := router.Path("/api/rpc").Methods(http.MethodPost).Subrouter()
+	callRouter := router.Path("/api/rpc").Methods(http.MethodPost).Subrouter()
 	handle := func(call calls.Name, handler apiFunc) {
-		operations.NewRoute().Queries("call", string(call)).Handler(handler)
+		callRouter.NewRoute().Queries("call", string(call)).Handler(handler)
 	}
 	handle(calls.Heartbeat, s.handleHeartbeat)
 	handle(calls.SignOff, s.handleSignOff)
@@ -80,7 +80,7 @@
 	return nil, invalidRequest(err)
 }
 
-// writeError writes the response to an operation that failed with err.
+// writeError writes the response to an API call that failed with err.
 func writeError(w http.ResponseWriter, err error) {
 	if shortage, ok := errors.Into[*insufficientCapacityError](err); ok {
 		err = writeValue(w, statusOf(err), shortage.response)
@@ -95,7 +95,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// writeOK acknowledges an operation that has no result.
+// writeOK acknowledges an API call that has no result.
 func writeOK(w http.ResponseWriter) { writeJSON(w, http.StatusOK, []byte("{}")) }
 
 // writeValue responds with a value as JSON. If it returns an error, which is an *encodingError, it has written nothing.
--- a/internal/control/server/errors.go
+++ b/internal/control/server/errors.go
@@ -20,10 +20,10 @@
 // errTooManyDrains rejects a drain in a zone that has the maximum number of drains.
 var errTooManyDrains = errors.New("this zone has too many drains")
 
-// errNoSuchDrain rejects an operation on a drain that is not active.
+// errNoSuchDrain rejects a call whose target is a drain that is not active.
 var errNoSuchDrain = &notFoundError{"of: there is no such drain"}
 
-// notFoundError rejects an operation on something that does not exist.
+// notFoundError rejects a call whose target does not exist.
 type notFoundError struct{ message string }
 
 func (e *notFoundError) Error() string { return e.message }
@@ -63,9 +63,9 @@
 // invalidParam rejects a request with a text that names the invalid parameter or field.
 func invalidParam(text string) error { return invalidRequest(errors.New(text)) }
 
-// statusOf maps an error to the HTTP status of the response. A 4xx is definite: the operation is rejected and the
-// caller need not retry it. An error that is not known to be a rejection maps to 503, so that the caller retries, here
-// or at another controller.
+// statusOf maps an error to the HTTP status of the response. A 4xx is definite: the call is rejected and the caller
+// need not retry it. An error that is not known to be a rejection maps to 503, so that the caller retries, here or at
+// another controller.
 func statusOf(err error) int {
 	if rejection, ok := errors.Into[*coordinatorError](err); ok {
 		return rejection.status
--- a/internal/control/server/run.go
+++ b/internal/control/server/run.go
@@ -38,9 +38,9 @@
 	idleTimeout       = 30 * time.Second
 )
 
-// Run serves until ctx ends. It then announces that this member is leaving, continues to serve until a candidate
-// has replaced it, if one is ready, and closes the store. Run returns once the listeners and loops that it has started have ended.
-// Operations and requests to other controllers that are still in progress end by their own timeouts.
+// Run serves until ctx ends. It then announces that this member is leaving, continues to serve until a candidate has
+// replaced it, if one is ready, and closes the store. Run returns once the listeners and loops that it has started have
+// ended. Operations and requests to other controllers that are still in progress end by their own timeouts.
 func (s *Server) Run(ctx context.Context) error {
 	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelWork()
