--- a/internal/control/replica/simulated_group_test.go
+++ b/internal/control/replica/simulated_group_test.go
@@ -81,6 +81,18 @@
 	}
 }
 
+// lateRecoverySeed is the seed of a run in which a member recovers too late.
+const lateRecoverySeed = 319020803
+
+// No member may hold undecided registers once recoveryTime has passed since the last fault. In the run of lateRecoverySeed,
+// member m5 still holds some then.
+func TestSimulatedGroupLateRecovery(t *testing.T) {
+	results := &runResults{coverage: map[string]int{}}
+	if failure := results.run(lateRecoverySeed, false); failure != "" {
+		t.Fatalf("seed %d: %s", lateRecoverySeed, failure)
+	}
+}
+
 // searchFailures runs the simulations of consecutive seeds.
 func searchFailures(t *testing.T, results *runResults, from, runs uint64) {
 	t.Helper()
